--- a/crates/gateway/benches/news.rs
+++ b/crates/gateway/benches/news.rs
@@ -13,18 +13,18 @@
 use notchwharf_proto::news;
 use notchwharf_proto::news::News;
 use notchwharf_proto::news::Status;
-use notchwharf_routing::places::Config;
-use notchwharf_routing::places::Load;
-use notchwharf_routing::places::Places;
-use notchwharf_routing::places::Spec;
-use notchwharf_routing::places::key_of;
+use notchwharf_routing::balancer::Balancer;
+use notchwharf_routing::balancer::Config;
+use notchwharf_routing::balancer::Load;
+use notchwharf_routing::balancer::Spec;
+use notchwharf_routing::balancer::key_of;
 
 const TARGETS: u32 = 153;
 /// Targets at which a host runs something at a time.
 const BUSY: u32 = 2;
 
-fn places() -> Places {
-    let mut places = Places::new(Config::default(), 1);
+fn places() -> Balancer {
+    let mut places = Balancer::new(Config::default(), 1);
     for target in 0..TARGETS {
         let spec = Spec {
             service: "s".into(),
@@ -57,7 +57,7 @@
     }))
 }
 
-fn take(places: &mut Places, bytes: &[u8], now: Instant) {
+fn take(places: &mut Balancer, bytes: &[u8], now: Instant) {
     let Some(News::Status(status)) = news::decode(bytes) else {
         return;
     };
@@ -68,7 +68,7 @@
         };
         (told.target, load)
     });
-    places.peer_runs(&status.host, loads, status.failing, now);
+    places.set_peer_loads(&status.host, loads, status.failing, now);
 }
 
 fn news(c: &mut Criterion) {
--- a/crates/gateway/src/backlog.rs
+++ b/crates/gateway/src/backlog.rs
@@ -15,13 +15,13 @@
 use notchwharf_ledger::jobs::JobId;
 use notchwharf_ledger::jobs::Jobs;
 use notchwharf_ledger::jobs::Offset;
+use notchwharf_routing::balancer::TargetId;
 use notchwharf_routing::fingerprint::Fingerprint;
-use notchwharf_routing::items::queue::Next;
+use notchwharf_routing::items::estimate::Size;
+use notchwharf_routing::items::peer_queues::DUE_TIMES_MAX;
+use notchwharf_routing::items::peer_queues::QueuedItems;
+use notchwharf_routing::items::queue::Deadline;
 use notchwharf_routing::items::queue::Queue;
-use notchwharf_routing::items::turn::TOLD_MAX;
-use notchwharf_routing::items::turn::Waiting;
-use notchwharf_routing::items::usual::Size;
-use notchwharf_routing::places::TargetId;
 
 use crate::fingerprint;
 use crate::ports::Decode;
@@ -196,16 +196,16 @@
 
     /// Puts items that come too late behind all others.
     pub(crate) fn put_late_behind(&mut self, is_late: impl Fn(&Item) -> bool) {
-        self.queue.put_late_behind(is_late);
+        self.queue.demote_late(is_late);
     }
 
     /// Returns how many items wait, by when they are due.
-    pub(crate) fn waiting(&self) -> Vec<Waiting> {
-        self.queue.waiting(TOLD_MAX)
+    pub(crate) fn waiting(&self) -> Vec<QueuedItems> {
+        self.queue.summary(DUE_TIMES_MAX)
     }
 
     /// Returns the item to run next and where it stands, without taking it.
-    pub(crate) fn peek(&self) -> Option<(Next, &Item)> {
+    pub(crate) fn peek(&self) -> Option<(Deadline, &Item)> {
         self.queue.peek()
     }
 
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -19,14 +19,14 @@
 use bytes::Bytes;
 use notchwharf_config::gateway::Settings;
 use notchwharf_config::routes::Table;
+use notchwharf_routing::balancer::Balancer;
+use notchwharf_routing::balancer::Spec;
 use notchwharf_routing::belief;
 use notchwharf_routing::belief::Answered;
 use notchwharf_routing::belief::Belief;
 use notchwharf_routing::belief::Bounds;
 use notchwharf_routing::belief::Change;
 use notchwharf_routing::belief::Evidence;
-use notchwharf_routing::places::Places;
-use notchwharf_routing::places::Spec;
 use notchwharf_startup::Need;
 use notchwharf_startup::Startup;
 use tokio::sync::watch;
@@ -101,7 +101,7 @@
 pub(crate) struct Uses {
     pub(crate) store: Store,
     pub(crate) decode: Decode,
-    pub(crate) places: Arc<Mutex<Places>>,
+    pub(crate) places: Arc<Mutex<Balancer>>,
     pub(crate) routes: watch::Sender<Option<Arc<Table>>>,
     pub(crate) startup: Arc<Startup>,
     pub(crate) metrics: Arc<Metrics>,
@@ -286,10 +286,10 @@
                 None => counts.added += 1,
             }
             if is_logged {
-                let is_anew = before.is_some_and(|b| b.born_unix_ms != spec.born_unix_ms);
+                let is_anew = before.is_some_and(|b| b.started_unix_ms != spec.started_unix_ms);
                 slog::info!(self.uses.logger, "target"; "target" => id,
                     "addr" => spec.addr.to_string(), "service" => spec.service.as_str(),
-                    "leaving" => spec.leaving, "started_anew" => is_anew, "offset" => offset);
+                    "leaving" => spec.is_leaving, "started_anew" => is_anew, "offset" => offset);
             }
             self.uses.metrics.count(Counted::Changes, "target");
         }
--- a/crates/gateway/src/catalog/records.rs
+++ b/crates/gateway/src/catalog/records.rs
@@ -4,6 +4,7 @@
 use std::time::Instant;
 
 use notchwharf_proto::records;
+use notchwharf_routing::balancer::Spec;
 use notchwharf_routing::belief::Answered;
 use notchwharf_routing::belief::Contact;
 use notchwharf_routing::belief::Difference;
@@ -11,7 +12,6 @@
 use notchwharf_routing::belief::Page;
 use notchwharf_routing::belief::Position;
 use notchwharf_routing::belief::Record;
-use notchwharf_routing::places::Spec;
 use notchwharf_startup::Need;
 
 use super::Catalog;
@@ -187,8 +187,8 @@
         data_centre: spec.data_centre,
         addr: spec.addr,
         slots: spec.slots,
-        leaving: spec.leaving,
-        born_unix_ms: spec.born_unix_ms,
+        leaving: spec.is_leaving,
+        born_unix_ms: spec.started_unix_ms,
         cold_left_ms: millis(spec.cold_left),
     }
 }
@@ -199,8 +199,8 @@
         data_centre: target.data_centre,
         addr: target.addr,
         slots: target.slots,
-        leaving: target.leaving,
-        born_unix_ms: target.born_unix_ms,
+        is_leaving: target.leaving,
+        started_unix_ms: target.born_unix_ms,
         cold_left: ms(target.cold_left_ms),
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -7,9 +7,9 @@
 use notchwharf_config::gateway::Settings;
 use notchwharf_config::routes::Table;
 use notchwharf_listen::Phase;
+use notchwharf_routing::balancer;
+use notchwharf_routing::balancer::Balancer;
 use notchwharf_routing::budget::Budget;
-use notchwharf_routing::places;
-use notchwharf_routing::places::Places;
 use notchwharf_startup::Need;
 use notchwharf_startup::Startup;
 use notchwharf_telemetry::gauge::Gauge;
@@ -72,7 +72,7 @@
     pub(crate) store: Store,
     pub(crate) targets: Targets,
     pub(crate) decode: Decode,
-    pub(crate) places: Arc<Mutex<Places>>,
+    pub(crate) places: Arc<Mutex<Balancer>>,
     pub(crate) budget: Mutex<Budget>,
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) distributor: Arc<Distributor>,
@@ -102,11 +102,11 @@
         let incarnation = unix_ms();
         let metrics = Arc::new(Metrics::default());
         let store = Store::new(ports.store, Arc::clone(&metrics), logger.clone());
-        let cfg = places::Config {
+        let cfg = balancer::Config {
             reserve: settings.batch.reserve,
-            ..places::Config::default()
+            ..balancer::Config::default()
         };
-        let places = Arc::new(Mutex::new(Places::new(cfg, rand::random())));
+        let places = Arc::new(Mutex::new(Balancer::new(cfg, rand::random())));
         let routes = watch::Sender::new(None);
         let wait = ms(settings.online.start_wait_ms);
         let startup = Arc::new(Startup::new(wait, logger.clone()));
@@ -208,7 +208,7 @@
     }
 
     /// Returns what all hosts run at a target, as far as known.
-    pub fn load_of(&self, target: &str) -> places::Load {
+    pub fn load_of(&self, target: &str) -> balancer::Load {
         lock(&self.places).load(target)
     }
 
@@ -216,7 +216,7 @@
     pub fn is_leaving(&self, target: &str) -> bool {
         lock(&self.places)
             .spec(target)
-            .is_some_and(|spec| spec.leaving)
+            .is_some_and(|spec| spec.is_leaving)
     }
 
     /// Returns whether this host reads the store's log itself rather than following
--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -22,12 +22,12 @@
 use notchwharf_ledger::rendezvous::hash;
 use notchwharf_listen::Phase;
 use notchwharf_quarantine::gate::Trial;
+use notchwharf_routing::balancer::Criteria;
+use notchwharf_routing::balancer::TargetId;
+use notchwharf_routing::items::estimate::Estimators;
+use notchwharf_routing::items::peer_queues::PeerQueues;
+use notchwharf_routing::items::peer_queues::QueuedItems;
 use notchwharf_routing::items::queue;
-use notchwharf_routing::items::turn::Line;
-use notchwharf_routing::items::turn::Waiting;
-use notchwharf_routing::items::usual::Kinds;
-use notchwharf_routing::places::TargetId;
-use notchwharf_routing::places::Want;
 use notchwharf_startup::Need;
 use notchwharf_telemetry::gauge::Gauge;
 use tokio::sync::Notify;
@@ -72,9 +72,9 @@
     running: Mutex<Registry>,
     wake: Notify,
     /// Items that wait at other hosts.
-    line: Mutex<Line>,
+    line: Mutex<PeerQueues>,
     /// How long items usually take, by route.
-    usual: Mutex<Kinds>,
+    usual: Mutex<Estimators>,
     /// Runs of items that are under way.
     runs: Gauge,
     /// Whether the items of a host that leaves may be run elsewhere.
@@ -97,7 +97,7 @@
 
     /// Returns which items wait here for others to leave them places; none of a
     /// host that starts no more.
-    pub(crate) fn waiting(&self) -> Vec<Waiting> {
+    pub(crate) fn waiting(&self) -> Vec<QueuedItems> {
         if self.is_handed_over() {
             return Vec::new();
         }
@@ -105,13 +105,13 @@
     }
 
     /// Takes in which items wait at a peer; returns whether that is news.
-    pub(crate) fn peer_waits(&self, host: &str, waiting: Vec<Waiting>) -> bool {
-        lock(&self.line).tell(host, waiting, Instant::now())
+    pub(crate) fn peer_waits(&self, host: &str, waiting: Vec<QueuedItems>) -> bool {
+        lock(&self.line).update(host, waiting, Instant::now())
     }
 
     /// Forgets what waits at a peer that is down.
     pub(crate) fn peer_down(&self, host: &str) {
-        lock(&self.line).forget(host);
+        lock(&self.line).remove(host);
     }
 
     /// Lets the host look whether an item can start.
@@ -214,7 +214,7 @@
 
 /// Cuts an item at each target that has more than it can run.
 fn relieve(ctx: &Arc<Context>) {
-    let overfull = lock(&ctx.places).overfull(ctx.host());
+    let overfull = lock(&ctx.places).overcommitted(ctx.host());
     for target in overfull {
         if ctx.items.cut_one(&target) {
             ctx.metrics.count(Counted::Items, "cut, target overfull");
@@ -224,7 +224,7 @@
 
 /// Shows how full the targets are and which items come too late.
 fn gauge(ctx: &Context) {
-    let (taken, all) = lock(&ctx.places).in_use();
+    let (taken, all) = lock(&ctx.places).slot_usage();
     ctx.metrics.set("places_taken", taken as usize);
     ctx.metrics.set("places", all as usize);
     let late = lock(&ctx.items.backlog).late();
@@ -282,7 +282,7 @@
 /// An item that is about to run.
 struct Start {
     item: Item,
-    place: queue::Next,
+    place: queue::Deadline,
     route: Arc<Route>,
     target: TargetId,
     /// Its run, if it is a suspect.
@@ -307,11 +307,11 @@
         return Some(Next::GiveUp(item, Reason::Expired));
     }
     let service = route.service(hash(&item.forward.id))?;
-    let ahead = lock(&ctx.items.line).ahead(place.turn_unix_ms());
+    let ahead = lock(&ctx.items.line).ahead(place.sort_key_unix_ms());
     ctx.metrics.set("items_ahead", ahead.items as usize);
     let mut places = lock(&ctx.places);
     let has_failed_everywhere = places.ids().all(|id| item.failed_at.contains(id));
-    let want = Want {
+    let want = Criteria {
         service,
         data_centre: &ctx.settings.host.data_centre,
         affinity: 0,
@@ -343,7 +343,7 @@
 }
 
 /// Returns whether an item that starts now ends after its job's objective.
-fn is_late(table: &Table, item: &Item, usual: &Kinds) -> bool {
+fn is_late(table: &Table, item: &Item, usual: &Estimators) -> bool {
     let path = item.forward.path.split('?').next().unwrap_or_default();
     let objective = table.find(&item.host, path).map(|r| r.jobs.objective);
     let Some(objective) = objective.filter(|o| !o.is_zero()) else {
@@ -353,6 +353,6 @@
     // read the job, and the time of day may have been set back.
     let by_day = Duration::from_millis(unix_ms().saturating_sub(item.submitted_unix_ms));
     let age = item.known_since.elapsed().max(by_day);
-    let rest = usual.rest(&item.route, item.size, item.events());
+    let rest = usual.remaining(&item.route, item.size, item.events());
     age + rest.unwrap_or_default() > objective
 }
--- a/crates/gateway/src/items/registry.rs
+++ b/crates/gateway/src/items/registry.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use notchwharf_routing::items::queue::Next;
-use notchwharf_routing::items::spare::Spare;
-use notchwharf_routing::places::TargetId;
+use notchwharf_routing::balancer::TargetId;
+use notchwharf_routing::items::preemption::Rank;
+use notchwharf_routing::items::queue::Deadline;
 use tokio::sync::oneshot;
 
 use crate::backlog::Item;
@@ -23,7 +23,7 @@
 pub(super) struct Entry {
     number: u64,
     key: ItemKey,
-    spare: Spare,
+    spare: Rank,
     _running: Running,
     _cancel: oneshot::Sender<()>,
 }
@@ -45,7 +45,7 @@
         &mut self,
         target: &TargetId,
         item: &Item,
-        place: Next,
+        place: Deadline,
         running: Running,
     ) -> Ticket {
         let (cancel, cancelled) = oneshot::channel();
@@ -54,7 +54,7 @@
         let entry = Entry {
             number,
             key: item.key.clone(),
-            spare: Spare {
+            spare: Rank {
                 is_late: place.is_late,
                 due_unix_ms: place.due_unix_ms,
                 run: number,
--- a/crates/gateway/src/items/run.rs
+++ b/crates/gateway/src/items/run.rs
@@ -9,7 +9,7 @@
 use notchwharf_config::routes::Route;
 use notchwharf_ledger::jobs::Reason;
 use notchwharf_quarantine::gate::Trial;
-use notchwharf_routing::places::TargetId;
+use notchwharf_routing::balancer::TargetId;
 
 use super::registry::Ticket;
 use super::settle;
@@ -85,12 +85,14 @@
         "fingerprint" => fingerprint.map(fingerprint::text));
     note(&ctx, &target, ended);
     let events = item.events().saturating_sub(count(had));
-    lock(&ctx.items.usual).of_mut(&item.route).ran(events, took);
+    lock(&ctx.items.usual)
+        .kind_mut(&item.route)
+        .record_run(events, took);
     match ended {
         Ended::Whole => {
             lock(&ctx.items.usual)
-                .of_mut(&item.route)
-                .ended(item.size, item.events());
+                .kind_mut(&item.route)
+                .record_completion(item.size, item.events());
             quarantine::ended_well(&ctx, || item.fingerprint(&ctx.decode));
             settle::is_ending(&ctx, &item);
             drop(under_way);
@@ -159,11 +161,13 @@
     let now = Instant::now();
     let mut places = lock(&ctx.places);
     match ended {
-        Ended::Whole | Ended::Impossible => places.answered(target, None),
-        Ended::Failed => places.failed_item(target, now),
-        Ended::NotRun(NoReply::Full) => places.refused(target, now),
+        Ended::Whole | Ended::Impossible => places.record_success(target, None),
+        Ended::Failed => places.record_item_failure(target, now),
+        Ended::NotRun(NoReply::Full) => places.record_rejection(target, now),
         Ended::NotRun(NoReply::Rejected(_)) | Ended::Cut => {}
-        Ended::NotRun(_) | Ended::BrokeOff(_) | Ended::Broken(_) => places.failed(target, now),
+        Ended::NotRun(_) | Ended::BrokeOff(_) | Ended::Broken(_) => {
+            places.record_connection_failure(target, now)
+        }
     }
 }
 
--- a/crates/gateway/src/online/flow.rs
+++ b/crates/gateway/src/online/flow.rs
@@ -177,7 +177,7 @@
         if self.sending.trace.first_event().is_none() && !bytes.is_empty() {
             let took = begun.sent.elapsed();
             self.sending.trace.note_first_event(took);
-            lock(&self.sending.ctx.places).answered(begun.running.target(), Some(took));
+            lock(&self.sending.ctx.places).record_success(begun.running.target(), Some(took));
         }
         let Some(events) = &mut self.events else {
             self.note_end(&bytes);
@@ -232,13 +232,13 @@
             }
             let mut places = lock(&self.sending.ctx.places);
             if status.is_server_error() {
-                places.failed_request(begun.running.target(), Instant::now());
+                places.record_request_failure(begun.running.target(), Instant::now());
             } else {
-                places.answered(begun.running.target(), None);
-                places.lasted(&self.sending.service, begun.sent.elapsed());
+                places.record_success(begun.running.target(), None);
+                places.record_duration(&self.sending.service, begun.sent.elapsed());
             }
         }
-        lock(&self.sending.ctx.budget).earn();
+        lock(&self.sending.ctx.budget).deposit();
         self.sending.trace.whole();
     }
 
@@ -267,7 +267,7 @@
         self.sending
             .trace
             .broke_off(&target, reason, self.last_event, fingerprint);
-        lock(&self.sending.ctx.places).failed(&target, Instant::now());
+        lock(&self.sending.ctx.places).record_connection_failure(&target, Instant::now());
         if may_have_crashed {
             let ran = begun.elapsed();
             self.sending.broke_off(&target, addr, ran, Some(sent)).await;
--- a/crates/gateway/src/online/placing.rs
+++ b/crates/gateway/src/online/placing.rs
@@ -3,12 +3,12 @@
 
 use std::time::Instant;
 
-use notchwharf_routing::items::turn::Ahead;
-use notchwharf_routing::places::Choice;
-use notchwharf_routing::places::Refusal;
-use notchwharf_routing::places::Room;
-use notchwharf_routing::places::Want;
-use notchwharf_routing::places::key_of;
+use notchwharf_routing::balancer::Choice;
+use notchwharf_routing::balancer::Criteria;
+use notchwharf_routing::balancer::Refusal;
+use notchwharf_routing::balancer::SlotSource;
+use notchwharf_routing::balancer::key_of;
+use notchwharf_routing::items::peer_queues::Ahead;
 
 use super::sending::LEFT_MIN;
 use super::sending::Sending;
@@ -68,7 +68,7 @@
     }
 
     fn choose(&mut self, offers: u32, now: Instant) -> Result<Choice, Failure> {
-        let want = Want {
+        let want = Criteria {
             service: &self.service,
             data_centre: &self.ctx.settings.host.data_centre,
             affinity: self.affinity,
@@ -89,12 +89,12 @@
     /// Cuts the item whose place the request takes, if there is one.
     pub(super) fn make_room(&mut self, choice: &Choice) {
         self.trace.chose(choice);
-        match &choice.room {
-            Room::CutOwn => {
+        match &choice.slot_source {
+            SlotSource::PreemptOwn => {
                 self.ctx.items.cut_one(&choice.target);
             }
-            Room::CutPeer(host) => self.ctx.peers.ask_cut(host, key_of(&choice.target)),
-            Room::Free | Room::Queue => {}
+            SlotSource::PreemptPeer(host) => self.ctx.peers.ask_cut(host, key_of(&choice.target)),
+            SlotSource::Free | SlotSource::Queue => {}
         }
     }
 }
--- a/crates/gateway/src/online/sending.rs
+++ b/crates/gateway/src/online/sending.rs
@@ -10,9 +10,9 @@
 use notchwharf_ledger::rendezvous::hash;
 use notchwharf_quarantine::gate::KeptBack;
 use notchwharf_quarantine::gate::Trial;
+use notchwharf_routing::balancer::Choice;
+use notchwharf_routing::balancer::TargetId;
 use notchwharf_routing::fingerprint::Fingerprint;
-use notchwharf_routing::places::Choice;
-use notchwharf_routing::places::TargetId;
 use notchwharf_startup::Need;
 
 use super::Answer;
@@ -310,11 +310,13 @@
         self.trace.offer_failed(target, err, fingerprint);
         let mut places = lock(&self.ctx.places);
         match err {
-            NoReply::Full => places.refused(target, now),
-            NoReply::NotSent(_) | NoReply::OtherTarget => places.failed(target, now),
+            NoReply::Full => places.record_rejection(target, now),
+            NoReply::NotSent(_) | NoReply::OtherTarget => {
+                places.record_connection_failure(target, now)
+            }
             NoReply::Unknown(TIMED_OUT) => {}
-            NoReply::Unknown(TARGET_FAILED) => places.failed_request(target, now),
-            NoReply::Broken | NoReply::Unknown(_) => places.failed(target, now),
+            NoReply::Unknown(TARGET_FAILED) => places.record_request_failure(target, now),
+            NoReply::Broken | NoReply::Unknown(_) => places.record_connection_failure(target, now),
             NoReply::Rejected(_) => {}
         }
     }
@@ -334,7 +336,7 @@
         if self.runs >= self.route.attempts_max || offers >= OFFERS_MAX {
             return Err(self.given_up(err.reason()));
         }
-        if !lock(&self.ctx.budget).spend() {
+        if !lock(&self.ctx.budget).withdraw() {
             return Err(self.given_up("too many retries"));
         }
         Ok(())
--- a/crates/gateway/src/online/trace.rs
+++ b/crates/gateway/src/online/trace.rs
@@ -10,10 +10,10 @@
 use hyper::StatusCode;
 use notchwharf_config::access::WorkspaceName;
 use notchwharf_config::routes::Route;
+use notchwharf_routing::balancer::Choice;
+use notchwharf_routing::balancer::SlotSource;
+use notchwharf_routing::balancer::TargetId;
 use notchwharf_routing::fingerprint::Fingerprint;
-use notchwharf_routing::places::Choice;
-use notchwharf_routing::places::Room;
-use notchwharf_routing::places::TargetId;
 
 use super::Request;
 use crate::RequestId;
@@ -94,11 +94,11 @@
         let load = lock(&told.ctx.places).load(&choice.target);
         told.load = load.total().saturating_sub(1);
         told.target = Some(choice.target.clone());
-        told.room = match choice.room {
-            Room::Free => "free",
-            Room::CutOwn => "own item cut",
-            Room::CutPeer(_) => "peer's item cut",
-            Room::Queue => "queue",
+        told.room = match choice.slot_source {
+            SlotSource::Free => "free",
+            SlotSource::PreemptOwn => "own item cut",
+            SlotSource::PreemptPeer(_) => "peer's item cut",
+            SlotSource::Queue => "queue",
         };
     }
 
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -24,9 +24,9 @@
 use notchwharf_proto::news;
 use notchwharf_proto::news::CellStatus;
 use notchwharf_proto::news::News;
+use notchwharf_routing::balancer::HostId;
 use notchwharf_routing::cells::Cells;
 use notchwharf_routing::cells::Division;
-use notchwharf_routing::places::HostId;
 use rand::seq::IteratorRandom as _;
 
 use super::Peer;
@@ -152,7 +152,7 @@
     slog::info!(ctx.logger, "fleet divided"; "cells" => count, "own_cell" => own_cell);
     ctx.metrics.set("cells", count);
     ctx.metrics.count(Counted::Changes, "cells");
-    lock(&ctx.places).forget_cells();
+    lock(&ctx.places).clear_cells();
     let mut outside = Vec::new();
     for (host, peer) in lock(&ctx.peers.known).iter_mut() {
         if !is_together(ctx, cells, host, peer) {
@@ -161,7 +161,7 @@
         }
     }
     for host in outside {
-        lock(&ctx.places).peer_down(&host);
+        lock(&ctx.places).remove_peer(&host);
         ctx.items.peer_down(&host);
     }
 }
@@ -219,7 +219,7 @@
     if cells.is_divided() && !cells.are_together(own, from) {
         let cell = cells.of(from);
         let loads = told.loads.iter().map(status::load).collect();
-        lock(&ctx.places).cell_runs(&cell, loads, now);
+        lock(&ctx.places).set_cell_loads(&cell, loads, now);
         lock(&ctx.peers.neighbours.heard).insert(cell, now);
     }
     ctx.journal.told(told.jobs);
@@ -254,7 +254,7 @@
 
 fn cell_status(ctx: &Context) -> CellStatus {
     let versions = ctx.catalog.versions();
-    let sum = lock(&ctx.places).sum();
+    let sum = lock(&ctx.places).total_loads();
     let loads = sum.into_iter().map(|(target, load)| news::Load {
         target,
         online: load.online,
@@ -303,7 +303,7 @@
     let neighbours = &ctx.peers.neighbours;
     let cells: Vec<String> = lock(&neighbours.heard).keys().cloned().collect();
     for cell in cells {
-        if neighbours.is_silent(&cell) && lock(&ctx.places).cell_down(&cell) {
+        if neighbours.is_silent(&cell) && lock(&ctx.places).remove_cell(&cell) {
             slog::warn!(ctx.logger, "cell down"; "cell" => cell);
             ctx.metrics.count(Counted::Changes, "cell down");
         }
--- a/crates/gateway/src/peers/contact.rs
+++ b/crates/gateway/src/peers/contact.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use notchwharf_listen::Phase;
-use notchwharf_routing::places::HostId;
+use notchwharf_routing::balancer::HostId;
 use rand::seq::IteratorRandom as _;
 use serde::Deserialize;
 use serde::Serialize;
--- a/crates/gateway/src/peers/host_log.rs
+++ b/crates/gateway/src/peers/host_log.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use notchwharf_proto::records::Hosts;
-use notchwharf_routing::places::HostId;
+use notchwharf_routing::balancer::HostId;
 use notchwharf_spread::changes::Changes;
 
 use crate::ports::Stored;
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use notchwharf_listen::Phase;
 use notchwharf_proto::records::Hosts;
-use notchwharf_routing::places::HostId;
+use notchwharf_routing::balancer::HostId;
 use serde::Deserialize;
 use serde::Serialize;
 
--- a/crates/gateway/src/peers/loading.rs
+++ b/crates/gateway/src/peers/loading.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use notchwharf_ledger::jobs::Snapshot;
 use notchwharf_ledger::rendezvous;
-use notchwharf_routing::places::HostId;
+use notchwharf_routing::balancer::HostId;
 use notchwharf_spread::tree;
 use notchwharf_telemetry::gauge::Gauge;
 use rand::RngExt as _;
--- a/crates/gateway/src/peers/receivers.rs
+++ b/crates/gateway/src/peers/receivers.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
+use notchwharf_routing::balancer::HostId;
 use notchwharf_routing::cells::Cells;
-use notchwharf_routing::places::HostId;
 use notchwharf_routing::telling;
 use notchwharf_routing::telling::Due;
 use notchwharf_routing::telling::Own;
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -14,7 +14,7 @@
 use notchwharf_proto::news;
 use notchwharf_proto::news::News;
 use notchwharf_proto::news::Status;
-use notchwharf_routing::places::HostId;
+use notchwharf_routing::balancer::HostId;
 use notchwharf_routing::telling::PASSING_GAP;
 use tokio::net::UdpSocket;
 
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -12,9 +12,9 @@
 use notchwharf_proto::news::Cut;
 use notchwharf_proto::news::News;
 use notchwharf_proto::news::Status;
-use notchwharf_routing::items::turn::Waiting;
-use notchwharf_routing::places::Load;
-use notchwharf_routing::places::TargetKey;
+use notchwharf_routing::balancer::Load;
+use notchwharf_routing::balancer::TargetKey;
+use notchwharf_routing::items::peer_queues::QueuedItems;
 use notchwharf_routing::telling::Due;
 use notchwharf_routing::telling::Pace;
 use notchwharf_routing::telling::Schedule;
@@ -46,7 +46,7 @@
     let versions = ctx.catalog.versions();
     let (loads, failing) = {
         let places = lock(&ctx.places);
-        let loads = places.own().map(|(target, load)| news::Load {
+        let loads = places.own_loads().map(|(target, load)| news::Load {
             target,
             online: load.online,
             batch: load.batch,
@@ -126,7 +126,7 @@
     if !due.near || !ctx.waiting.is_on() {
         return Vec::new();
     }
-    let now = lock(&ctx.places).own_elsewhere(&ctx.settings.host.data_centre);
+    let now = lock(&ctx.places).own_remote_loads(&ctx.settings.host.data_centre);
     let mut told = lock(&ctx.peers.told_elsewhere);
     let all = now.keys().chain(told.keys());
     let changed: BTreeSet<&DataCentreId> = all
@@ -205,7 +205,7 @@
     let incarnation = status.incarnation;
     let jobs = status.jobs;
     let loads: Vec<(TargetKey, Load)> = status.loads.iter().map(load).collect();
-    let waiting: Vec<Waiting> = status.waiting.iter().map(waiting).collect();
+    let waiting: Vec<QueuedItems> = status.waiting.iter().map(waiting).collect();
     let failing = status.failing.clone();
     let Some(heard) = note_status(ctx, addr, status, ctx.catalog.is_behind(theirs)) else {
         return;
@@ -216,7 +216,7 @@
     // A target may fail callers of one data centre only.
     let failing = if heard.is_near { failing } else { vec![] };
     let waits = ctx.items.peer_waits(&host, waiting);
-    let runs = lock(&ctx.places).peer_runs(&host, loads, failing, Instant::now());
+    let runs = lock(&ctx.places).set_peer_loads(&host, loads, failing, Instant::now());
     ctx.journal.told(jobs);
     if waits || runs {
         ctx.items.wake();
@@ -271,8 +271,8 @@
     (told.target, load)
 }
 
-fn waiting(told: &news::Waiting) -> Waiting {
-    Waiting {
+fn waiting(told: &news::Waiting) -> QueuedItems {
+    QueuedItems {
         due_unix_ms: told.due_unix_ms,
         items: told.items,
     }
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -22,7 +22,7 @@
 use notchwharf_quarantine::news::decode;
 use notchwharf_quarantine::news::encode;
 use notchwharf_quarantine::news::tell_changes;
-use notchwharf_routing::places::HostId;
+use notchwharf_routing::balancer::HostId;
 use notchwharf_routing::quarantine::Told;
 use notchwharf_startup::Need;
 use rand::seq::IteratorRandom as _;
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -19,9 +19,9 @@
 use notchwharf_config::access::NoKey;
 use notchwharf_config::access::WorkspaceName;
 use notchwharf_config::routes::Table;
-use notchwharf_routing::items::usual::Size;
-use notchwharf_routing::places::Spec;
-use notchwharf_routing::places::TargetId;
+use notchwharf_routing::balancer::Spec;
+use notchwharf_routing::balancer::TargetId;
+use notchwharf_routing::items::estimate::Size;
 
 use crate::RequestId;
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -23,8 +23,8 @@
 use notchwharf_quarantine::gate::Gate;
 use notchwharf_quarantine::gate::KeptBack;
 use notchwharf_quarantine::gate::Trial;
+use notchwharf_routing::balancer::HostId;
 use notchwharf_routing::fingerprint::Fingerprint;
-use notchwharf_routing::places::HostId;
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Told;
 
--- a/crates/gateway/src/quarantine/look.rs
+++ b/crates/gateway/src/quarantine/look.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use notchwharf_routing::balancer::TargetId;
 use notchwharf_routing::fingerprint::Fingerprint;
-use notchwharf_routing::places::TargetId;
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Crash;
 use notchwharf_routing::quarantine::LifeId;
@@ -137,6 +137,6 @@
 /// start again under its name.
 fn life_of(ctx: &Context, target: &str) -> LifeId {
     let places = lock(&ctx.places);
-    let born = places.spec(target).and_then(|spec| spec.born_unix_ms);
+    let born = places.spec(target).and_then(|spec| spec.started_unix_ms);
     xxh3_64(format!("{target}/{}", born.unwrap_or_default()).as_bytes())
 }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -22,7 +22,7 @@
 use notchwharf_proto::news::News;
 use notchwharf_proto::records;
 use notchwharf_proto::records::Announcement;
-use notchwharf_routing::places::HostId;
+use notchwharf_routing::balancer::HostId;
 use notchwharf_spread::delay::DelayEstimator;
 use notchwharf_spread::readers;
 use notchwharf_spread::readers::Timeouts;
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use notchwharf_config::access::WorkspaceName;
-use notchwharf_routing::places::TargetId;
-use notchwharf_routing::places::key_of;
+use notchwharf_routing::balancer::TargetId;
+use notchwharf_routing::balancer::key_of;
 
 use crate::context::Context;
 use crate::sync::lock;
@@ -38,7 +38,7 @@
                 Class::Online => places.begin_online(target, Instant::now()),
                 Class::Batch => places.begin_batch(target),
             }
-            places.is_scarce(target)
+            places.has_scarce_slots(target)
         };
         ctx.peers.tell_load(is_scarce);
         Self {
@@ -77,7 +77,7 @@
     fn drop(&mut self) {
         let was_scarce = {
             let mut places = lock(&self.ctx.places);
-            let was_scarce = places.is_scarce(&self.target);
+            let was_scarce = places.has_scarce_slots(&self.target);
             match self.class {
                 Class::Online => places.end_online(&self.target),
                 Class::Batch => places.end_batch(&self.target),
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -23,9 +23,9 @@
 
 use notchwharf_config::DataCentreId;
 use notchwharf_listen::Phase;
-use notchwharf_routing::places::Choice;
-use notchwharf_routing::places::Places;
-use notchwharf_routing::places::TargetKey;
+use notchwharf_routing::balancer::Balancer;
+use notchwharf_routing::balancer::Choice;
+use notchwharf_routing::balancer::TargetKey;
 use notchwharf_waiting::Begin;
 use notchwharf_waiting::Expected;
 use notchwharf_waiting::Line;
@@ -59,7 +59,7 @@
 
 /// What the line takes of its host.
 pub(crate) struct Uses {
-    pub(crate) places: Arc<Mutex<Places>>,
+    pub(crate) places: Arc<Mutex<Balancer>>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) logger: slog::Logger,
     pub(crate) data_centre: String,
@@ -180,7 +180,7 @@
         if !places.has_untried(&want) {
             return Err(Refused::NoTarget);
         }
-        let pace = places.pace(&wanted.service);
+        let pace = places.typical_first_event_time(&wanted.service);
         drop(places);
         let request = Request {
             service: key(&wanted.service),
@@ -217,9 +217,9 @@
             };
             let want = entry.wanted.want(&self.uses.data_centre);
             let mut places = lock(&self.uses.places);
-            let drain = places.drain(&want, now);
-            let open: Vec<Open> = drain.open.iter().copied().map(open).collect();
-            let per_s = drain.per_s.unwrap_or_default();
+            let drain = places.availability(&want, now);
+            let open: Vec<Open> = drain.free.iter().copied().map(open).collect();
+            let per_s = drain.releases_per_s.unwrap_or_default();
             let begin = state.line.may_begin(&first, &open, per_s, now);
             let spoken_for = |target, data_centre: &str| {
                 let is_short = state.is_short(data_centre, now);
@@ -233,10 +233,10 @@
                 Begin::Any => places.choose_free(&want, spoken_for, now),
                 Begin::At(target) => {
                     let id = places.id_of(target);
-                    id.and_then(|id| places.choose_handed(&want, id, now))
+                    id.and_then(|id| places.choose_transferred(&want, id, now))
                 }
                 // Elsewhere there may be more than enough.
-                Begin::Wait if drain.has_near => {
+                Begin::Wait if drain.has_local => {
                     let spoken_for = |target, data_centre: &str| {
                         let is_near = data_centre == self.uses.data_centre;
                         if is_near {
@@ -261,7 +261,7 @@
         state: &mut State,
         ticket: Ticket,
         choice: Choice,
-        mut places: MutexGuard<'_, Places>,
+        mut places: MutexGuard<'_, Balancer>,
         now: Instant,
     ) {
         places.begin_online(&choice.target, now);
@@ -282,9 +282,9 @@
             return;
         };
         let want = entry.wanted.want(&self.uses.data_centre);
-        let drain = lock(&self.uses.places).drain(&want, now);
+        let drain = lock(&self.uses.places).availability(&want, now);
         // Nobody has seen a request end yet: then time alone tells.
-        let per_s = drain.per_s.unwrap_or(f64::INFINITY);
+        let per_s = drain.releases_per_s.unwrap_or(f64::INFINITY);
         let expected = state.line.expect(service, per_s, &state.shares, now);
         let hosts = self.hosts.load(Ordering::Relaxed);
         for late in expected.into_iter().filter(|expected| expected.is_late) {
--- a/crates/gateway/src/waiting/handing.rs
+++ b/crates/gateway/src/waiting/handing.rs
@@ -2,10 +2,10 @@
 
 use std::time::Instant;
 
-use notchwharf_routing::places::HostId;
-use notchwharf_routing::places::TargetId;
-use notchwharf_routing::places::TargetKey;
-use notchwharf_routing::places::key_of;
+use notchwharf_routing::balancer::HostId;
+use notchwharf_routing::balancer::TargetId;
+use notchwharf_routing::balancer::TargetKey;
+use notchwharf_routing::balancer::key_of;
 use notchwharf_waiting::First;
 use notchwharf_waiting::Next;
 use notchwharf_waiting::key;
@@ -26,7 +26,7 @@
         }
         let service = {
             let places = lock(&self.uses.places);
-            if !places.may_hand(target, &self.uses.data_centre, now) {
+            if !places.can_transfer(target, &self.uses.data_centre, now) {
                 return None;
             }
             key(&places.spec(target)?.service)
@@ -72,7 +72,7 @@
         };
         let want = entry.wanted.want(&self.uses.data_centre);
         let places = lock(&self.uses.places);
-        if let Some(choice) = places.choose_handed(&want, target, now) {
+        if let Some(choice) = places.choose_transferred(&want, target, now) {
             self.begin_at(state, first.ticket, choice, places, now);
         }
     }
--- a/crates/gateway/src/waiting/place.rs
+++ b/crates/gateway/src/waiting/place.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::sync::Mutex;
 
-use notchwharf_routing::places::Choice;
-use notchwharf_routing::places::Places;
-use notchwharf_routing::places::TargetId;
+use notchwharf_routing::balancer::Balancer;
+use notchwharf_routing::balancer::Choice;
+use notchwharf_routing::balancer::TargetId;
 use tokio::sync::Notify;
 
 use crate::sync::lock;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(crate) struct Place {
     pub(crate) choice: Choice,
-    pub(super) places: Arc<Mutex<Places>>,
+    pub(super) places: Arc<Mutex<Balancer>>,
     pub(super) changed: Arc<Notify>,
     pub(super) is_taken: bool,
 }
--- a/crates/gateway/src/waiting/wanted.rs
+++ b/crates/gateway/src/waiting/wanted.rs
@@ -5,9 +5,9 @@
 
 use notchwharf_config::access::WorkspaceName;
 use notchwharf_config::routes::ServiceName;
-use notchwharf_routing::items::turn::Ahead;
-use notchwharf_routing::places::TargetId;
-use notchwharf_routing::places::Want;
+use notchwharf_routing::balancer::Criteria;
+use notchwharf_routing::balancer::TargetId;
+use notchwharf_routing::items::peer_queues::Ahead;
 
 use crate::RequestId;
 
@@ -37,8 +37,8 @@
 }
 
 impl Wanted {
-    pub(super) fn want<'a>(&'a self, data_centre: &'a str) -> Want<'a> {
-        Want {
+    pub(super) fn want<'a>(&'a self, data_centre: &'a str) -> Criteria<'a> {
+        Criteria {
             service: &self.service,
             data_centre,
             affinity: self.affinity,
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -13,7 +13,7 @@
 use notchwharf_proto::news::Load;
 use notchwharf_proto::news::News;
 use notchwharf_proto::news::Status;
-use notchwharf_routing::places::key_of;
+use notchwharf_routing::balancer::key_of;
 use rstest::rstest;
 use tokio::net::UdpSocket;
 use world::Running;
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -48,8 +48,8 @@
 use notchwharf_gateway::ports::Ports;
 use notchwharf_gateway::ports::Unreadable;
 use notchwharf_ledger::jobs::ItemSpec;
-use notchwharf_routing::items::usual::Size;
-use notchwharf_routing::places::Spec;
+use notchwharf_routing::balancer::Spec;
+use notchwharf_routing::items::estimate::Size;
 
 pub use self::ports::free_addr;
 use self::store::ScriptedStore;
@@ -434,7 +434,7 @@
         data_centre: data_centre.into(),
         slots: 2,
         cold_left,
-        leaving: state == "leaving",
+        is_leaving: state == "leaving",
         ..Spec::default()
     };
     Ok(Spec {
--- a/crates/loadplay/src/host.rs
+++ b/crates/loadplay/src/host.rs
@@ -2,18 +2,18 @@
 
 use std::time::Instant;
 
+use notchwharf_routing::balancer::Balancer;
+use notchwharf_routing::balancer::Criteria;
+use notchwharf_routing::balancer::Load;
+use notchwharf_routing::balancer::TargetKey;
+use notchwharf_routing::items::estimate::Estimator;
+use notchwharf_routing::items::estimate::Size;
+use notchwharf_routing::items::peer_queues::Ahead;
+use notchwharf_routing::items::peer_queues::DUE_TIMES_MAX;
+use notchwharf_routing::items::peer_queues::PeerQueues;
+use notchwharf_routing::items::peer_queues::QueuedItems;
+use notchwharf_routing::items::preemption::Rank;
 use notchwharf_routing::items::queue::Queue;
-use notchwharf_routing::items::spare::Spare;
-use notchwharf_routing::items::turn::Ahead;
-use notchwharf_routing::items::turn::Line;
-use notchwharf_routing::items::turn::TOLD_MAX;
-use notchwharf_routing::items::turn::Waiting;
-use notchwharf_routing::items::usual::Size;
-use notchwharf_routing::items::usual::Usual;
-use notchwharf_routing::places::Load;
-use notchwharf_routing::places::Places;
-use notchwharf_routing::places::TargetKey;
-use notchwharf_routing::places::Want;
 
 use crate::policy::Policy;
 use crate::target::RunId;
@@ -37,7 +37,7 @@
     pub(crate) target: usize,
     pub(crate) item: Item,
     pub(crate) started_ms: u64,
-    spare: Spare,
+    spare: Rank,
 }
 
 /// What a host tells others.
@@ -45,16 +45,16 @@
 pub(crate) struct Status {
     pub(crate) host: usize,
     pub(crate) loads: Vec<(TargetKey, Load)>,
-    pub(crate) waiting: Vec<Waiting>,
+    pub(crate) waiting: Vec<QueuedItems>,
 }
 
 /// A host.
 #[derive(Debug)]
 pub(crate) struct Host {
-    pub(crate) places: Places,
+    pub(crate) places: Balancer,
     pub(crate) queue: Queue<usize, Item>,
-    pub(crate) line: Line,
-    pub(crate) usual: Usual,
+    pub(crate) line: PeerQueues,
+    pub(crate) usual: Estimator,
     pub(crate) running: Vec<Running>,
     pub(crate) data_centre: String,
     /// When it may start the next item.
@@ -73,17 +73,17 @@
     ) -> Option<(Item, bool, String)> {
         let usual = &self.usual;
         if policy.puts_late_behind {
-            self.queue.put_late_behind(|item| {
-                let rest = usual.rest(item.size, item.events).unwrap_or_default();
+            self.queue.demote_late(|item| {
+                let rest = usual.remaining(item.size, item.events).unwrap_or_default();
                 now_ms + rest.as_millis() as u64 > item.due_ms
             });
         }
         let (next, _) = self.queue.peek()?;
         let ahead = match policy.takes_turns {
-            true => self.line.ahead(next.turn_unix_ms()),
+            true => self.line.ahead(next.sort_key_unix_ms()),
             false => Ahead::default(),
         };
-        let want = Want {
+        let want = Criteria {
             service: SERVICE,
             data_centre: &self.data_centre,
             affinity: 0,
@@ -104,7 +104,7 @@
         is_late: bool,
         now_ms: u64,
     ) {
-        let spare = Spare {
+        let spare = Rank {
             is_late,
             due_unix_ms: item.due_ms,
             run,
@@ -136,8 +136,8 @@
     pub(crate) fn status(&self, host: usize) -> Status {
         Status {
             host,
-            loads: self.places.own().collect(),
-            waiting: self.queue.waiting(TOLD_MAX),
+            loads: self.places.own_loads().collect(),
+            waiting: self.queue.summary(DUE_TIMES_MAX),
         }
     }
 
@@ -145,8 +145,8 @@
     pub(crate) fn hear(&mut self, status: &Status, now: Instant) {
         let name = name(status.host);
         self.places
-            .peer_runs(&name, status.loads.iter().copied(), vec![], now);
-        self.line.tell(&name, status.waiting.clone(), now);
+            .set_peer_loads(&name, status.loads.iter().copied(), vec![], now);
+        self.line.update(&name, status.waiting.clone(), now);
     }
 }
 
--- a/crates/loadplay/src/play.rs
+++ b/crates/loadplay/src/play.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use notchwharf_routing::balancer;
+use notchwharf_routing::balancer::Balancer;
+use notchwharf_routing::balancer::Spec;
+use notchwharf_routing::items::estimate::Estimator;
+use notchwharf_routing::items::peer_queues::PeerQueues;
 use notchwharf_routing::items::queue::Queue;
-use notchwharf_routing::items::turn::Line;
-use notchwharf_routing::items::usual::Usual;
-use notchwharf_routing::places;
-use notchwharf_routing::places::Places;
-use notchwharf_routing::places::Spec;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
@@ -88,19 +88,19 @@
         let names = (0..load.targets as usize).map(|target| (target::name(target), target));
         let mut hosts: Vec<Host> = Vec::new();
         for number in 0..load.hosts {
-            let cfg = places::Config {
+            let cfg = balancer::Config {
                 reserve: policy.reserve,
-                ..places::Config::default()
+                ..balancer::Config::default()
             };
-            let mut places = Places::new(cfg, seed ^ u64::from(number));
+            let mut places = Balancer::new(cfg, seed ^ u64::from(number));
             for target in 0..load.targets {
                 places.upsert(&target::name(target as usize), spec(load, target, false));
             }
             hosts.push(Host {
                 places,
                 queue: Queue::default(),
-                line: Line::default(),
-                usual: Usual::default(),
+                line: PeerQueues::default(),
+                usual: Estimator::default(),
                 running: Vec::new(),
                 data_centre: format!("d{}", number % load.data_centres),
                 free_at_ms: 0,
@@ -155,7 +155,8 @@
             let made = self.targets[target].stop(running.run).unwrap_or_default();
             let host = &mut self.hosts[host];
             host.places.end_batch(&target::name(target));
-            host.usual.ran(made as u64, took(&running, self.now_ms));
+            host.usual
+                .record_run(made as u64, took(&running, self.now_ms));
             host.put_back(running.item, made);
         }
     }
@@ -208,14 +209,14 @@
                 let took_ms = self.now_ms - self.out.online[seen].came_ms;
                 self.out.online[seen].first_ms = Some(took_ms);
                 let took = Duration::from_millis(took_ms);
-                self.hosts[host].places.answered(&id, Some(took));
+                self.hosts[host].places.record_success(&id, Some(took));
             }
             (Came::End(_), Owner::Online { seen, host }) => {
                 self.owners.remove(&run);
                 let took_ms = self.now_ms - self.out.online[seen].came_ms;
                 let places = &mut self.hosts[host].places;
                 places.end_online(&id);
-                places.lasted(host::SERVICE, Duration::from_millis(took_ms));
+                places.record_duration(host::SERVICE, Duration::from_millis(took_ms));
             }
             (Came::First(_), Owner::Item { .. }) => {}
             (Came::End(_), Owner::Item { host }) => {
@@ -236,8 +237,8 @@
         let whole = self.events[item.number] as u64;
         host.places.end_batch(&target::name(running.target));
         host.usual
-            .ran(whole - item.events, took(&running, self.now_ms));
-        host.usual.ended(item.size, whole);
+            .record_run(whole - item.events, took(&running, self.now_ms));
+        host.usual.record_completion(item.size, whole);
         self.out.items[item.number].done_ms = Some(self.now_ms);
     }
 
@@ -279,7 +280,7 @@
         }
         if now_ms.is_multiple_of(LOOK_MS) {
             // As the gateway's tick does.
-            for id in host.places.overfull(&host::name(number)) {
+            for id in host.places.overcommitted(&host::name(number)) {
                 self.cut(number, self.names[&id]);
             }
         }
@@ -331,7 +332,7 @@
         service: host::SERVICE.to_owned(),
         data_centre: format!("d{}", target % load.data_centres),
         slots: load.slots,
-        leaving,
+        is_leaving: leaving,
         ..Spec::default()
     }
 }
--- a/crates/loadplay/src/play/callers.rs
+++ b/crates/loadplay/src/play/callers.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use notchwharf_routing::items::turn::Ahead;
-use notchwharf_routing::items::usual::Size;
-use notchwharf_routing::places::Room;
-use notchwharf_routing::places::Want;
+use notchwharf_routing::balancer::Criteria;
+use notchwharf_routing::balancer::SlotSource;
+use notchwharf_routing::items::estimate::Size;
+use notchwharf_routing::items::peer_queues::Ahead;
 use rand::RngExt as _;
 
 use super::Owner;
@@ -59,7 +59,7 @@
                 number,
                 due_ms,
                 size: Size {
-                    answer_tokens_hint: hint as u32,
+                    output_tokens_hint: hint as u32,
                     ..Size::default()
                 },
                 events: 0,
@@ -91,7 +91,7 @@
             ..OnlineSeen::default()
         });
         let data_centre = self.hosts[host].data_centre.clone();
-        let want = Want {
+        let want = Criteria {
             service: host::SERVICE,
             data_centre: &data_centre,
             affinity: self.rng.random(),
@@ -104,13 +104,13 @@
             return;
         };
         let target = self.names[&choice.target];
-        match choice.room {
-            Room::CutOwn => self.cut(host, target),
-            Room::CutPeer(peer) => {
+        match choice.slot_source {
+            SlotSource::PreemptOwn => self.cut(host, target),
+            SlotSource::PreemptPeer(peer) => {
                 let peer = peer[1..].parse().unwrap_or_default();
                 self.cuts.push((self.now_ms + WAY_MS, peer, target));
             }
-            Room::Free | Room::Queue => {}
+            SlotSource::Free | SlotSource::Queue => {}
         }
         self.hosts[host].places.begin_online(&choice.target, now);
         let online = &self.load.online;
--- a/crates/quarantine/src/gate.rs
+++ b/crates/quarantine/src/gate.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use notchwharf_routing::balancer::HostId;
 use notchwharf_routing::fingerprint::Fingerprint;
-use notchwharf_routing::places::HostId;
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Crash;
 use notchwharf_routing::quarantine::LifeId;
--- a/crates/routing/benches/choose.rs
+++ b/crates/routing/benches/choose.rs
@@ -20,8 +20,8 @@
     let mut table = Table::new(Config::default(), 1);
     for i in 0..targets {
         let report = Report {
-            online: true,
-            holds: vec![format!("m{}", i % models)],
+            is_for_online: true,
+            models: vec![format!("m{}", i % models)],
             ..Report::default()
         };
         table.upsert(&format!("t{i}"), report, now);
--- a/crates/routing/benches/items.rs
+++ b/crates/routing/benches/items.rs
@@ -8,22 +8,22 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
+use notchwharf_routing::balancer::Balancer;
+use notchwharf_routing::balancer::Config;
+use notchwharf_routing::balancer::Criteria;
+use notchwharf_routing::balancer::Spec;
+use notchwharf_routing::items::peer_queues::DUE_TIMES_MAX;
+use notchwharf_routing::items::peer_queues::PeerQueues;
+use notchwharf_routing::items::peer_queues::QueuedItems;
 use notchwharf_routing::items::queue::Queue;
-use notchwharf_routing::items::turn::Line;
-use notchwharf_routing::items::turn::TOLD_MAX;
-use notchwharf_routing::items::turn::Waiting;
-use notchwharf_routing::places::Config;
-use notchwharf_routing::places::Places;
-use notchwharf_routing::places::Spec;
-use notchwharf_routing::places::Want;
 
 /// Items of one job.
 const JOB: u64 = 10;
 /// Other hosts, each with items that wait.
 const PEERS: u64 = 62;
 
-fn places(targets: u32) -> Places {
-    let mut places = Places::new(Config::default(), 1);
+fn places(targets: u32) -> Balancer {
+    let mut places = Balancer::new(Config::default(), 1);
     for target in 0..targets {
         let spec = Spec {
             service: "s".into(),
@@ -44,17 +44,17 @@
     queue
 }
 
-fn line(now: Instant) -> Line {
-    let mut line = Line::default();
+fn line(now: Instant) -> PeerQueues {
+    let mut line = PeerQueues::default();
     for peer in 0..PEERS {
         // Due after what waits here, so that it is this host's turn.
-        let waiting = queue(JOB * 3).waiting(TOLD_MAX).into_iter();
-        let later = waiting.map(|w| Waiting {
+        let waiting = queue(JOB * 3).summary(DUE_TIMES_MAX).into_iter();
+        let later = waiting.map(|w| QueuedItems {
             due_unix_ms: u64::MAX,
             ..w
         });
         let waiting = later.collect();
-        line.tell(&format!("h{peer}"), waiting, now);
+        line.update(&format!("h{peer}"), waiting, now);
     }
     line
 }
@@ -72,15 +72,15 @@
         let id = BenchmarkId::new(format!("{targets} targets"), items);
         group.bench_function(id, |b| {
             b.iter(|| {
-                queue.put_late_behind(|item| *item == u64::MAX);
+                queue.demote_late(|item| *item == u64::MAX);
                 let (next, _) = queue.peek()?;
-                let want = Want {
+                let want = Criteria {
                     service: "s",
                     data_centre: "d1",
                     affinity: 0,
                     tried: &[],
                     objective: None,
-                    ahead: line.ahead(next.turn_unix_ms()),
+                    ahead: line.ahead(next.sort_key_unix_ms()),
                 };
                 black_box(places.choose_batch(&want, now))
             });
@@ -97,7 +97,7 @@
     for items in [100, 1_000, 10_000] {
         let queue = queue(items);
         group.bench_function(BenchmarkId::from_parameter(items), |b| {
-            b.iter(|| black_box(queue.waiting(TOLD_MAX)));
+            b.iter(|| black_box(queue.summary(DUE_TIMES_MAX)));
         });
     }
     group.finish();
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Returns [`Shed`] if the request is not to be run.
-    pub fn enter(&mut self, tenant: &str, weight: u32) -> Result<(), Shed> {
+    pub fn admit(&mut self, tenant: &str, weight: u32) -> Result<(), Shed> {
         let shed = Shed {
             retry_after: RETRY_AFTER,
         };
@@ -82,7 +82,7 @@
     }
 
     /// Notes that a request has ended.
-    pub fn leave(&mut self, tenant: &str) {
+    pub fn release(&mut self, tenant: &str) {
         let Some(share) = self.tenants.get_mut(tenant) else {
             debug_assert!(false, "A tenant leaves only after it entered.");
             return;
--- a/crates/routing/src/places.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Places of targets, as hosts that share all targets see them.
+//! Balancer of targets, as hosts that share all targets see them.
 //!
 //! A target runs so many requests at once, its places, and queues the rest in
 //! the order of arrival. Every host counts what it runs itself and is told what
@@ -8,17 +8,17 @@
 //!
 //! ```
 //! use std::time::Instant;
-//! use notchwharf_routing::places::{Config, Places, Room, Spec, Want};
+//! use notchwharf_routing::balancer::{Config, Balancer, SlotSource, Spec, Criteria};
 //!
 //! let now = Instant::now();
-//! let mut places = Places::new(Config { reserve: 0, ..Config::default() }, 7);
+//! let mut places = Balancer::new(Config { reserve: 0, ..Config::default() }, 7);
 //! let spec = Spec { service: "s".into(), data_centre: "d".into(), slots: 1, ..Spec::default() };
 //! places.upsert("t1", spec);
-//! let want = Want { service: "s", data_centre: "d", affinity: 0, tried: &[], objective: None, ahead: Default::default() };
+//! let want = Criteria { service: "s", data_centre: "d", affinity: 0, tried: &[], objective: None, ahead: Default::default() };
 //! let item = places.choose_batch(&want, now).unwrap();
 //! places.begin_batch(&item);
 //! let choice = places.choose_online(&want, now).unwrap();
-//! assert_eq!(choice.room, Room::CutOwn);
+//! assert_eq!(choice.room, SlotSource::PreemptOwn);
 //! ```
 //!
 //! Asking targets for their load was rejected: what they report is some hundred
@@ -43,11 +43,11 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::items::turn::Ahead;
+use crate::items::peer_queues::Ahead;
 
 pub use self::counts::Load;
 use self::counts::Peer;
-pub use self::free::Drain;
+pub use self::free::Availability;
 use self::health::Health;
 
 /// The name of a target's incarnation.
@@ -74,7 +74,7 @@
 /// How places are given away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Places of each target that items leave free for online requests.
+    /// Balancer of each target that items leave free for online requests.
     pub reserve: u32,
     /// Requests that may wait in a target's queue, for each of its places,
     /// before more are refused. 3 by default: a place falls free several
@@ -103,10 +103,10 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it must get nothing new.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// The time of day at which it started, if it tells; another one under the
     /// same name means that it started anew and knows nothing of before.
-    pub born_unix_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Remaining time for which the target is cold and sustains a lower request rate.
     pub cold_left: Duration,
 }
@@ -118,8 +118,8 @@
             data_centre: String::new(),
             addr: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
             slots: 1,
-            leaving: false,
-            born_unix_ms: None,
+            is_leaving: false,
+            started_unix_ms: None,
             cold_left: Duration::ZERO,
         }
     }
@@ -127,7 +127,7 @@
 
 /// What is wanted of a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct Criteria<'a> {
     /// The service.
     pub service: &'a str,
     /// Where the host stands.
@@ -145,13 +145,13 @@
 
 /// How the request finds room.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum SlotSource {
     /// A place is free.
     Free,
     /// An item of this host is to be cut.
-    CutOwn,
+    PreemptOwn,
     /// An item of that peer is to be cut.
-    CutPeer(HostId),
+    PreemptPeer(HostId),
     /// It waits in the target's queue.
     Queue,
 }
@@ -164,7 +164,7 @@
     /// Where it answers.
     pub addr: SocketAddr,
     /// How the request finds room there.
-    pub room: Room,
+    pub slot_source: SlotSource,
 }
 
 /// Why no target was chosen; nothing was sent.
@@ -244,9 +244,9 @@
     }
 }
 
-/// Places as one host sees them.
+/// Balancer as one host sees them.
 #[derive(Debug)]
-pub struct Places {
+pub struct Balancer {
     cfg: Config,
     targets: HashMap<TargetId, Target>,
     keys: HashMap<TargetKey, TargetId>,
@@ -274,7 +274,7 @@
     xxh3_64(id.as_bytes()) as TargetKey
 }
 
-impl Places {
+impl Balancer {
     /// Returns places without targets.
     pub fn new(cfg: Config, seed: u64) -> Self {
         Self {
@@ -295,13 +295,13 @@
 
     /// Takes in what is known of a target.
     pub fn upsert(&mut self, id: &str, spec: Spec) {
-        let is_closed = spec.leaving || self.evacuated.contains(&spec.data_centre);
+        let is_closed = spec.is_leaving || self.evacuated.contains(&spec.data_centre);
         if let Some(target) = self.targets.get_mut(id) {
             target.is_closed = is_closed;
             if !self.cold_until.contains_key(id) {
                 target.slots = spec.slots;
             }
-            if target.spec.born_unix_ms != spec.born_unix_ms {
+            if target.spec.started_unix_ms != spec.started_unix_ms {
                 // How it answered, and that it was full, was before it started anew.
                 target.health = Health::default();
                 target.full_at = None;
@@ -359,14 +359,14 @@
     }
 
     /// Notes that a target could not be reached or broke off.
-    pub fn failed(&mut self, id: &str, now: Instant) {
+    pub fn record_connection_failure(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(id) {
             target.health.failed(now);
         }
     }
 
     /// Notes that a target answered that it failed an online request.
-    pub fn failed_request(&mut self, id: &str, now: Instant) {
+    pub fn record_request_failure(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(id) {
             target.health.failed_request(now);
         }
@@ -374,21 +374,21 @@
 
     /// Notes that a target answered that it failed an item, which may be the
     /// item's fault.
-    pub fn failed_item(&mut self, id: &str, now: Instant) {
+    pub fn record_item_failure(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(id) {
             target.health.failed_item(now);
         }
     }
 
     /// Notes that a target was full and ran nothing of the request.
-    pub fn refused(&mut self, id: &str, now: Instant) {
+    pub fn record_rejection(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(id) {
             target.health.refused(now);
         }
     }
 
     /// Notes how long a whole online request of a service took.
-    pub fn lasted(&mut self, service: &str, took: Duration) {
+    pub fn record_duration(&mut self, service: &str, took: Duration) {
         let took = took.as_secs_f64();
         match self.durations_s.get_mut(service) {
             Some(mean) => *mean += (took - *mean) * DURATION_WEIGHT,
@@ -400,7 +400,7 @@
 
     /// Notes that a target answered, and the time to its first event if there
     /// was nothing else in the request's way.
-    pub fn answered(&mut self, id: &str, first_event: Option<Duration>) {
+    pub fn record_success(&mut self, id: &str, first_event: Option<Duration>) {
         if let Some(target) = self.targets.get_mut(id) {
             target.health.answered(first_event);
         }
--- a/crates/routing/src/places/choice.rs
+++ b/crates/routing/src/balancer/choice.rs
@@ -10,17 +10,17 @@
 use rand::RngExt as _;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use super::Balancer;
 use super::Choice;
 use super::Config;
+use super::Criteria;
 use super::HostId;
-use super::Places;
 use super::Refusal;
-use super::Room;
+use super::SlotSource;
 use super::TURN;
 use super::Target;
 use super::TargetId;
-use super::Want;
-use crate::items::turn::Ahead;
+use crate::items::peer_queues::Ahead;
 
 /// Cost of taking the last free place: another host may take it just now.
 const LAST_PLACE_COST: f64 = 1.0;
@@ -57,13 +57,13 @@
 /// and callers that come back together are the next one, so the time is drawn.
 const RETRY_AFTER_MS: Range<u64> = 300..1_200;
 
-impl Places {
+impl Balancer {
     /// Chooses the target of an online request.
     ///
     /// # Errors
     ///
     /// Returns a refusal if no target is to be asked.
-    pub fn choose_online(&mut self, want: &Want<'_>, now: Instant) -> Result<Choice, Refusal> {
+    pub fn choose_online(&mut self, want: &Criteria<'_>, now: Instant) -> Result<Choice, Refusal> {
         let usual = self.usual(want.service);
         let all = self.are_most_ejected(want.service, now);
         let best = self
@@ -86,13 +86,13 @@
         let target = &self.targets[&id];
         Choice {
             addr: target.spec.addr,
-            room: self.room(target),
+            slot_source: self.room(target),
             target: id,
         }
     }
 
     /// Chooses the target of an item: one with places beyond the reserve.
-    pub fn choose_batch(&mut self, want: &Want<'_>, now: Instant) -> Option<TargetId> {
+    pub fn choose_batch(&mut self, want: &Criteria<'_>, now: Instant) -> Option<TargetId> {
         let all = self.are_most_ejected(want.service, now);
         let targets = self.targets_of(want.service, all, now);
         let spare = spare(targets.map(|(_, t)| t), self.cfg.reserve, now);
@@ -138,7 +138,7 @@
 
     /// Returns the targets at which this host should cut an item: there are
     /// more requests than places, and no host has more items there.
-    pub fn overfull(&self, host: &str) -> Vec<TargetId> {
+    pub fn overcommitted(&self, host: &str) -> Vec<TargetId> {
         let busy = self
             .busy
             .iter()
@@ -161,22 +161,22 @@
         is_more.then_some(most.1)
     }
 
-    fn room(&self, target: &Target) -> Room {
+    fn room(&self, target: &Target) -> SlotSource {
         if target.free() > 0 {
-            return Room::Free;
+            return SlotSource::Free;
         }
         if target.own.batch > 0 {
-            return Room::CutOwn;
+            return SlotSource::PreemptOwn;
         }
         match self.most_items(target, "") {
-            Some(host) => Room::CutPeer(host.clone()),
-            None => Room::Queue,
+            Some(host) => SlotSource::PreemptPeer(host.clone()),
+            None => SlotSource::Queue,
         }
     }
 
     pub(super) fn best(
         &self,
-        want: &Want<'_>,
+        want: &Criteria<'_>,
         now: Instant,
         with_ejected: bool,
         cost: impl Fn(&Target) -> Option<f64>,
@@ -213,8 +213,8 @@
     }
 
     /// Returns what is usual at a service's targets.
-    pub(super) fn usual(&self, service: &str) -> Usual {
-        Usual {
+    pub(super) fn usual(&self, service: &str) -> Typical {
+        Typical {
             pace: self.usual_pace(service),
             duration_s: self.durations_s.get(service).copied(),
         }
@@ -233,7 +233,9 @@
 /// Returns whether those whose turn it was have not taken the places: these have
 /// been open for some time, and none of those has started an item.
 fn is_left_over(open_since: Instant, ahead: Ahead, now: Instant) -> bool {
-    let since = ahead.moved_at.map_or(open_since, |at| at.max(open_since));
+    let since = ahead
+        .last_start_at
+        .map_or(open_since, |at| at.max(open_since));
     now.saturating_duration_since(since) >= TURN
 }
 
@@ -257,14 +259,14 @@
 
 /// What is usual at the targets of a service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Usual {
+pub(super) struct Typical {
     /// Time to a first event.
     pace: Option<Duration>,
     /// Time of a whole online request, in seconds.
     duration_s: Option<f64>,
 }
 
-impl Usual {
+impl Typical {
     /// Returns whether a request that waits behind others at a target is
     /// likely to have its first event too late. Refused at once, its caller
     /// may be served in time later, and those before it are.
@@ -282,8 +284,8 @@
 
 pub(super) fn online_cost(
     target: &Target,
-    want: &Want<'_>,
-    usual: Usual,
+    want: &Criteria<'_>,
+    usual: Typical,
     cfg: Config,
 ) -> Option<f64> {
     let load = target.load();
@@ -318,7 +320,7 @@
     Some(cost)
 }
 
-pub(super) fn is_remote(target: &Target, want: &Want<'_>) -> bool {
+pub(super) fn is_remote(target: &Target, want: &Criteria<'_>) -> bool {
     target.spec.data_centre != want.data_centre
 }
 
--- a/crates/routing/src/places/closed.rs
+++ b/crates/routing/src/balancer/closed.rs
@@ -5,20 +5,20 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::Places;
+use super::Balancer;
 use super::Target;
 use super::TargetId;
 
 /// The request duration assumed for a service without completed requests.
 const DEFAULT_DURATION_S: f64 = 0.25;
 
-impl Places {
+impl Balancer {
     /// Sets the data centres whose targets receive no new requests.
     pub fn set_evacuated(&mut self, data_centres: HashSet<String>) {
         self.evacuated = data_centres;
         for target in self.targets.values_mut() {
             let spec = &target.spec;
-            target.is_closed = spec.leaving || self.evacuated.contains(&spec.data_centre);
+            target.is_closed = spec.is_leaving || self.evacuated.contains(&spec.data_centre);
         }
     }
 
--- a/crates/routing/src/places/counts.rs
+++ b/crates/routing/src/balancer/counts.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use super::Places;
+use super::Balancer;
 use super::Target;
 use super::TargetKey;
 
@@ -56,9 +56,9 @@
     }
 }
 
-impl Places {
+impl Balancer {
     /// Returns what this host runs, target by target.
-    pub fn own(&self) -> impl Iterator<Item = (TargetKey, Load)> {
+    pub fn own_loads(&self) -> impl Iterator<Item = (TargetKey, Load)> {
         let busy = self.busy.iter().filter_map(|id| self.targets.get(id));
         busy.map(|t| (t.key, t.own))
     }
@@ -70,14 +70,14 @@
 
     /// Returns whether at least a quarter of a target's places are taken, so that changes of
     /// its load are sent to other hosts immediately.
-    pub fn is_scarce(&self, id: &str) -> bool {
+    pub fn has_scarce_slots(&self, id: &str) -> bool {
         let target = self.targets.get(id);
         target.is_some_and(|t| t.load().total().saturating_mul(SCARCE_DIVISOR) >= t.slots)
     }
 
     /// Returns how many places are taken and how many there are, at targets that
     /// stay. Requests that wait in a target's queue take none.
-    pub fn in_use(&self) -> (u32, u32) {
+    pub fn slot_usage(&self) -> (u32, u32) {
         let staying = self.targets.values().filter(|t| !t.is_closed);
         staying.fold((0, 0), |(taken, all), t| {
             let slots = t.slots;
@@ -91,7 +91,7 @@
     /// The peer's word on targets that fail is given if it counts: a target
     /// may fail callers in one data centre only, so that of a peer elsewhere
     /// does not.
-    pub fn peer_runs(
+    pub fn set_peer_loads(
         &mut self,
         host: &str,
         loads: impl IntoIterator<Item = (TargetKey, Load)>,
@@ -119,7 +119,12 @@
 
     /// Takes in what the hosts of another cell run together; it replaces what
     /// they ran before. Returns whether it differs.
-    pub fn cell_runs(&mut self, cell: &str, loads: Vec<(TargetKey, Load)>, now: Instant) -> bool {
+    pub fn set_cell_loads(
+        &mut self,
+        cell: &str,
+        loads: Vec<(TargetKey, Load)>,
+        now: Instant,
+    ) -> bool {
         let told = Peer {
             loads,
             failing: Vec::new(),
@@ -132,7 +137,7 @@
     }
 
     /// Forgets what the hosts of other cells run.
-    pub fn forget_cells(&mut self) {
+    pub fn clear_cells(&mut self) {
         for (_, cell) in std::mem::take(&mut self.cells) {
             self.subtract(&cell);
         }
@@ -140,7 +145,7 @@
 
     /// Forgets what the hosts of a cell run: it is gone. Returns whether anything
     /// was known of it.
-    pub fn cell_down(&mut self, cell: &str) -> bool {
+    pub fn remove_cell(&mut self, cell: &str) -> bool {
         let Some(cell) = self.cells.remove(cell) else {
             return false;
         };
@@ -150,8 +155,8 @@
 
     /// Returns what this host and its peers run, target by target: what a cell tells
     /// others of itself.
-    pub fn sum(&self) -> Vec<(TargetKey, Load)> {
-        let mut sum: HashMap<TargetKey, Load> = self.own().collect();
+    pub fn total_loads(&self) -> Vec<(TargetKey, Load)> {
+        let mut sum: HashMap<TargetKey, Load> = self.own_loads().collect();
         for (key, load) in self.peers.values().flat_map(|peer| &peer.loads) {
             sum.entry(*key).or_default().add(*load);
         }
@@ -190,7 +195,7 @@
     }
 
     /// Forgets what a peer runs: it is down, and its connections with it.
-    pub fn peer_down(&mut self, host: &str) {
+    pub fn remove_peer(&mut self, host: &str) {
         if let Some(peer) = self.peers.remove(host) {
             self.subtract(&peer);
         }
--- a/crates/routing/src/belief.rs
+++ b/crates/routing/src/belief.rs
@@ -9,7 +9,7 @@
 //! ```
 //! use std::time::{Duration, Instant};
 //! use notchwharf_routing::belief::{Answered, Belief, Bounds, Change, Evidence, Record};
-//! use notchwharf_routing::places::Spec;
+//! use notchwharf_routing::balancer::Spec;
 //!
 //! let start = Instant::now();
 //! let at = |ms| start + Duration::from_millis(ms);
@@ -50,8 +50,8 @@
 pub use self::entry::Answered;
 pub use self::entry::Change;
 pub use self::entry::Record;
-use crate::places::Spec;
-use crate::places::TargetId;
+use crate::balancer::Spec;
+use crate::balancer::TargetId;
 
 /// Number of changes retained by a belief. A host that is further behind is sent all
 /// entries.
--- a/crates/routing/src/belief/difference.rs
+++ b/crates/routing/src/belief/difference.rs
@@ -17,8 +17,8 @@
 use super::Evidence;
 use super::Record;
 use super::Source;
-use crate::places::Spec;
-use crate::places::TargetId;
+use crate::balancer::Spec;
+use crate::balancer::TargetId;
 
 /// The position from which a host requests entries or changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/routing/src/belief/entry.rs
+++ b/crates/routing/src/belief/entry.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use crate::places::Spec;
-use crate::places::TargetId;
+use crate::balancer::Spec;
+use crate::balancer::TargetId;
 
 /// A record of a target's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -39,13 +39,13 @@
     }
 
     /// Notes a success.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         let cents = self.cents + self.share_percent;
         self.cents = cents.min(SAVED_MAX * CENTS);
     }
 
     /// Takes one retry out; returns whether there was one.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         let Some(left) = self.cents.checked_sub(CENTS) else {
             return false;
         };
@@ -55,7 +55,7 @@
 }
 
 /// Returns pauses between tries, growing and spread by chance.
-pub fn pauses(seed: u64) -> impl Iterator<Item = Duration> {
+pub fn backoff(seed: u64) -> impl Iterator<Item = Duration> {
     ExponentialBuilder::default()
         .with_min_delay(PAUSE_MIN)
         .with_max_delay(PAUSE_MAX)
--- a/crates/routing/src/items.rs
+++ b/crates/routing/src/items.rs
@@ -5,7 +5,7 @@
 //! one host, [`turn`] the hosts when a place falls free, [`spare`] tells which
 //! running item gives way, and [`usual`] how long one still takes.
 
+pub mod estimate;
+pub mod peer_queues;
+pub mod preemption;
 pub mod queue;
-pub mod spare;
-pub mod turn;
-pub mod usual;
--- a/crates/routing/src/items/usual.rs
+++ b/crates/routing/src/items/estimate.rs
@@ -11,14 +11,14 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use notchwharf_routing::items::usual::{Size, Usual};
+//! use notchwharf_routing::items::estimate::{Size, Estimator};
 //!
-//! let mut usual = Usual::default();
-//! let size = Size { answer_tokens_hint: 600, ..Size::default() };
-//! assert_eq!(usual.rest(size, 0), None);
+//! let mut usual = Estimator::default();
+//! let size = Size { output_tokens_hint: 600, ..Size::default() };
+//! assert_eq!(usual.remaining(size, 0), None);
 //! usual.ran(100, Duration::from_secs(2));
 //! usual.ended(size, 100);
-//! assert_eq!(usual.rest(size, 75), Some(Duration::from_millis(500)));
+//! assert_eq!(usual.remaining(size, 75), Some(Duration::from_millis(500)));
 //! ```
 
 use std::collections::HashMap;
@@ -44,20 +44,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Size {
     /// Tokens of the longest answer that is taken.
-    pub answer_tokens_max: u32,
+    pub output_tokens_max: u32,
     /// Tokens of the answer as the caller expects it.
-    pub answer_tokens_hint: u32,
+    pub output_tokens_hint: u32,
 }
 
 impl Size {
     /// Returns the logarithm of the expected answer's length, if it is told.
     /// One that exceeds the longest answer counts as that.
     fn hint(self) -> Option<f64> {
-        let max = match self.answer_tokens_max {
+        let max = match self.output_tokens_max {
             0 => u32::MAX,
             max => max,
         };
-        match self.answer_tokens_hint.min(max) {
+        match self.output_tokens_hint.min(max) {
             0 => None,
             tokens => Some(f64::from(tokens).ln()),
         }
@@ -66,7 +66,7 @@
 
 /// How long items of one kind usually take.
 #[derive(Clone, Debug, Default)]
-pub struct Usual {
+pub struct Estimator {
     /// Time from one event to the next, in seconds.
     pace_s: Mean,
     /// Logarithm of the events of whole items.
@@ -78,16 +78,16 @@
     covariance: Mean,
 }
 
-impl Usual {
+impl Estimator {
     /// Notes a run's events and the time that they took.
-    pub fn ran(&mut self, events: u64, took: Duration) {
+    pub fn record_run(&mut self, events: u64, took: Duration) {
         if events >= PACE_EVENTS_MIN {
             self.pace_s.add(took.as_secs_f64() / events as f64);
         }
     }
 
     /// Notes the number of events of a whole item.
-    pub fn ended(&mut self, size: Size, events: u64) {
+    pub fn record_completion(&mut self, size: Size, events: u64) {
         let events = (events.max(1) as f64).ln();
         let usual = self.events.value.unwrap_or(events);
         self.events.add(events);
@@ -103,7 +103,7 @@
 
     /// Returns how long an item still runs that has so many events; nothing
     /// while no item has ended.
-    pub fn rest(&self, size: Size, events: u64) -> Option<Duration> {
+    pub fn remaining(&self, size: Size, events: u64) -> Option<Duration> {
         let expected = self.expected_events(size)?;
         let rest = (expected - events as f64).max(expected * REST_SHARE_MIN);
         Some(Duration::from_secs_f64(rest * self.pace_s.value?))
@@ -133,20 +133,20 @@
 /// How long items usually take, kind by kind: what is learned of short items
 /// says nothing of long ones beside them.
 #[derive(Clone, Debug, Default)]
-pub struct Kinds {
-    by_name: HashMap<String, Usual>,
+pub struct Estimators {
+    by_name: HashMap<String, Estimator>,
 }
 
-impl Kinds {
+impl Estimators {
     /// Returns what is known of a kind, to add to it.
-    pub fn of_mut(&mut self, kind: &str) -> &mut Usual {
+    pub fn kind_mut(&mut self, kind: &str) -> &mut Estimator {
         self.by_name.entry(kind.to_owned()).or_default()
     }
 
     /// Returns how long an item of a kind still runs that has so many events;
     /// nothing while none of its kind has ended.
-    pub fn rest(&self, kind: &str, size: Size, events: u64) -> Option<Duration> {
-        self.by_name.get(kind)?.rest(size, events)
+    pub fn remaining(&self, kind: &str, size: Size, events: u64) -> Option<Duration> {
+        self.by_name.get(kind)?.remaining(size, events)
     }
 }
 
--- a/crates/routing/src/items/turn.rs
+++ b/crates/routing/src/items/peer_queues.rs
@@ -16,12 +16,12 @@
 //!
 //! ```
 //! use std::time::Instant;
-//! use notchwharf_routing::items::turn::{Line, Waiting};
+//! use notchwharf_routing::items::peer_queues::{PeerQueues, QueuedItems};
 //!
 //! let now = Instant::now();
-//! let mut line = Line::default();
-//! line.tell("a2", vec![Waiting { due_unix_ms: 900, items: 3 }], now);
-//! line.tell("a3", vec![Waiting { due_unix_ms: 500, items: 2 }], now);
+//! let mut line = PeerQueues::default();
+//! line.tell("a2", vec![QueuedItems { due_unix_ms: 900, items: 3 }], now);
+//! line.tell("a3", vec![QueuedItems { due_unix_ms: 500, items: 2 }], now);
 //! assert_eq!(line.ahead(800).items, 2);
 //! line.forget("a3");
 //! assert_eq!(line.ahead(800).items, 0);
@@ -30,15 +30,15 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use crate::places::HostId;
+use crate::balancer::HostId;
 
 /// Jobs that a host tells apart: those due first. More would be bytes for
 /// nothing, since few hosts have more than three at a time.
-pub const TOLD_MAX: usize = 3;
+pub const DUE_TIMES_MAX: usize = 3;
 
 /// Items that wait and are due at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedItems {
     /// When they are due, by the clock of the host that took their job in. All
     /// hosts read it from the same record, so that their own clocks don't
     /// matter.
@@ -53,25 +53,25 @@
     /// Items at other hosts that are due before it.
     pub items: u32,
     /// When one of these hosts last took a place, as far as known.
-    pub moved_at: Option<Instant>,
+    pub last_start_at: Option<Instant>,
 }
 
 #[derive(Debug)]
 struct Peer {
-    waiting: Vec<Waiting>,
-    moved_at: Option<Instant>,
+    waiting: Vec<QueuedItems>,
+    last_start_at: Option<Instant>,
 }
 
 /// Items that wait at other hosts.
 #[derive(Debug, Default)]
-pub struct Line {
+pub struct PeerQueues {
     peers: HashMap<HostId, Peer>,
 }
 
-impl Line {
+impl PeerQueues {
     /// Takes in what waits at a peer; it replaces what was known. Returns whether
     /// it differs.
-    pub fn tell(&mut self, host: &str, waiting: Vec<Waiting>, now: Instant) -> bool {
+    pub fn update(&mut self, host: &str, waiting: Vec<QueuedItems>, now: Instant) -> bool {
         if waiting.is_empty() {
             return self.peers.remove(host).is_some();
         }
@@ -80,17 +80,22 @@
             return false;
         }
         let has_moved = before.is_some_and(|peer| count(&peer.waiting) > count(&waiting));
-        let moved_at = match has_moved {
+        let last_start_at = match has_moved {
             true => Some(now),
-            false => before.and_then(|peer| peer.moved_at),
+            false => before.and_then(|peer| peer.last_start_at),
         };
-        self.peers
-            .insert(host.to_owned(), Peer { waiting, moved_at });
+        self.peers.insert(
+            host.to_owned(),
+            Peer {
+                waiting,
+                last_start_at,
+            },
+        );
         true
     }
 
     /// Forgets a peer: it is down.
-    pub fn forget(&mut self, host: &str) {
+    pub fn remove(&mut self, host: &str) {
         self.peers.remove(host);
     }
 
@@ -103,14 +108,14 @@
             let items = before.fold(0, |sum: u32, w| sum.saturating_add(w.items));
             if items > 0 {
                 ahead.items = ahead.items.saturating_add(items);
-                ahead.moved_at = ahead.moved_at.max(peer.moved_at);
+                ahead.last_start_at = ahead.last_start_at.max(peer.last_start_at);
             }
         }
         ahead
     }
 }
 
-fn count(waiting: &[Waiting]) -> u32 {
+fn count(waiting: &[QueuedItems]) -> u32 {
     let items = waiting.iter().map(|w| w.items);
     items.fold(0, u32::saturating_add)
 }
--- a/crates/routing/src/items/spare.rs
+++ b/crates/routing/src/items/preemption.rs
@@ -5,17 +5,17 @@
 //! and again, would never end.
 //!
 //! ```
-//! use notchwharf_routing::items::spare::Spare;
+//! use notchwharf_routing::items::preemption::Rank;
 //!
-//! let old = Spare { is_late: false, due_unix_ms: 500, run: 9 };
-//! let new = Spare { is_late: false, due_unix_ms: 900, run: 1 };
+//! let old = Rank { is_late: false, due_unix_ms: 500, run: 9 };
+//! let new = Rank { is_late: false, due_unix_ms: 900, run: 1 };
 //! assert!(new > old);
-//! assert!(Spare { is_late: true, ..old } > new);
+//! assert!(Rank { is_late: true, ..old } > new);
 //! ```
 
 /// How well an item can be spared; the greatest one gives way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Spare {
+pub struct Rank {
     /// Whether it comes too late whatever is done.
     pub is_late: bool,
     /// When it is due.
--- a/crates/routing/src/items/queue.rs
+++ b/crates/routing/src/items/queue.rs
@@ -15,14 +15,14 @@
 //! let mut queue = Queue::default();
 //! queue.push(900, "b", 2);
 //! queue.push(500, "a", 7);
-//! queue.put_late_behind(|item| *item == 7);
+//! queue.demote_late(|item| *item == 7);
 //! assert_eq!(queue.pop(), Some(2));
 //! assert_eq!(queue.pop(), Some(7));
 //! ```
 
 use std::collections::BTreeMap;
 
-use super::turn::Waiting;
+use super::peer_queues::QueuedItems;
 
 /// Items that wait, each under the time at which it is due and a key that
 /// orders those of one time.
@@ -48,17 +48,17 @@
 
 /// Where the next item stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Next {
+pub struct Deadline {
     /// When it is due.
     pub due_unix_ms: u64,
     /// Whether it comes too late whatever is done.
     pub is_late: bool,
 }
 
-impl Next {
+impl Deadline {
     /// Returns what its turn goes by among the items of all hosts: late ones
     /// come after all that are not.
-    pub fn turn_unix_ms(self) -> u64 {
+    pub fn sort_key_unix_ms(self) -> u64 {
         match self.is_late {
             true => u64::MAX,
             false => self.due_unix_ms,
@@ -78,7 +78,7 @@
     /// Puts the items at the head behind all others that come too late. Each is
     /// judged when it has come to the head, so that a look costs no more than
     /// the items that it moves.
-    pub fn put_late_behind(&mut self, is_late: impl Fn(&T) -> bool) {
+    pub fn demote_late(&mut self, is_late: impl Fn(&T) -> bool) {
         while let Some(first) = self.in_time.first_entry() {
             if !is_late(first.get()) {
                 return;
@@ -90,12 +90,12 @@
     }
 
     /// Returns the next item and where it stands, without taking it.
-    pub fn peek(&self) -> Option<(Next, &T)> {
+    pub fn peek(&self) -> Option<(Deadline, &T)> {
         let queues = [(&self.in_time, false), (&self.late, true)];
         queues.into_iter().find_map(|(queue, is_late)| {
             let ((due_unix_ms, _), item) = queue.first_key_value()?;
             let due_unix_ms = *due_unix_ms;
-            let next = Next {
+            let next = Deadline {
                 due_unix_ms,
                 is_late,
             };
@@ -127,10 +127,10 @@
 
     /// Returns how many items wait and can end in time, by when they are due.
     /// So many times are told apart; the rest counts with the last of these.
-    pub fn waiting(&self, times_max: usize) -> Vec<Waiting> {
+    pub fn summary(&self, times_max: usize) -> Vec<QueuedItems> {
         let times = self.due.iter().take(times_max);
-        let mut told: Vec<Waiting> = times
-            .map(|(due_unix_ms, items)| Waiting {
+        let mut told: Vec<QueuedItems> = times
+            .map(|(due_unix_ms, items)| QueuedItems {
                 due_unix_ms: *due_unix_ms,
                 items: *items,
             })
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,13 +11,13 @@
 //! its content, and [`quarantine`] keeps those from targets under which they crash. All take time as input and do no I/O.
 
 pub mod admission;
+pub mod balancer;
 pub mod belief;
 pub mod budget;
 pub mod cells;
 pub mod fingerprint;
 pub mod items;
 pub mod limit;
-pub mod places;
 pub mod quarantine;
 pub mod slots;
 pub mod table;
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -67,13 +67,13 @@
     }
 
     /// Notes a time to the first token.
-    pub fn first_token(&mut self, took: Duration, running: u32, now: Instant) {
+    pub fn record_first_token(&mut self, took: Duration, running: u32, now: Instant) {
         record(&mut self.first_us, took);
         self.judge(running, now);
     }
 
     /// Notes a time between tokens.
-    pub fn inter_token(&mut self, took: Duration, running: u32, now: Instant) {
+    pub fn record_inter_token(&mut self, took: Duration, running: u32, now: Instant) {
         record(&mut self.inter_us, took);
         self.judge(running, now);
     }
--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -60,8 +60,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::balancer::HostId;
 use crate::fingerprint::Fingerprint;
-use crate::places::HostId;
 
 use self::suspect::Suspect;
 
--- a/crates/routing/src/quarantine/suspect.rs
+++ b/crates/routing/src/quarantine/suspect.rs
@@ -17,8 +17,8 @@
 use super::Told;
 use super::ToldCrash;
 use super::Verdict;
+use crate::balancer::HostId;
 use crate::fingerprint::Fingerprint;
-use crate::places::HostId;
 
 /// Targets that a request may end before it can be blamed.
 const CRASHES_ALLOWED: u32 = 3;
--- a/crates/routing/src/slots.rs
+++ b/crates/routing/src/slots.rs
@@ -80,7 +80,7 @@
     }
 
     /// Takes in how many online streams a host has open at the target.
-    pub fn online(&mut self, host: &str, streams: u32, now: Instant) {
+    pub fn set_online(&mut self, host: &str, streams: u32, now: Instant) {
         let before = self.online_streams(now);
         self.online.insert(host.to_owned(), (streams, now));
         let after = self.online_streams(now);
@@ -103,7 +103,7 @@
     }
 
     /// Returns how many batch streams may be started now.
-    pub fn room(&self, limit: u32, now: Instant) -> u32 {
+    pub fn available(&self, limit: u32, now: Instant) -> u32 {
         if self.alone.is_some() {
             return 0;
         }
@@ -112,24 +112,24 @@
     }
 
     /// Returns whether an item that must run alone may be started now.
-    pub fn room_alone(&self, limit: u32, now: Instant) -> bool {
-        self.running.is_empty() && self.room(limit, now) > 0
+    pub fn can_start_exclusive(&self, limit: u32, now: Instant) -> bool {
+        self.running.is_empty() && self.available(limit, now) > 0
     }
 
     /// Notes that a batch stream was started.
-    pub fn started(&mut self, id: StreamId, now: Instant) {
+    pub fn begin(&mut self, id: StreamId, now: Instant) {
         let before = self.running.insert(id, now);
         debug_assert!(before.is_none(), "A stream starts once.");
     }
 
     /// Notes that a batch stream was started that must run alone.
-    pub fn started_alone(&mut self, id: StreamId, now: Instant) {
-        self.started(id, now);
+    pub fn begin_exclusive(&mut self, id: StreamId, now: Instant) {
+        self.begin(id, now);
         self.alone = Some(id);
     }
 
     /// Notes that a batch stream has ended or was cancelled.
-    pub fn ended(&mut self, id: StreamId) {
+    pub fn end(&mut self, id: StreamId) {
         self.running.remove(&id);
         if self.alone == Some(id) {
             self.alone = None;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -76,13 +76,13 @@
     /// The target's incarnation.
     pub incarnation: u64,
     /// Whether it must get nothing new.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// Whether it serves online work.
-    pub online: bool,
+    pub is_for_online: bool,
     /// Whether it serves batch work.
-    pub batch: bool,
+    pub is_for_batch: bool,
     /// Fingerprints of what it can serve.
-    pub holds: Vec<String>,
+    pub models: Vec<String>,
 }
 
 /// Why no target was chosen; nothing was sent.
@@ -143,13 +143,13 @@
             target.ejected_until = None;
             target.pause = EJECT_MIN;
         }
-        if target.report.holds != report.holds {
-            for held in &target.report.holds {
+        if target.report.models != report.models {
+            for held in &target.report.models {
                 if let Some(ids) = self.holders.get_mut(held) {
                     ids.retain(|known| *known != number);
                 }
             }
-            for held in &report.holds {
+            for held in &report.models {
                 let ids = self.holders.entry(held.clone()).or_default();
                 ids.push(number);
             }
@@ -185,14 +185,14 @@
     }
 
     /// Returns whether a target may be given new online work.
-    pub fn is_open(&self, id: &str, now: Instant) -> bool {
-        self.get(id).is_some_and(|t| t.is_open(now))
+    pub fn is_available(&self, id: &str, now: Instant) -> bool {
+        self.get(id).is_some_and(|t| t.is_available(now))
     }
 
     /// Returns whether any target that is not leaving holds a fingerprint.
-    pub fn is_held(&self, fingerprint: &str) -> bool {
+    pub fn is_served(&self, fingerprint: &str) -> bool {
         let ids = self.holders.get(fingerprint);
-        ids.is_some_and(|ids| ids.iter().any(|id| !self.targets[*id].report.leaving))
+        ids.is_some_and(|ids| ids.iter().any(|id| !self.targets[*id].report.is_leaving))
     }
 
     /// Returns the limit on streams of a target.
@@ -202,13 +202,13 @@
     }
 
     /// Returns the targets at which this host has streams open.
-    pub fn busy(&self) -> Vec<TargetId> {
+    pub fn targets_in_use(&self) -> Vec<TargetId> {
         let busy = self.targets.iter().filter(|t| t.own > 0);
         busy.map(|t| t.id.clone()).collect()
     }
 
     /// Returns the streams that this host has open at a target.
-    pub fn own(&self, id: &str) -> u32 {
+    pub fn own_streams(&self, id: &str) -> u32 {
         self.get(id).map_or(0, |t| t.own)
     }
 
@@ -236,7 +236,7 @@
         let mut best: Option<(u64, usize)> = None;
         for number in ids {
             let target = &self.targets[*number];
-            if !target.is_open(now) || tried.contains(&target.id) {
+            if !target.is_available(now) || tried.contains(&target.id) {
                 continue;
             }
             let score = target.hash ^ prefix;
@@ -289,31 +289,31 @@
     }
 
     /// Notes the load that a target told with an answer.
-    pub fn told(&mut self, id: &str, streams: u32, now: Instant) {
+    pub fn set_reported_streams(&mut self, id: &str, streams: u32, now: Instant) {
         if let Some(target) = self.get_mut(id) {
             target.told = Some((streams, now));
         }
     }
 
     /// Notes a time to the first token.
-    pub fn first_token(&mut self, id: &str, took: Duration, now: Instant) {
+    pub fn record_first_token(&mut self, id: &str, took: Duration, now: Instant) {
         if let Some(target) = self.get_mut(id) {
             let running = target.load(now);
-            target.limit.first_token(took, running, now);
+            target.limit.record_first_token(took, running, now);
             target.pause = EJECT_MIN;
         }
     }
 
     /// Notes a time between tokens.
-    pub fn inter_token(&mut self, id: &str, took: Duration, now: Instant) {
+    pub fn record_inter_token(&mut self, id: &str, took: Duration, now: Instant) {
         if let Some(target) = self.get_mut(id) {
             let running = target.load(now);
-            target.limit.inter_token(took, running, now);
+            target.limit.record_inter_token(took, running, now);
         }
     }
 
     /// Notes that a target failed; it gets nothing for a while.
-    pub fn failed(&mut self, id: &str, now: Instant) {
+    pub fn record_failure(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.get_mut(id) {
             target.ejected_until = Some(now + target.pause);
             target.pause = (target.pause * 2).min(EJECT_MAX);
@@ -322,9 +322,9 @@
 }
 
 impl Target {
-    fn is_open(&self, now: Instant) -> bool {
+    fn is_available(&self, now: Instant) -> bool {
         let ejected = self.ejected_until.is_some_and(|until| now < until);
-        !self.report.leaving && self.report.online && !ejected
+        !self.report.is_leaving && self.report.is_for_online && !ejected
     }
 
     fn load(&self, now: Instant) -> u32 {
--- a/crates/routing/tests/places.rs
+++ b/crates/routing/tests/balancer.rs
@@ -4,26 +4,26 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_routing::items::turn::Ahead;
-use notchwharf_routing::places::Config;
-use notchwharf_routing::places::Load;
-use notchwharf_routing::places::Places;
-use notchwharf_routing::places::Refusal;
-use notchwharf_routing::places::Room;
-use notchwharf_routing::places::Spec;
-use notchwharf_routing::places::Want;
-use notchwharf_routing::places::key_of;
+use notchwharf_routing::balancer::Balancer;
+use notchwharf_routing::balancer::Config;
+use notchwharf_routing::balancer::Criteria;
+use notchwharf_routing::balancer::Load;
+use notchwharf_routing::balancer::Refusal;
+use notchwharf_routing::balancer::SlotSource;
+use notchwharf_routing::balancer::Spec;
+use notchwharf_routing::balancer::key_of;
+use notchwharf_routing::items::peer_queues::Ahead;
 use rstest::rstest;
 
 const NEAR: &str = "near";
 const FAR: &str = "far";
 
-fn places(reserve: u32, targets: &[(&str, &str, u32)]) -> Places {
+fn places(reserve: u32, targets: &[(&str, &str, u32)]) -> Balancer {
     let cfg = Config {
         reserve,
         ..Config::default()
     };
-    let mut places = Places::new(cfg, 7);
+    let mut places = Balancer::new(cfg, 7);
     for (id, data_centre, slots) in targets {
         places.upsert(id, spec(data_centre, *slots));
     }
@@ -39,8 +39,8 @@
     }
 }
 
-fn want(tried: &[String]) -> Want<'_> {
-    Want {
+fn want(tried: &[String]) -> Criteria<'_> {
+    Criteria {
         service: "s",
         data_centre: NEAR,
         affinity: 3,
@@ -59,7 +59,10 @@
     let mut places = places(0, &[("t1", FAR, 8), ("t2", NEAR, 8)]);
     let now = Instant::now();
     let choice = places.choose_online(&want(&[]), now).unwrap();
-    assert_eq!((choice.target.as_str(), choice.room), ("t2", Room::Free));
+    assert_eq!(
+        (choice.target.as_str(), choice.slot_source),
+        ("t2", SlotSource::Free)
+    );
 }
 
 #[test]
@@ -67,17 +70,20 @@
     let mut places = places(0, &[("t1", FAR, 4), ("t2", NEAR, 1)]);
     places.begin_batch("t2");
     let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
-    assert_eq!((choice.target.as_str(), choice.room), ("t1", Room::Free));
+    assert_eq!(
+        (choice.target.as_str(), choice.slot_source),
+        ("t1", SlotSource::Free)
+    );
 }
 
 #[rstest]
-#[case::an_own_item(load(1, 1), load(0, 0), Room::CutOwn)]
-#[case::a_peer_s_item(load(1, 0), load(0, 1), Room::CutPeer("a2".into()))]
-#[case::no_item(load(1, 0), load(1, 0), Room::Queue)]
+#[case::an_own_item(load(1, 1), load(0, 0), SlotSource::PreemptOwn)]
+#[case::a_peer_s_item(load(1, 0), load(0, 1), SlotSource::PreemptPeer("a2".into()))]
+#[case::no_item(load(1, 0), load(1, 0), SlotSource::Queue)]
 fn a_full_target_makes_room_by_cutting_an_item(
     #[case] own: Load,
     #[case] peer: Load,
-    #[case] room: Room,
+    #[case] room: SlotSource,
 ) {
     let mut places = places(0, &[("t1", NEAR, 2)]);
     for _ in 0..own.online {
@@ -86,9 +92,9 @@
     for _ in 0..own.batch {
         places.begin_batch("t1");
     }
-    places.peer_runs("a2", [(key_of("t1"), peer)], vec![], Instant::now());
+    places.set_peer_loads("a2", [(key_of("t1"), peer)], vec![], Instant::now());
     let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
-    assert_eq!(choice.room, room);
+    assert_eq!(choice.slot_source, room);
 }
 
 /// Cutting as soon as the reserve was touched made items start and be cut
@@ -101,10 +107,10 @@
     places.begin_batch("t1");
     assert_eq!(places.choose_batch(&want(&[]), Instant::now()), None);
     let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
-    assert_eq!(choice.room, Room::Free);
+    assert_eq!(choice.slot_source, SlotSource::Free);
     places.begin_online("t1", Instant::now());
     let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
-    assert_eq!(choice.room, Room::CutOwn);
+    assert_eq!(choice.slot_source, SlotSource::PreemptOwn);
 }
 
 #[test]
@@ -126,7 +132,7 @@
     places.upsert(
         "t1",
         Spec {
-            leaving: true,
+            is_leaving: true,
             ..spec(NEAR, 8)
         },
     );
@@ -148,19 +154,19 @@
 fn what_a_peer_runs_is_replaced_by_what_it_tells_next_and_ends_with_it() {
     let mut places = places(0, &[("t1", NEAR, 8)]);
     places.begin_online("t1", Instant::now());
-    places.peer_runs("a2", [(key_of("t1"), load(2, 1))], vec![], Instant::now());
-    places.peer_runs("a3", [(key_of("t1"), load(0, 1))], vec![], Instant::now());
+    places.set_peer_loads("a2", [(key_of("t1"), load(2, 1))], vec![], Instant::now());
+    places.set_peer_loads("a3", [(key_of("t1"), load(0, 1))], vec![], Instant::now());
     assert_eq!(places.load("t1"), load(3, 2));
-    places.peer_runs("a2", [(key_of("t1"), load(0, 2))], vec![], Instant::now());
+    places.set_peer_loads("a2", [(key_of("t1"), load(0, 2))], vec![], Instant::now());
     assert_eq!(places.load("t1"), load(1, 3));
-    places.peer_down("a2");
+    places.remove_peer("a2");
     assert_eq!(places.load("t1"), load(1, 1));
 }
 
 #[test]
 fn a_target_that_comes_after_news_of_it_has_its_load() {
     let mut places = places(0, &[]);
-    places.peer_runs("a2", [(key_of("t1"), load(2, 1))], vec![], Instant::now());
+    places.set_peer_loads("a2", [(key_of("t1"), load(2, 1))], vec![], Instant::now());
     places.upsert("t1", spec(NEAR, 8));
     assert_eq!(places.load("t1"), load(2, 1));
 }
@@ -169,7 +175,7 @@
 fn a_target_that_cannot_be_reached_is_left_alone_for_a_time() {
     let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
     let now = Instant::now();
-    places.failed("t1", now);
+    places.record_connection_failure("t1", now);
     let later = now + Duration::from_millis(100);
     assert_ne!(
         places.choose_online(&want(&[]), later).unwrap().target,
@@ -188,9 +194,9 @@
 fn a_target_that_answers_badly_again_and_again_is_left_alone() {
     let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
     let now = Instant::now();
-    places.failed_item("t1", now);
+    places.record_item_failure("t1", now);
     assert_eq!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
-    places.failed_item("t1", now);
+    places.record_item_failure("t1", now);
     assert_ne!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
     assert_eq!(places.failing(now), [key_of("t1")]);
 }
@@ -200,7 +206,7 @@
 fn a_target_that_fails_one_online_request_is_left_alone_for_a_moment() {
     let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
     let now = Instant::now();
-    places.failed_request("t1", now);
+    places.record_request_failure("t1", now);
     assert_ne!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
     let later = now + Duration::from_millis(500);
     assert_eq!(
@@ -213,9 +219,9 @@
 fn a_target_that_failed_a_peer_is_left_alone_after_one_failure_here() {
     let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
     let now = Instant::now();
-    places.peer_runs("a2", [], vec![key_of("t1")], Instant::now());
-    places.peer_runs("a2", [], vec![], Instant::now());
-    places.failed_item("t1", now);
+    places.set_peer_loads("a2", [], vec![key_of("t1")], Instant::now());
+    places.set_peer_loads("a2", [], vec![], Instant::now());
+    places.record_item_failure("t1", now);
     assert_ne!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
 }
 
@@ -224,9 +230,9 @@
     let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
     let now = Instant::now();
     for _ in 0..20 {
-        places.failed_item("t1", now);
+        places.record_item_failure("t1", now);
         for _ in 0..5 {
-            places.answered("t1", None);
+            places.record_success("t1", None);
         }
     }
     assert_eq!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
@@ -236,10 +242,10 @@
 fn a_target_that_fails_a_peer_is_left_alone_until_the_peer_says_otherwise() {
     let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
     let now = Instant::now();
-    places.peer_runs("a2", [], vec![key_of("t1")], Instant::now());
+    places.set_peer_loads("a2", [], vec![key_of("t1")], Instant::now());
     assert_ne!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
     assert_eq!(places.failing(now), [], "Only what is seen is told on.");
-    places.peer_runs("a2", [], vec![], Instant::now());
+    places.set_peer_loads("a2", [], vec![], Instant::now());
     assert_eq!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
 }
 
@@ -247,8 +253,8 @@
 fn where_most_targets_fail_none_is_left_alone() {
     let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
     let now = Instant::now();
-    places.failed("t1", now);
-    places.failed("t2", now);
+    places.record_connection_failure("t1", now);
+    places.record_connection_failure("t2", now);
     assert_eq!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
 }
 
@@ -256,9 +262,9 @@
 fn a_target_that_is_much_slower_than_the_others_comes_after_them() {
     let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
     for _ in 0..20 {
-        places.answered("t1", Some(Duration::from_millis(300)));
-        places.answered("t2", Some(Duration::from_millis(50)));
-        places.answered("t3", Some(Duration::from_millis(50)));
+        places.record_success("t1", Some(Duration::from_millis(300)));
+        places.record_success("t2", Some(Duration::from_millis(50)));
+        places.record_success("t3", Some(Duration::from_millis(50)));
     }
     let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
     assert_ne!(choice.target, "t1");
@@ -268,11 +274,11 @@
 fn of_the_hosts_at_an_overfull_target_the_one_with_most_items_cuts() {
     let mut places = places(0, &[("t1", NEAR, 2)]);
     places.begin_batch("t1");
-    places.peer_runs("a2", [(key_of("t1"), load(0, 2))], vec![], Instant::now());
-    assert_eq!(places.overfull("a1"), Vec::<String>::new());
+    places.set_peer_loads("a2", [(key_of("t1"), load(0, 2))], vec![], Instant::now());
+    assert_eq!(places.overcommitted("a1"), Vec::<String>::new());
     places.begin_batch("t1");
     places.begin_batch("t1");
-    assert_eq!(places.overfull("a1"), ["t1"]);
+    assert_eq!(places.overcommitted("a1"), ["t1"]);
 }
 
 /// Queued for longer than the objective, everybody is late; refused, some are
@@ -282,8 +288,8 @@
     let mut places = places(0, &[("t1", NEAR, 4)]);
     let now = Instant::now();
     // One place falls free each 200 ms.
-    places.lasted("s", Duration::from_millis(800));
-    let hopeful = Want {
+    places.record_duration("s", Duration::from_millis(800));
+    let hopeful = Criteria {
         objective: Some(Duration::from_millis(450)),
         ..want(&[])
     };
@@ -316,19 +322,19 @@
 fn what_other_cells_run_counts_until_they_tell_otherwise() {
     let mut places = places(0, &[("t1", NEAR, 2), ("t2", FAR, 2)]);
     let now = Instant::now();
-    places.cell_runs("d2", vec![(key_of("t1"), load(2, 0))], now);
-    places.cell_runs("d3", vec![(key_of("t2"), load(1, 0))], now);
-    places.peer_runs("h2", [(key_of("t2"), load(0, 1))], vec![], now);
+    places.set_cell_loads("d2", vec![(key_of("t1"), load(2, 0))], now);
+    places.set_cell_loads("d3", vec![(key_of("t2"), load(1, 0))], now);
+    places.set_peer_loads("h2", [(key_of("t2"), load(0, 1))], vec![], now);
     assert_eq!(places.load("t1"), load(2, 0));
     assert_eq!(places.load("t2"), load(1, 1));
     // A target that is known later finds what was told of it.
-    places.cell_runs("d2", vec![(key_of("t3"), load(1, 0))], now);
+    places.set_cell_loads("d2", vec![(key_of("t3"), load(1, 0))], now);
     places.upsert("t3", spec(NEAR, 2));
     assert_eq!(places.load("t1"), load(0, 0));
     assert_eq!(places.load("t3"), load(1, 0));
-    places.cell_down("d3");
+    places.remove_cell("d3");
     assert_eq!(places.load("t2"), load(0, 1));
-    places.forget_cells();
+    places.clear_cells();
     assert_eq!(places.load("t3"), load(0, 0));
 }
 
@@ -337,10 +343,10 @@
     let mut places = places(0, &[("t1", NEAR, 4), ("t2", FAR, 4)]);
     let now = Instant::now();
     places.begin_online("t1", now);
-    places.peer_runs("h2", [(key_of("t1"), load(1, 2))], vec![], now);
-    places.peer_runs("h3", [(key_of("t2"), load(0, 1))], vec![], now);
-    places.cell_runs("d2", vec![(key_of("t2"), load(3, 0))], now);
-    let mut sum = places.sum();
+    places.set_peer_loads("h2", [(key_of("t1"), load(1, 2))], vec![], now);
+    places.set_peer_loads("h3", [(key_of("t2"), load(0, 1))], vec![], now);
+    places.set_cell_loads("d2", vec![(key_of("t2"), load(3, 0))], now);
+    let mut sum = places.total_loads();
     sum.sort_by_key(|(key, _)| *key);
     let mut expected = vec![(key_of("t1"), load(2, 2)), (key_of("t2"), load(0, 1))];
     expected.sort_by_key(|(key, _)| *key);
@@ -351,9 +357,9 @@
 fn no_host_of_another_cell_is_asked_to_cut() {
     let mut places = places(0, &[("t1", NEAR, 1)]);
     let now = Instant::now();
-    places.cell_runs("d2", vec![(key_of("t1"), load(0, 1))], now);
+    places.set_cell_loads("d2", vec![(key_of("t1"), load(0, 1))], now);
     let choice = places.choose_online(&want(&[]), now).unwrap();
-    assert_eq!(choice.room, Room::Queue);
+    assert_eq!(choice.slot_source, SlotSource::Queue);
 }
 
 #[test]
@@ -361,12 +367,12 @@
     let mut places = places(0, &[]);
     let now = Instant::now();
     let born = |ms| Spec {
-        born_unix_ms: Some(ms),
+        started_unix_ms: Some(ms),
         ..spec(NEAR, 1)
     };
     places.upsert("t1", born(1_000));
     places.upsert("t2", born(1_000));
-    places.failed("t1", now);
+    places.record_connection_failure("t1", now);
     assert!(places.is_failing("t1", now));
     // The same entry again says nothing new.
     places.upsert("t1", born(1_000));
@@ -389,7 +395,7 @@
     #[case] expected: bool,
 ) {
     let now = Instant::now();
-    let mut places = Places::new(Config::default(), 1);
+    let mut places = Balancer::new(Config::default(), 1);
     let spec = Spec {
         slots,
         ..Spec::default()
@@ -402,19 +408,19 @@
         online: others,
         batch: 0,
     };
-    places.peer_runs("h2", [(key_of("t1"), load)], vec![], now);
-    assert_eq!(places.is_scarce("t1"), expected);
-    assert!(!places.is_scarce("unknown"));
+    places.set_peer_loads("h2", [(key_of("t1"), load)], vec![], now);
+    assert_eq!(places.has_scarce_slots("t1"), expected);
+    assert!(!places.has_scarce_slots("unknown"));
 }
 
 const COLD_LEFT: Duration = Duration::from_secs(3);
 
 /// Begins online requests until no slot is free and returns their number.
-fn begin_until_full(places: &mut Places, now: Instant) -> usize {
+fn begin_until_full(places: &mut Balancer, now: Instant) -> usize {
     let want = want(&[]);
     let mut sent = 0;
     while let Ok(choice) = places.choose_online(&want, now)
-        && choice.room == Room::Free
+        && choice.slot_source == SlotSource::Free
     {
         places.begin_online(&choice.target, now);
         sent += 1;
--- a/crates/routing/tests/belief.rs
+++ b/crates/routing/tests/belief.rs
@@ -4,6 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use notchwharf_routing::balancer::Spec;
 use notchwharf_routing::belief::Answered;
 use notchwharf_routing::belief::Belief;
 use notchwharf_routing::belief::Bounds;
@@ -11,7 +12,6 @@
 use notchwharf_routing::belief::Evidence;
 use notchwharf_routing::belief::Failure;
 use notchwharf_routing::belief::Record;
-use notchwharf_routing::places::Spec;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/routing/tests/difference.rs
+++ b/crates/routing/tests/difference.rs
@@ -9,6 +9,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use notchwharf_routing::balancer::Spec;
 use notchwharf_routing::belief::Answered;
 use notchwharf_routing::belief::Belief;
 use notchwharf_routing::belief::Bounds;
@@ -16,7 +17,6 @@
 use notchwharf_routing::belief::Evidence;
 use notchwharf_routing::belief::Position;
 use notchwharf_routing::belief::Record;
-use notchwharf_routing::places::Spec;
 use proptest::prelude::*;
 
 type Entry = (u8, Option<u8>);
--- a/crates/routing/tests/limit.rs
+++ b/crates/routing/tests/limit.rs
@@ -26,11 +26,11 @@
         .map(|_| {
             for _ in 0..10 {
                 now += ms(10);
-                limit.first_token(ms(first_ms), running, now);
-                limit.inter_token(ms(inter_ms), running, now);
+                limit.record_first_token(ms(first_ms), running, now);
+                limit.record_inter_token(ms(inter_ms), running, now);
             }
             now += Duration::from_secs(2);
-            limit.inter_token(ms(inter_ms), running, now);
+            limit.record_inter_token(ms(inter_ms), running, now);
             limit.streams()
         })
         .collect()
@@ -57,7 +57,7 @@
     let mut window = |limit: &mut Limit, inter_ms| {
         for _ in 0..64 {
             now += ms(1);
-            limit.inter_token(ms(inter_ms), limit.streams(), now);
+            limit.record_inter_token(ms(inter_ms), limit.streams(), now);
         }
         limit.streams()
     };
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -2,7 +2,7 @@
 //! fleets of 12 to 300 hosts make of it in virtual time.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod played;
+mod simulation;
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,10 +13,10 @@
 use notchwharf_routing::quarantine::Quarantine;
 use notchwharf_routing::quarantine::Told;
 use notchwharf_routing::quarantine::Verdict;
-use played::Fleet;
-use played::Trouble;
 use proptest::prelude::*;
 use rstest::rstest;
+use simulation::Fleet;
+use simulation::Trouble;
 
 const REQUEST: u128 = 7;
 const SOON: Duration = Duration::from_millis(80);
@@ -316,7 +316,7 @@
 ) {
     const PLAYS: u64 = 20;
     let plays = (0..PLAYS).map(|seed| Fleet::new(hosts, trouble, seed).play_deadly(2.0));
-    let plays: Vec<played::Deadly> = plays.collect();
+    let plays: Vec<simulation::Deadly> = plays.collect();
     let three = plays.iter().filter(|play| play.crashes <= 3).count();
     let most = plays.iter().map(|play| play.crashes).max().unwrap();
     let latest = plays.iter().map(|play| play.latest).max().unwrap();
--- a/crates/routing/tests/slots.rs
+++ b/crates/routing/tests/slots.rs
@@ -24,10 +24,10 @@
     let start = Instant::now();
     let mut slots = slots(start);
     for id in 0..15 {
-        slots.started(id, start + Duration::from_millis(id));
+        slots.begin(id, start + Duration::from_millis(id));
     }
     let now = start + Duration::from_secs(1);
-    slots.online("a1", 3, now);
+    slots.set_online("a1", 3, now);
     assert_eq!(slots.preempt(LIMIT, now), [14, 13]);
 }
 
@@ -35,35 +35,35 @@
 fn a_host_that_is_not_heard_any_more_takes_no_slots() {
     let start = Instant::now();
     let mut slots = slots(start);
-    slots.online("a1", 10, start);
-    assert!(slots.room(LIMIT, start) <= 5);
+    slots.set_online("a1", 10, start);
+    assert!(slots.available(LIMIT, start) <= 5);
     let later = start + Duration::from_secs(10);
-    assert_eq!(slots.room(LIMIT, later), LIMIT - 1);
+    assert_eq!(slots.available(LIMIT, later), LIMIT - 1);
 }
 
 #[rstest]
 fn a_jump_is_remembered_as_a_reserve_and_then_forgotten() {
     let start = Instant::now();
     let mut slots = slots(start);
-    slots.online("a1", 6, start);
-    slots.online("a1", 0, start);
-    assert_eq!(slots.room(LIMIT, start), LIMIT - 6);
+    slots.set_online("a1", 6, start);
+    slots.set_online("a1", 0, start);
+    assert_eq!(slots.available(LIMIT, start), LIMIT - 6);
     let later = start + Duration::from_secs(3);
-    assert_eq!(slots.room(LIMIT, later), LIMIT - 1);
+    assert_eq!(slots.available(LIMIT, later), LIMIT - 1);
 }
 
 #[rstest]
 fn an_item_that_must_run_alone_does() {
     let start = Instant::now();
     let mut slots = slots(start);
-    slots.started(1, start);
-    assert!(!slots.room_alone(LIMIT, start));
-    slots.ended(1);
-    assert!(slots.room_alone(LIMIT, start));
-    slots.started_alone(2, start);
-    assert_eq!(slots.room(LIMIT, start), 0);
-    slots.ended(2);
-    assert_eq!(slots.room(LIMIT, start), LIMIT - 1);
+    slots.begin(1, start);
+    assert!(!slots.can_start_exclusive(LIMIT, start));
+    slots.end(1);
+    assert!(slots.can_start_exclusive(LIMIT, start));
+    slots.begin_exclusive(2, start);
+    assert_eq!(slots.available(LIMIT, start), 0);
+    slots.end(2);
+    assert_eq!(slots.available(LIMIT, start), LIMIT - 1);
 }
 
 proptest! {
@@ -78,12 +78,12 @@
         let mut next = 0;
         for (host, streams, ms) in steps {
             now += Duration::from_millis(ms);
-            slots.online(&host.to_string(), streams, now);
+            slots.set_online(&host.to_string(), streams, now);
             for id in slots.preempt(LIMIT, now) {
-                slots.ended(id);
+                slots.end(id);
             }
-            for _ in 0..slots.room(LIMIT, now) {
-                slots.started(next, now);
+            for _ in 0..slots.available(LIMIT, now) {
+                slots.begin(next, now);
                 next += 1;
             }
             let online = slots.online_streams(now);
@@ -96,8 +96,8 @@
     let mut table = Table::new(table::Config::default(), 1);
     for id in targets {
         let report = Report {
-            online: true,
-            holds: vec!["m".into()],
+            is_for_online: true,
+            models: vec!["m".into()],
             ..Report::default()
         };
         table.upsert(id, report, now);
@@ -110,13 +110,13 @@
     let now = Instant::now();
     let mut table = table(&["t1", "t2", "t3"], now);
     let leaving = Report {
-        online: true,
-        leaving: true,
-        holds: vec!["m".into()],
+        is_for_online: true,
+        is_leaving: true,
+        models: vec!["m".into()],
         ..Report::default()
     };
     table.upsert("t1", leaving, now);
-    table.failed("t2", now);
+    table.record_failure("t2", now);
     for prefix in 0..100 {
         assert_eq!(table.choose("m", prefix, &[], now), Ok("t3".to_owned()));
     }
@@ -124,7 +124,7 @@
     assert!(matches!(none, Err(Refusal::NoTarget { .. })));
     let later = now + Duration::from_secs(1);
     assert!(
-        table.is_open("t2", later),
+        table.is_available("t2", later),
         "A failed target is tried again."
     );
 }
@@ -160,16 +160,16 @@
 fn a_flood_of_one_tenant_leaves_room_for_others() {
     let mut admission = Admission::new(100);
     let mut flood = 0;
-    admission.enter("small", 1).ok();
-    while admission.enter("large", 1).is_ok() {
+    admission.admit("small", 1).ok();
+    while admission.admit("large", 1).is_ok() {
         flood += 1;
     }
     assert!(flood < 99, "{flood}");
     for _ in 0..10 {
-        assert_eq!(admission.enter("small", 1), Ok(()));
+        assert_eq!(admission.admit("small", 1), Ok(()));
     }
     for _ in 0..flood {
-        admission.leave("large");
+        admission.release("large");
     }
     assert_eq!(admission.in_flight(), 11);
 }
--- a/crates/server/src/api/chat.rs
+++ b/crates/server/src/api/chat.rs
@@ -59,7 +59,7 @@
 impl Admitted {
     fn enter(ctx: &Arc<Context>, caller: &Caller) -> Result<Self, Problem> {
         let tenant = caller.tenant.name.clone();
-        let entered = lock(&ctx.admission).enter(&tenant, caller.tenant.weight);
+        let entered = lock(&ctx.admission).admit(&tenant, caller.tenant.weight);
         entered.map_err(|shed| Problem::Shed {
             retry_after: shed.retry_after,
         })?;
@@ -73,7 +73,7 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        lock(&self.ctx.admission).leave(&self.tenant);
+        lock(&self.ctx.admission).release(&self.tenant);
     }
 }
 
--- a/crates/server/src/api/lot.rs
+++ b/crates/server/src/api/lot.rs
@@ -189,7 +189,7 @@
         self.parts_bytes = 0;
         let len = u16::try_from(parts.len()).unwrap_or(u16::MAX);
         let blob = Blob { parts };
-        for pause in budget::pauses(rand::random()).take(WRITE_TRIES) {
+        for pause in budget::backoff(rand::random()).take(WRITE_TRIES) {
             if let Ok(id) = self.ctx.write_blob(&blob).await {
                 let first = self.items - u32::from(len);
                 let blob = id;
--- a/crates/server/src/api/services.rs
+++ b/crates/server/src/api/services.rs
@@ -115,7 +115,7 @@
     let fingerprint = service_fingerprint(&outgoing.service);
     let mut tried = Vec::new();
     let mut sent = false;
-    let mut pauses = budget::pauses(rand::random());
+    let mut pauses = budget::backoff(rand::random());
     loop {
         let now = Instant::now();
         let chosen = ctx
@@ -134,12 +134,12 @@
         ctx.table().end(&target);
         let call = match res {
             Ok(resp) => {
-                lock(&ctx.budget).earn();
+                lock(&ctx.budget).deposit();
                 return Ok(resp);
             }
             Err(call) => call,
         };
-        ctx.table().failed(&target, Instant::now());
+        ctx.table().record_failure(&target, Instant::now());
         tried.push(target);
         if call != Call::NotSent {
             sent = true;
@@ -150,7 +150,7 @@
         ctx.metrics.count(Counted::Retries, "service");
         let pause = pauses.next().unwrap_or_default();
         let late = Instant::now() + pause >= outgoing.deadline;
-        if late || !lock(&ctx.budget).spend() {
+        if late || !lock(&ctx.budget).withdraw() {
             let retry_after = Duration::from_secs(1);
             return Err(if sent {
                 Problem::OutcomeUnknown
--- a/crates/server/src/dispatch.rs
+++ b/crates/server/src/dispatch.rs
@@ -99,7 +99,7 @@
 
     async fn handle(&mut self, online: Online, ctx: &mut Context<Self>) {
         let now = Instant::now();
-        self.slots.online(&online.host, online.streams, now);
+        self.slots.set_online(&online.host, online.streams, now);
         self.preempt(now);
         self.fill(now, ctx);
     }
@@ -170,7 +170,7 @@
 
     async fn handle(&mut self, ran: Ran, ctx: &mut Context<Self>) {
         let Ran(id, end) = ran;
-        self.slots.ended(id);
+        self.slots.end(id);
         self.running.remove(&id);
         match end {
             End::Settled => {}
@@ -196,14 +196,14 @@
             }
             // The slot counts as free from here on; the stream's end finds it
             // so already.
-            self.slots.ended(id);
+            self.slots.end(id);
         }
     }
 
     /// Starts items while there is room.
     fn fill(&mut self, now: Instant, ctx: &mut Context<Self>) {
         let leaving = self.shared.phase() >= Phase::Leaving;
-        let open = self.shared.table().is_open(&self.target, now);
+        let open = self.shared.table().is_available(&self.target, now);
         if leaving || !open || self.misses >= MISSES_MAX {
             return;
         }
@@ -212,9 +212,9 @@
         while let Some(item) = self.ready.front() {
             let suspect = u32::from(item.handed.work.attempts) >= alone_after.max(1);
             let room = if suspect {
-                self.slots.room_alone(limit, now)
+                self.slots.can_start_exclusive(limit, now)
             } else {
-                self.slots.room(limit, now) > 0
+                self.slots.available(limit, now) > 0
             };
             if !room {
                 return;
@@ -238,9 +238,9 @@
         let id = self.next_id;
         self.next_id += 1;
         if alone {
-            self.slots.started_alone(id, now);
+            self.slots.begin_exclusive(id, now);
         } else {
-            self.slots.started(id, now);
+            self.slots.begin(id, now);
         }
         let (cancel, cancelled) = oneshot::channel();
         let running = Running {
@@ -271,13 +271,13 @@
     fn pull(&mut self, ctx: &mut Context<Self>) {
         let leaving = self.shared.phase() >= Phase::Leaving;
         let now = Instant::now();
-        let closed = !self.shared.table().is_open(&self.target, now);
+        let closed = !self.shared.table().is_available(&self.target, now);
         let full = self.shared.unsettled.count() >= UNSETTLED_MAX;
         if self.pulling || leaving || closed || full || self.misses >= MISSES_MAX {
             return;
         }
         let limit = self.shared.table().limit(&self.target);
-        let room = self.slots.room(limit, now);
+        let room = self.slots.available(limit, now);
         // A few stand ready, so that a freed slot is filled without asking
         // first. Few are taken at a time: a target that took all it could run
         // would leave others idle beside a small job.
--- a/crates/server/src/item.rs
+++ b/crates/server/src/item.rs
@@ -132,7 +132,8 @@
 fn note(ctx: &Context, target: &str, seen: &Seen<'_>) {
     if let Seen::Load(load) = seen {
         let streams = load.running + load.waiting;
-        ctx.table().told(target, streams, Instant::now());
+        ctx.table()
+            .set_reported_streams(target, streams, Instant::now());
     }
 }
 
@@ -151,13 +152,13 @@
             Verdict::Failed(Failure::Rejected { status })
         }
         Broken::NotSent => {
-            ctx.table().failed(target, Instant::now());
+            ctx.table().record_failure(target, Instant::now());
             return End::Parked(Box::new(item));
         }
         Broken::Refused(404) => return End::GivenBack(Box::new(item)),
         Broken::Refused(_) => return End::Parked(Box::new(item)),
         _ => {
-            ctx.table().failed(target, Instant::now());
+            ctx.table().record_failure(target, Instant::now());
             let before = item.handed.work.attempts;
             Verdict::TargetFailed { before }
         }
@@ -204,7 +205,7 @@
         item: handed.work.item,
         verdict,
     };
-    for pause in budget::pauses(rand::random()) {
+    for pause in budget::backoff(rand::random()) {
         match crate::ledger::ask(&ctx, handed.shard, settle.clone()).await {
             Ok(_) => {
                 ctx.metrics.count(Counted::Items, label);
--- a/crates/server/src/keyed.rs
+++ b/crates/server/src/keyed.rs
@@ -53,7 +53,7 @@
     let shard = ledger::shard_of(ctx, &key_id(&call));
     let time = Duration::from_millis(call.timeout_ms).min(ledger::SEARCH_TIME);
     let deadline = Instant::now() + time;
-    for pause in budget::pauses(rand::random()) {
+    for pause in budget::backoff(rand::random()) {
         let res = run_once(ctx, shard, call.clone()).await;
         let retry = matches!(res, Err(KeyedError::NotRun(Refused::NotOwner { .. })));
         if !retry || Instant::now() + pause >= deadline {
@@ -192,7 +192,7 @@
             }
             Ok(Err(report)) if *report.current_context() == Call::NotSent => {
                 ctx.metrics.count(Counted::Retries, "not sent");
-                ctx.table().failed(&target, now);
+                ctx.table().record_failure(&target, now);
                 tried.push(target);
             }
             _ => return Err(Sent::Maybe),
@@ -259,7 +259,7 @@
 
 /// Gives a command to the shard's owner until it is taken.
 async fn record(ctx: Arc<Context>, shard: ShardId, command: Command) {
-    for pause in budget::pauses(rand::random()) {
+    for pause in budget::backoff(rand::random()) {
         match ledger::ask(&ctx, shard, command.clone()).await {
             Ok(_) | Err(Refused::Invalid(_)) => return,
             Err(_) => tokio::time::sleep(pause).await,
--- a/crates/server/src/ledger.rs
+++ b/crates/server/src/ledger.rs
@@ -57,7 +57,7 @@
 ) -> Result<Reply, Refused> {
     let deadline = Instant::now() + SEARCH_TIME;
     let again = !matches!(command, Command::KeyStart { .. } | Command::Take { .. });
-    for pause in budget::pauses(rand::random()) {
+    for pause in budget::backoff(rand::random()) {
         let res = ask_once(ctx, shard, command.clone()).await;
         let retry = match &res {
             Err(Refused::NotOwner { .. }) => true,
--- a/crates/server/src/members.rs
+++ b/crates/server/src/members.rs
@@ -213,20 +213,20 @@
     {
         return Some(Report {
             incarnation: listed.map_or(0, |l| l.incarnation),
-            leaving: listed.is_none_or(|l| l.leaving) || known.is_some_and(|k| k.leaving),
-            online: true,
-            batch: false,
-            holds: vec![service_fingerprint(service)],
+            is_leaving: listed.is_none_or(|l| l.leaving) || known.is_some_and(|k| k.leaving),
+            is_for_online: true,
+            is_for_batch: false,
+            models: vec![service_fingerprint(service)],
         });
     }
     let known = known?;
     let unlisted = listed.is_none();
     Some(Report {
         incarnation: known.incarnation,
-        leaving: known.leaving || unlisted,
-        online: known.role != ROLE_BATCH,
-        batch: known.role != ROLE_ONLINE,
-        holds: known.holds.clone(),
+        is_leaving: known.leaving || unlisted,
+        is_for_online: known.role != ROLE_BATCH,
+        is_for_batch: known.role != ROLE_ONLINE,
+        models: known.holds.clone(),
     })
 }
 
--- a/crates/server/src/online.rs
+++ b/crates/server/src/online.rs
@@ -76,7 +76,7 @@
     let mut progress = Progress::default();
     let mut tried = Vec::new();
     let mut sent = false;
-    let mut pauses = budget::pauses(rand::random());
+    let mut pauses = budget::backoff(rand::random());
     loop {
         let trial = match quarantine::admit(ctx, &req).await {
             Ok(trial) => trial,
@@ -91,7 +91,7 @@
                 // The target that broke is the only one; it may be back.
                 tried.clear();
                 pause(&mut pauses, req.deadline).await?;
-                if !lock(&ctx.budget).spend() {
+                if !lock(&ctx.budget).withdraw() {
                     return Err(Failure::Broken);
                 }
                 continue;
@@ -103,7 +103,7 @@
         let res = run_on(ctx, &req, &target, &mut progress, grown.as_ref()).await;
         let broken = match res {
             Ok(()) => {
-                lock(&ctx.budget).earn();
+                lock(&ctx.budget).deposit();
                 quarantine::ended_well(ctx, &req);
                 let took = started.elapsed();
                 ctx.metrics
@@ -123,13 +123,13 @@
             Broken::Deadline => return Err(Failure::Deadline),
             Broken::Refused(status @ (400 | 413 | 422)) => return Err(Failure::Rejected(status)),
             Broken::Refused(404 | 429 | 503) => {}
-            _ => ctx.table().failed(&target, Instant::now()),
+            _ => ctx.table().record_failure(&target, Instant::now()),
         }
         tried.push(target);
         if grown.as_ref().is_some_and(mpsc::UnboundedSender::is_closed) {
             return Err(Failure::Gone);
         }
-        if !lock(&ctx.budget).spend() {
+        if !lock(&ctx.budget).withdraw() {
             return Err(Failure::Broken);
         }
         pause(&mut pauses, req.deadline).await?;
@@ -161,7 +161,7 @@
     let Some(previous) = req.route.previous.clone() else {
         return first;
     };
-    if table.is_held(&req.route.fingerprint) {
+    if table.is_served(&req.route.fingerprint) {
         return first;
     }
     let chosen = table.choose(&previous, req.prefix, tried, now)?;
@@ -192,7 +192,7 @@
 
 /// Tells the target's holder how many online streams this host has there.
 fn tell_holder(ctx: &Context, target: &str) {
-    let streams = ctx.table().own(target);
+    let streams = ctx.table().own_streams(target);
     let host = ctx.host().clone();
     if let Some(dispatcher) = ctx.dispatcher(target) {
         post(&dispatcher, Online { host, streams });
@@ -219,7 +219,7 @@
 pub(crate) async fn repeat_notices(ctx: Arc<Context>) {
     let mut ticks = ctx.timer.subscribe(NOTICE_PERIOD);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
-        let busy = ctx.table().busy();
+        let busy = ctx.table().targets_in_use();
         for target in busy {
             tell_holder(&ctx, &target);
         }
@@ -253,17 +253,18 @@
     let observe = |seen: Seen<'_>| match seen {
         Seen::Load(load) => {
             let streams = load.running + load.waiting;
-            ctx.table().told(target, streams, Instant::now());
+            ctx.table()
+                .set_reported_streams(target, streams, Instant::now());
         }
         Seen::Grown { text, tokens, took } => {
             let now = Instant::now();
             if first {
-                ctx.table().first_token(target, took, now);
+                ctx.table().record_first_token(target, took, now);
                 let metrics = &ctx.metrics;
                 metrics.time(Timed::FirstToken, Class::Online, &req.tenant, took);
             } else {
                 let took = took / tokens.max(1);
-                ctx.table().inter_token(target, took, now);
+                ctx.table().record_inter_token(target, took, now);
                 inter.record(took);
             }
             first = false;
--- a/crates/standins/src/lab.rs
+++ b/crates/standins/src/lab.rs
@@ -230,9 +230,9 @@
             for id in 0..shape.targets {
                 let online = !matches!(policy, Policy::Split(k) if id < k);
                 let report = Report {
-                    online,
-                    batch: true,
-                    holds: vec![HELD.into()],
+                    is_for_online: online,
+                    is_for_batch: true,
+                    models: vec![HELD.into()],
                     ..Report::default()
                 };
                 lab.tables[host].upsert(&name(id), report, base);
@@ -349,7 +349,7 @@
     }
 
     fn tell(&mut self, host: usize, target: usize) {
-        let streams = self.tables[host].own(&name(target));
+        let streams = self.tables[host].own_streams(&name(target));
         let way = self.one_way(host, self.holder(target));
         let notice = Event::Notice(target, host, streams, self.now_us);
         self.at(self.now_us + way, notice);
@@ -358,7 +358,7 @@
     fn notice(&mut self, target: usize, host: usize, streams: u32, cause_us: u64) {
         let now = self.now();
         let slots = &mut self.targets[target].slots;
-        slots.online(&host.to_string(), streams, now);
+        slots.set_online(&host.to_string(), streams, now);
         let counts = matches!(
             self.policy,
             Policy::Direct(..) | Policy::ThroughHolder(_) | Policy::Tokens(_)
@@ -366,7 +366,7 @@
         if counts {
             let limit = self.limit(target);
             for id in self.targets[target].slots.preempt(limit, now) {
-                self.targets[target].slots.ended(id);
+                self.targets[target].slots.end(id);
                 self.out.preempted += 1;
                 let way = self.one_way(self.holder(target), target);
                 self.at(self.now_us + way, Event::Cancel(id, cause_us));
@@ -406,7 +406,7 @@
                     limit.saturating_sub(state.slots.batch_streams())
                 }
                 Policy::Tokens(_) => self.token_room(target, limit, now),
-                _ => state.slots.room(limit, now),
+                _ => state.slots.available(limit, now),
             };
             if free == 0 {
                 return;
@@ -415,7 +415,7 @@
             let stream = parked.unwrap_or_else(|| self.item(target));
             let id = self.add(stream);
             let state = &mut self.targets[target];
-            state.slots.started(id, now);
+            state.slots.begin(id, now);
             state.batch_tokens += stream.prompt + stream.tokens;
             let way = self.one_way(self.holder(target), target);
             self.at(self.now_us + way, Event::Submit(id));
@@ -515,14 +515,14 @@
             if offset == 0 {
                 let first = self.now_us - stream.arrived_us;
                 record(&mut self.out.first_us, first);
-                table.first_token(&target, took, now);
+                table.record_first_token(&target, took, now);
                 let model = &self.targets[stream.target].model;
                 let streams = model.running() + model.waiting();
                 let streams = u32::try_from(streams).unwrap_or(u32::MAX);
-                table.told(&target, streams, now);
+                table.set_reported_streams(&target, streams, now);
             } else {
                 record(&mut self.out.inter_us, micros(took));
-                table.inter_token(&target, took, now);
+                table.record_inter_token(&target, took, now);
             }
         }
         if !last {
@@ -536,7 +536,7 @@
         }
         self.out.batch_items += 1;
         let state = &mut self.targets[stream.target];
-        state.slots.ended(id);
+        state.slots.end(id);
         state.batch_tokens -= stream.prompt + stream.tokens;
         self.fill(stream.target);
     }
