--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -20,15 +20,15 @@
 use notchwharf_listen::Phase;
 use notchwharf_proto::news;
 use notchwharf_proto::news::News;
-use notchwharf_quota::Asked;
+use notchwharf_quota::Action;
 use notchwharf_quota::Bounds;
+use notchwharf_quota::BucketParams;
+use notchwharf_quota::Decision;
 use notchwharf_quota::Fleet;
 use notchwharf_quota::HostKey;
+use notchwharf_quota::Limiter;
 use notchwharf_quota::Message;
-use notchwharf_quota::Node;
-use notchwharf_quota::Reaction;
-use notchwharf_quota::Taken;
-use notchwharf_quota::Terms;
+use notchwharf_quota::Query;
 use notchwharf_quota::WorkspaceKey;
 use notchwharf_quota::host_key;
 use notchwharf_quota::workspace_key;
@@ -66,8 +66,8 @@
 
 /// What this host knows of limits.
 pub(crate) struct Limits {
-    node: Mutex<Node>,
-    waiting: Mutex<HashMap<u32, oneshot::Sender<Taken>>>,
+    node: Mutex<Limiter>,
+    waiting: Mutex<HashMap<u32, oneshot::Sender<Decision>>>,
     addrs: Mutex<HashMap<HostKey, SocketAddr>>,
     bounds: Bounds,
     own: HostKey,
@@ -78,7 +78,7 @@
         let own = host_key(&settings.host.name);
         let limits = &settings.access.limits;
         Self {
-            node: Mutex::new(Node::new(own, rand::random(), Instant::now())),
+            node: Mutex::new(Limiter::new(own, rand::random(), Instant::now())),
             waiting: Mutex::default(),
             addrs: Mutex::default(),
             bounds: Bounds {
@@ -90,10 +90,10 @@
         }
     }
 
-    fn terms(&self, table: &Table) -> HashMap<WorkspaceKey, Terms> {
+    fn terms(&self, table: &Table) -> HashMap<WorkspaceKey, BucketParams> {
         let workspaces = table.workspaces().into_iter().flat_map(|all| all.iter());
         let limited = workspaces.filter_map(|workspace| {
-            let terms = Terms::of(workspace.limit?, self.bounds);
+            let terms = BucketParams::new(workspace.limit?, self.bounds);
             Some((workspace_key(&workspace.name), terms))
         });
         limited.collect()
@@ -113,9 +113,9 @@
         let ctx = &self.ctx;
         let mut node = lock(&ctx.limits.node);
         if self.is_used {
-            return node.ran(self.number);
+            return node.confirm(self.number);
         }
-        let told = node.give_back(self.number, Instant::now());
+        let told = node.refund(self.number, Instant::now());
         drop(node);
         ctx.metrics.count(Counted::Limits, "given back");
         if let Some((to, message)) = told {
@@ -143,32 +143,32 @@
     let patience = objective.min(left) / PATIENCE_PART;
     let (number, taken) = ask(ctx, workspace, patience, begun).await;
     match taken {
-        Taken::Given { after } => {
+        Decision::Admitted { delay } => {
             let permit = Permit {
                 ctx: Arc::clone(ctx),
                 number,
                 is_used: false,
             };
-            let label = if after.is_zero() {
+            let label = if delay.is_zero() {
                 "let in"
             } else {
                 "let in after a wait"
             };
             ctx.metrics.count(Counted::Limits, label);
-            if !after.is_zero() {
-                tokio::time::sleep(after).await;
+            if !delay.is_zero() {
+                tokio::time::sleep(delay).await;
             }
             Ok(Some(permit))
         }
-        Taken::Refused { retry_after } => {
+        Decision::Refused { retry_after } => {
             ctx.metrics.count(Counted::Limits, "refused");
             Err(Failure::OverLimit {
                 retry_after: retry_after.max(RETRY_MIN),
             })
         }
-        Taken::CannotTell => {
+        Decision::Unknown => {
             ctx.metrics.count(Counted::Limits, "nobody could tell");
-            let retry_after = lock(&ctx.limits.node).come_back(Instant::now());
+            let retry_after = lock(&ctx.limits.node).retry_after(Instant::now());
             let drawn = rand::rng().random_range(0..UNKNOWN_SPREAD_MS);
             Err(Failure::NotRun {
                 retry_after: retry_after + Duration::from_millis(drawn),
@@ -185,17 +185,17 @@
     workspace: &Holder,
     patience: Duration,
     begun: Instant,
-) -> (u32, Taken) {
+) -> (u32, Decision) {
     let key = workspace_key(&workspace.name);
     loop {
-        let asked = lock(&ctx.limits.node).ask(key, patience, Instant::now());
+        let asked = lock(&ctx.limits.node).query(key, patience, Instant::now());
         let (number, taken) = answer(ctx, asked).await;
-        if taken != Taken::CannotTell {
+        if taken != Decision::Unknown {
             ctx.startup.note(Need::Limits, "holder");
         }
         let is_late = begun.elapsed() + AGAIN > patience;
         let is_settled = ctx.startup.age() >= STARTING;
-        if taken != Taken::CannotTell || is_late || is_settled {
+        if taken != Decision::Unknown || is_late || is_settled {
             return (number, taken);
         }
         tokio::time::sleep(AGAIN).await;
@@ -203,10 +203,13 @@
 }
 
 /// Sees a question through to its answer.
-async fn answer(ctx: &Context, asked: Asked) -> (u32, Taken) {
+async fn answer(ctx: &Context, asked: Query) -> (u32, Decision) {
     let (number, to, message) = match asked {
-        Asked::Answered { number, taken } => return (number, taken),
-        Asked::Sent {
+        Query::Decided {
+            number,
+            decision: taken,
+        } => return (number, taken),
+        Query::Sent {
             number,
             to,
             message,
@@ -219,17 +222,19 @@
     let give_up = Instant::now() + GIVE_UP;
     loop {
         if let Ok(answer) = tokio::time::timeout(AGAIN, &mut answered).await {
-            return (number, answer.unwrap_or(Taken::CannotTell));
+            return (number, answer.unwrap_or(Decision::Unknown));
         }
         let now = Instant::now();
         if now >= give_up {
-            return (number, Taken::CannotTell);
+            return (number, Decision::Unknown);
         }
         ctx.metrics.count(Counted::Limits, "asked again");
-        let again = lock(&ctx.limits.node).ask_again(number, now);
+        let again = lock(&ctx.limits.node).retry_query(number, now);
         match again {
-            Some(Asked::Sent { to, message, .. }) => send(ctx, to, message),
-            Some(Asked::Answered { taken, .. }) => return (number, taken),
+            Some(Query::Sent { to, message, .. }) => send(ctx, to, message),
+            Some(Query::Decided {
+                decision: taken, ..
+            }) => return (number, taken),
             // Its answer has come in between.
             None => {}
         }
@@ -245,7 +250,7 @@
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
         lock(&self.ctx.limits.waiting).remove(&self.number);
-        lock(&self.ctx.limits.node).give_up(self.number);
+        lock(&self.ctx.limits.node).cancel_query(self.number);
     }
 }
 
@@ -268,15 +273,18 @@
     let now = Instant::now();
     let reaction = lock(&ctx.limits.node).receive(told.host, &told.message, now);
     match reaction {
-        Reaction::None => {}
-        Reaction::Reply(message) => send_to(ctx, addr, message),
-        Reaction::Asked(Asked::Sent { to, message, .. }) => send(ctx, to, message),
-        Reaction::Asked(Asked::Answered { number, taken }) => {
+        Action::None => {}
+        Action::Reply(message) => send_to(ctx, addr, message),
+        Action::Query(Query::Sent { to, message, .. }) => send(ctx, to, message),
+        Action::Query(Query::Decided {
+            number,
+            decision: taken,
+        }) => {
             let waiting = lock(&ctx.limits.waiting).remove(&number);
             let is_taken = waiting.is_some_and(|waiting| waiting.send(taken).is_ok());
             // Its caller has gone, or it was given up.
-            if !is_taken && matches!(taken, Taken::Given { .. }) {
-                let told = lock(&ctx.limits.node).give_back(number, now);
+            if !is_taken && matches!(taken, Decision::Admitted { .. }) {
+                let told = lock(&ctx.limits.node).refund(number, now);
                 if let Some((to, message)) = told {
                     send(ctx, to, message);
                 }
@@ -301,7 +309,7 @@
         {
             let terms = ctx.limits.terms(&table);
             ctx.metrics.set("limited_workspaces", terms.len());
-            lock(&ctx.limits.node).set_terms(terms, Instant::now());
+            lock(&ctx.limits.node).set_limits(terms, Instant::now());
         }
         for (to, message) in tick(&ctx) {
             send(&ctx, to, message);
@@ -313,7 +321,7 @@
 
 /// Asks the store for the allowance of a slot that this host has begun to hold.
 fn ask_allowance(ctx: &Arc<Context>) {
-    let Some(slot) = lock(&ctx.limits.node).wants_allowance() else {
+    let Some(slot) = lock(&ctx.limits.node).next_allowance_request() else {
         return;
     };
     let ctx = Arc::clone(ctx);
@@ -328,7 +336,7 @@
         };
         let mut node = lock(&ctx.limits.node);
         match asked {
-            Ok(Some(asked)) => node.allow(slot, asked, Instant::now()),
+            Ok(Some(asked)) => node.grant_allowance(slot, asked, Instant::now()),
             Ok(None) | Err(_) => node.deny_allowance(slot),
         }
         drop(node);
@@ -340,7 +348,7 @@
 
 /// Lets all parts go that other hosts have lent to this one.
 pub(crate) fn stop_holding(ctx: &Context) {
-    lock(&ctx.limits.node).stop_holding(Instant::now());
+    lock(&ctx.limits.node).release_leases(Instant::now());
 }
 
 /// Looks who should hold what; returns what is to be sent.
@@ -358,10 +366,10 @@
     *lock(&ctx.limits.addrs) = addrs.collect();
     let alive = keys(|peer| peer.could_hold);
     let fleet = Fleet {
-        alive: &alive,
-        listed: &keys(|_| true),
-        silent: &keys(|peer| peer.is_silent),
-        is_whole: ctx.peers.is_fleet_known(),
+        holder_candidates: &alive,
+        members: &keys(|_| true),
+        expired: &keys(|peer| peer.is_silent),
+        is_complete: ctx.peers.is_fleet_known(),
     };
     let is_staying = ctx.phase() < Phase::Leaving || alive.is_empty();
     let mut node = lock(&ctx.limits.node);
@@ -369,7 +377,7 @@
 }
 
 fn note_holding(ctx: &Context, is_holding: &mut bool) {
-    let shares = lock(&ctx.limits.node).shares();
+    let shares = lock(&ctx.limits.node).held_shares();
     let held: f64 = shares.iter().sum();
     ctx.metrics
         .set("limits_held_percent", (held * 100.0).round() as usize);
--- a/crates/gateway/src/limits/allowance.rs
+++ b/crates/gateway/src/limits/allowance.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_quota::SlotNumber;
-use notchwharf_quota::may_allow;
+use notchwharf_quota::HolderSlot;
+use notchwharf_quota::is_allowance_due;
 
 use crate::ports::Entry;
 use crate::ports::Read;
@@ -32,7 +32,7 @@
 /// Returns the store's failure; then they must not.
 pub(super) async fn ask(
     store: &Store,
-    slot: SlotNumber,
+    slot: HolderSlot,
     window: Duration,
 ) -> Result<Option<Instant>, StoreError> {
     let key = slot.to_string();
@@ -43,7 +43,7 @@
     let last_unix_ms = last.map(|record| decode(record).unwrap_or(u64::MAX));
     let asked = Instant::now();
     let now_unix_ms = unix_ms();
-    if !may_allow(last_unix_ms, now_unix_ms, window) {
+    if !is_allowance_due(last_unix_ms, now_unix_ms, window) {
         return Ok(None);
     }
     let value = postcard::to_stdvec(&now_unix_ms).expect("Numbers are representable.");
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -26,15 +26,15 @@
 use notchwharf_routing::places::Choice;
 use notchwharf_routing::places::Places;
 use notchwharf_routing::places::TargetKey;
-use notchwharf_waiting::Begin;
-use notchwharf_waiting::Expected;
-use notchwharf_waiting::Line;
-use notchwharf_waiting::Open;
+use notchwharf_waiting::FreeSlots;
 use notchwharf_waiting::Request;
+use notchwharf_waiting::RetrySchedule;
 use notchwharf_waiting::ServiceKey;
-use notchwharf_waiting::Shares;
+use notchwharf_waiting::SlotUsage;
+use notchwharf_waiting::StartDecision;
+use notchwharf_waiting::StartEstimate;
 use notchwharf_waiting::Ticket;
-use notchwharf_waiting::Turns;
+use notchwharf_waiting::WaitQueue;
 use notchwharf_waiting::key;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -82,9 +82,9 @@
 
 #[derive(Default)]
 struct State {
-    line: Line,
-    shares: Shares,
-    turns: Turns,
+    line: WaitQueue,
+    shares: SlotUsage,
+    turns: RetrySchedule,
     /// When a host of another data centre last told that requests wait there.
     short_at: HashMap<DataCentreId, Instant>,
     entries: HashMap<Ticket, Entry>,
@@ -186,17 +186,17 @@
             service: key(&wanted.service),
             workspace: wanted.workspace.as_deref().map_or(0, key),
             priority: wanted.standing.priority,
-            since: wanted.since,
-            latest: wanted.due.checked_sub(pace).unwrap_or(now),
+            waiting_since: wanted.since,
+            start_deadline: wanted.due.checked_sub(pace).unwrap_or(now),
         };
-        let ticket = state.line.enter(request, now);
+        let ticket = state.line.enqueue(request, now);
         state.entries.insert(ticket, Entry { wanted, outcome });
         self.count.store(state.line.len(), Ordering::Relaxed);
         Ok(ticket)
     }
 
     fn take_out(&self, state: &mut State, ticket: Ticket) -> Option<Entry> {
-        state.line.leave(ticket);
+        state.line.remove(ticket);
         self.count.store(state.line.len(), Ordering::Relaxed);
         state.entries.remove(&ticket)
     }
@@ -212,31 +212,31 @@
     fn serve(&self, state: &mut State, service: ServiceKey, now: Instant) {
         while let Some(first) = state.line.first(service, &state.shares) {
             let Some(entry) = state.entries.get(&first.ticket) else {
-                state.line.leave(first.ticket);
+                state.line.remove(first.ticket);
                 continue;
             };
             let want = entry.wanted.want(&self.uses.data_centre);
             let mut places = lock(&self.uses.places);
             let drain = places.drain(&want, now);
-            let open: Vec<Open> = drain.open.iter().copied().map(open).collect();
+            let open: Vec<FreeSlots> = drain.open.iter().copied().map(open).collect();
             let per_s = drain.per_s.unwrap_or_default();
-            let begin = state.line.may_begin(&first, &open, per_s, now);
+            let begin = state.line.may_start(&first, &open, per_s, now);
             let spoken_for = |target, data_centre: &str| {
                 let is_short = state.is_short(data_centre, now);
                 if is_short {
                     u32::MAX
                 } else {
-                    state.line.promised(target, now)
+                    state.line.reserved(target, now)
                 }
             };
             let choice = match begin {
-                Begin::Any => places.choose_free(&want, spoken_for, now),
-                Begin::At(target) => {
+                StartDecision::Any => places.choose_free(&want, spoken_for, now),
+                StartDecision::At(target) => {
                     let id = places.id_of(target);
                     id.and_then(|id| places.choose_handed(&want, id, now))
                 }
                 // Elsewhere there may be more than enough.
-                Begin::Wait if drain.has_near => {
+                StartDecision::Wait if drain.has_near => {
                     let spoken_for = |target, data_centre: &str| {
                         let is_near = data_centre == self.uses.data_centre;
                         if is_near {
@@ -247,7 +247,7 @@
                     };
                     places.choose_free(&want, spoken_for, now)
                 }
-                Begin::Wait => None,
+                StartDecision::Wait => None,
             };
             let Some(choice) = choice else {
                 return;
@@ -285,10 +285,12 @@
         let drain = lock(&self.uses.places).drain(&want, now);
         // Nobody has seen a request end yet: then time alone tells.
         let per_s = drain.per_s.unwrap_or(f64::INFINITY);
-        let expected = state.line.expect(service, per_s, &state.shares, now);
+        let expected = state
+            .line
+            .estimate_starts(service, per_s, &state.shares, now);
         let hosts = self.hosts.load(Ordering::Relaxed);
         for late in expected.into_iter().filter(|expected| expected.is_late) {
-            let retry_after = state.turns.next(late.wait, per_s, hosts, now);
+            let retry_after = state.turns.next_retry_after(late.wait, per_s, hosts, now);
             self.tell_refused(state, late, per_s, retry_after, now);
             self.decide(state, late.ticket, Err(Refused::NoRoom { retry_after }));
         }
@@ -297,7 +299,7 @@
     fn tell_refused(
         &self,
         state: &State,
-        late: Expected,
+        late: StartEstimate,
         per_s: f64,
         retry_after: Duration,
         now: Instant,
@@ -306,8 +308,8 @@
             return;
         };
         let workspace = wanted.workspace.as_deref();
-        let held = workspace.map(|name| state.shares.held(key(name)));
-        let level = workspace.map(|name| state.shares.level(key(name)));
+        let held = workspace.map(|name| state.shares.slots_in_use(key(name)));
+        let level = workspace.map(|name| state.shares.overuse_level(key(name)));
         slog::info!(self.uses.logger, "request refused, no room in time";
             "id" => wanted.id.as_str(), "workspace" => workspace,
             "priority" => wanted.standing.priority, "held" => held, "level" => level,
@@ -333,12 +335,12 @@
 
     /// Counts a place that a workspace's request takes here.
     pub(crate) fn begin(&self, workspace: &str, weight: f64) {
-        lock(&self.state).shares.begin(key(workspace), weight);
+        lock(&self.state).shares.acquire(key(workspace), weight);
     }
 
     /// Counts the end of a workspace's request here.
     pub(crate) fn end(&self, workspace: &str) {
-        lock(&self.state).shares.end(key(workspace));
+        lock(&self.state).shares.release(key(workspace));
     }
 
     /// Notes how many hosts share the places near by.
@@ -359,8 +361,11 @@
     }
 }
 
-fn open((target, places): (TargetKey, u32)) -> Open {
-    Open { target, places }
+fn open((target, places): (TargetKey, u32)) -> FreeSlots {
+    FreeSlots {
+        target,
+        count: places,
+    }
 }
 
 /// Looks at the line until the host stops.
--- a/crates/gateway/src/waiting/handing.rs
+++ b/crates/gateway/src/waiting/handing.rs
@@ -6,8 +6,8 @@
 use notchwharf_routing::places::TargetId;
 use notchwharf_routing::places::TargetKey;
 use notchwharf_routing::places::key_of;
-use notchwharf_waiting::First;
-use notchwharf_waiting::Next;
+use notchwharf_waiting::Assignment;
+use notchwharf_waiting::QueuedRequest;
 use notchwharf_waiting::key;
 
 use super::State;
@@ -32,12 +32,12 @@
             key(&places.spec(target)?.service)
         };
         let State { line, shares, .. } = &mut *state;
-        match line.next(service, key_of(target), shares, now)? {
-            Next::Own(first) => {
+        match line.assign_freed(service, key_of(target), shares, now)? {
+            Assignment::Local(first) => {
                 self.hand_over(&mut state, first, target, now);
                 None
             }
-            Next::Peer(host) => {
+            Assignment::Peer(host) => {
                 self.uses.metrics.count(Counted::Line, "handed to a peer");
                 Some(host)
             }
@@ -66,7 +66,7 @@
         }
     }
 
-    fn hand_over(&self, state: &mut State, first: First, target: &TargetId, now: Instant) {
+    fn hand_over(&self, state: &mut State, first: QueuedRequest, target: &TargetId, now: Instant) {
         let Some(entry) = state.entries.get(&first.ticket) else {
             return;
         };
--- a/crates/gateway/src/waiting/told.rs
+++ b/crates/gateway/src/waiting/told.rs
@@ -3,8 +3,8 @@
 use std::time::Instant;
 
 use notchwharf_proto::news;
-use notchwharf_waiting::Held;
-use notchwharf_waiting::Told;
+use notchwharf_waiting::RequestSummary;
+use notchwharf_waiting::WorkspaceUsage;
 
 use super::Waiting;
 use crate::sync::lock;
@@ -21,33 +21,33 @@
         if !state.line.is_contended() {
             return None;
         }
-        let waiting = state.line.told(&state.shares, now);
+        let waiting = state.line.summary(&state.shares, now);
         let waiting = waiting.into_iter().map(|told| news::WaitingRequest {
             service: told.service,
             priority: told.priority,
-            level: told.level,
+            level: told.overuse_level,
             age_ms: millis(told.age),
         });
-        let held = state.shares.told().into_iter().map(|held| news::Held {
+        let held = state.shares.summary().into_iter().map(|held| news::Held {
             workspace: held.workspace,
             weight_milli: (held.weight * MILLI) as u64,
-            places: held.places,
+            places: held.slots,
         });
         Some(news::Contention {
             waiting: waiting.collect(),
             held: held.collect(),
-            handed: state.line.handed(now),
+            handed: state.line.recent_transfers(now),
         })
     }
 
     /// Takes in what waits at a peer near by, and what is held there.
     pub(crate) fn peer_tells(&self, host: &str, told: Option<news::Contention>, now: Instant) {
         let told = told.unwrap_or_default();
-        let waiting: Vec<Told> = told.waiting.iter().map(decode_waiting).collect();
+        let waiting: Vec<RequestSummary> = told.waiting.iter().map(decode_waiting).collect();
         let held = told.held.iter().map(decode_held).collect();
         let mut state = lock(&self.state);
-        state.shares.tell(host, held);
-        if state.line.tell(host, &waiting, &told.handed, now) {
+        state.shares.update_peer(host, held);
+        if state.line.update_peer(host, &waiting, &told.handed, now) {
             drop(state);
             self.wake();
         }
@@ -62,26 +62,26 @@
     /// Forgets a peer that is down.
     pub(crate) fn peer_down(&self, host: &str) {
         let mut state = lock(&self.state);
-        state.shares.forget(host);
-        state.line.forget(host);
+        state.shares.remove_peer(host);
+        state.line.remove_peer(host);
         drop(state);
         self.wake();
     }
 }
 
-fn decode_waiting(told: &news::WaitingRequest) -> Told {
-    Told {
+fn decode_waiting(told: &news::WaitingRequest) -> RequestSummary {
+    RequestSummary {
         service: told.service,
         priority: told.priority,
-        level: told.level,
+        overuse_level: told.level,
         age: ms(told.age_ms),
     }
 }
 
-fn decode_held(told: &news::Held) -> Held {
-    Held {
+fn decode_held(told: &news::Held) -> WorkspaceUsage {
+    WorkspaceUsage {
         workspace: told.workspace,
         weight: told.weight_milli as f64 / MILLI,
-        places: told.places,
+        slots: told.places,
     }
 }
--- a/crates/quota/benches/decide.rs
+++ b/crates/quota/benches/decide.rs
@@ -13,9 +13,9 @@
 use notchwharf_config::access::Workspace;
 use notchwharf_config::access::Workspaces;
 use notchwharf_quota::Bounds;
+use notchwharf_quota::BucketParams;
 use notchwharf_quota::Fleet;
-use notchwharf_quota::Node;
-use notchwharf_quota::Terms;
+use notchwharf_quota::Limiter;
 use notchwharf_quota::workspace_key;
 
 const WORKSPACES: usize = 16_000;
@@ -43,16 +43,16 @@
         slack: 20.0,
     };
     let limited = workspaces.iter().filter_map(|workspace| {
-        let terms = Terms::of(workspace.limit?, bounds);
+        let terms = BucketParams::new(workspace.limit?, bounds);
         Some((workspace_key(&workspace.name), terms))
     });
     let start = Instant::now();
-    let mut node = Node::new(1, 0, start);
-    node.set_terms(limited.collect(), start);
+    let mut node = Limiter::new(1, 0, start);
+    node.set_limits(limited.collect(), start);
     let later = start + Duration::from_secs(5);
     let fleet = Fleet {
-        listed: &[1],
-        is_whole: true,
+        members: &[1],
+        is_complete: true,
         ..Fleet::default()
     };
     node.tick(&fleet, true, later);
@@ -64,7 +64,7 @@
     group.bench_function("may it go", |b| {
         b.iter(|| {
             let key = workspace_key(black_box("workspace-12345"));
-            node.ask(key, Duration::ZERO, now)
+            node.query(key, Duration::ZERO, now)
         });
     });
     group.finish();
--- a/crates/quota/examples/ways.rs
+++ b/crates/quota/examples/ways.rs
@@ -1,19 +1,19 @@
 //! The ways to share a limit against each other, on the same seeds: `cargo run --release
 //! -p notchwharf-quota --example ways`. At 1,000 hosts the first two take long.
 
-#[path = "../tests/played/mod.rs"]
-mod played;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
 use notchwharf_config::access::RateLimit;
-use played::Fleet;
-use played::Way;
-use played::days::LARGE;
-use played::days::SECOND;
-use played::days::SMALL;
-use played::days::WARM;
-use played::days::drawn;
-use played::days::load;
-use played::days::steps;
+use simulation::Fleet;
+use simulation::Way;
+use simulation::days::LARGE;
+use simulation::days::SECOND;
+use simulation::days::SMALL;
+use simulation::days::WARM;
+use simulation::days::drawn;
+use simulation::days::load;
+use simulation::days::steps;
 
 fn main() {
     for hosts in [12, 61, 300, 1_000] {
--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/allowance.rs
@@ -22,7 +22,7 @@
 
 /// Returns whether an allowance may be taken now that was last taken, or asked for, at a
 /// time of day; nothing if it never was. What parts bring late counts too.
-pub fn may_allow(last_unix_ms: Option<u64>, now_unix_ms: u64, window: Duration) -> bool {
+pub fn is_allowance_due(last_unix_ms: Option<u64>, now_unix_ms: u64, window: Duration) -> bool {
     let Some(last_unix_ms) = last_unix_ms else {
         return true;
     };
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -9,7 +9,7 @@
 use crate::HostKey;
 use crate::WorkspaceKey;
 use crate::bucket::Bucket;
-use crate::terms::Terms;
+use crate::limit::BucketParams;
 
 /// Time for which parts bring their allowance after it was asked for: a healthy store
 /// answers within some ten milliseconds, and parts come within three calls. Two that are
@@ -22,11 +22,11 @@
 
 /// What came of a request's question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Decision {
     /// It may go when so much time has passed.
-    Given {
+    Admitted {
         /// The time.
-        after: Duration,
+        delay: Duration,
     },
     /// The limit is reached.
     Refused {
@@ -34,7 +34,7 @@
         retry_after: Duration,
     },
     /// No part is lent to the holder, or it knows of no such limit.
-    CannotTell,
+    Unknown,
 }
 
 /// Part of a slot from which on its holder asks for the allowance: more than half, which
@@ -54,7 +54,7 @@
     parts: HashMap<HostKey, Part>,
     /// The sum of the parts.
     share: f64,
-    terms: HashMap<WorkspaceKey, Terms>,
+    terms: HashMap<WorkspaceKey, BucketParams>,
     buckets: HashMap<WorkspaceKey, Bucket>,
     /// When the next part falls back.
     next_end: Option<Instant>,
@@ -71,7 +71,7 @@
     #[default]
     Unasked,
     /// It was asked for.
-    Asked,
+    Query,
     /// It was not given, or is over.
     Closed,
     /// Parts that come until then bring their allowance, each once.
@@ -85,7 +85,7 @@
     /// Puts other limits in force. Buckets of the first limits begin empty: nobody knows
     /// what went before. Later ones belong to limits that were not there before, under
     /// which nothing is counted, and begin full.
-    pub(crate) fn set_terms(&mut self, terms: HashMap<WorkspaceKey, Terms>, now: Instant) {
+    pub(crate) fn set_limits(&mut self, terms: HashMap<WorkspaceKey, BucketParams>, now: Instant) {
         self.settle(now);
         let is_first = self.terms.is_empty();
         self.terms = terms;
@@ -121,14 +121,14 @@
 
     /// Returns whether the allowance should be asked for: nearly all of the slot is here,
     /// so that no other host has as much, and nobody has asked since.
-    pub(crate) fn wants_allowance(&self, whole: f64) -> bool {
+    pub(crate) fn next_allowance_request(&self, whole: f64) -> bool {
         let is_new = matches!(self.allowance, Allowance::Unasked);
         is_new && self.has_limits() && self.share >= whole * SHARE_MIN
     }
 
     /// Notes that the allowance is being asked for.
     pub(crate) fn ask_allowance(&mut self) {
-        self.allowance = Allowance::Asked;
+        self.allowance = Allowance::Query;
     }
 
     /// Notes that the allowance is not given.
@@ -145,7 +145,7 @@
     /// Takes the allowance: for the parts that are here, and for those to come. Its time
     /// runs from when it was asked for, which the record says, and not from the store's
     /// answer: that may be late, and the next one be given meanwhile.
-    pub(crate) fn allow(&mut self, asked: Instant, now: Instant) {
+    pub(crate) fn grant_allowance(&mut self, asked: Instant, now: Instant) {
         self.allowance = Allowance::Open {
             until: asked + ALLOWANCE_TIME,
             brought: HashSet::new(),
@@ -239,7 +239,7 @@
         workspace: WorkspaceKey,
         patience: Duration,
         now: Instant,
-    ) -> Taken {
+    ) -> Decision {
         self.expire(now);
         let certain = self.next_end.map(|end| end.saturating_duration_since(now));
         let patience = patience.min(certain.unwrap_or_default());
@@ -247,26 +247,26 @@
         let (Some(terms), Some(bucket)) =
             (self.terms.get(&workspace), self.buckets.get_mut(&workspace))
         else {
-            return Taken::CannotTell;
+            return Decision::Unknown;
         };
         if self.share <= 0.0 {
-            return Taken::CannotTell;
+            return Decision::Unknown;
         }
         let terms = terms.share(self.share);
         bucket.fill(terms, now);
-        if let Some(after) = bucket.take(terms, patience) {
-            return Taken::Given { after };
+        if let Some(delay) = bucket.take(terms, patience) {
+            return Decision::Admitted { delay };
         }
         if is_pending {
-            return Taken::CannotTell;
+            return Decision::Unknown;
         }
-        Taken::Refused {
-            retry_after: bucket.come_back(terms, now),
+        Decision::Refused {
+            retry_after: bucket.retry_after(terms, now),
         }
     }
 
     /// Takes back what a request took that did not go.
-    pub(crate) fn give_back(&mut self, workspace: WorkspaceKey, now: Instant) {
+    pub(crate) fn refund(&mut self, workspace: WorkspaceKey, now: Instant) {
         self.expire(now);
         let terms = self.terms.get(&workspace);
         if let (Some(terms), Some(bucket)) = (terms, self.buckets.get_mut(&workspace)) {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -8,28 +8,28 @@
 //! started again, and no clock is compared with another.
 //!
 //! The path of a request costs one question to another host and no more. There are
-//! [`SLOTS`] holders at a time with half of each part each: when one is gone, the other
+//! [`HOLDER_SLOTS`] holders at a time with half of each part each: when one is gone, the other
 //! still lets in half of every limit until parts are lent anew.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
 //! use notchwharf_config::access::RateLimit;
-//! use notchwharf_quota::{Asked, Bounds, Fleet, Node, Taken, Terms, workspace_key};
+//! use notchwharf_quota::{Bounds, BucketParams, Decision, Fleet, Limiter, Query, workspace_key};
 //!
 //! let start = Instant::now();
 //! let bounds = Bounds { window: Duration::from_secs(5), excess: 0.1, slack: 20.0 };
 //! let limit = RateLimit { per_s: 10.0, burst: 10.0 };
 //! let choir = workspace_key("choir");
-//! let mut node = Node::new(1, 0, start);
-//! node.set_terms([(choir, Terms::of(limit, bounds))].into(), start);
+//! let mut limiter = Limiter::new(1, 0, start);
+//! limiter.set_limits([(choir, BucketParams::new(limit, bounds))].into(), start);
 //! // A host that starts does not lend at once: it may have lent before.
 //! let later = start + Duration::from_secs(4);
-//! let fleet = Fleet { listed: &[1], is_whole: true, ..Fleet::default() };
-//! node.tick(&fleet, true, later);
+//! let fleet = Fleet { members: &[1], is_complete: true, ..Fleet::default() };
+//! limiter.tick(&fleet, true, later);
 //! let after = later + Duration::from_millis(500);
-//! node.tick(&fleet, true, after);
-//! let asked = node.ask(choir, Duration::ZERO, after);
-//! assert!(matches!(asked, Asked::Answered { taken: Taken::Given { .. }, .. }));
+//! limiter.tick(&fleet, true, after);
+//! let query = limiter.query(choir, Duration::ZERO, after);
+//! assert!(matches!(query, Query::Decided { decision: Decision::Admitted { .. }, .. }));
 //! ```
 //!
 //! Ways that were rejected, with figures, are in `docs/design/limits.md`: counts that
@@ -37,21 +37,21 @@
 
 mod allowance;
 mod bucket;
+mod grantor;
 mod holder;
-mod lender;
+mod limit;
+mod limiter;
 mod message;
-mod node;
-mod terms;
 
-pub use self::allowance::may_allow;
-pub use self::holder::Taken;
-pub use self::message::Asked;
+pub use self::allowance::is_allowance_due;
+pub use self::holder::Decision;
+pub use self::limit::Bounds;
+pub use self::limit::BucketParams;
+pub use self::limiter::Fleet;
+pub use self::limiter::Limiter;
+pub use self::message::Action;
 pub use self::message::Message;
-pub use self::message::Reaction;
-pub use self::node::Fleet;
-pub use self::node::Node;
-pub use self::terms::Bounds;
-pub use self::terms::Terms;
+pub use self::message::Query;
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -60,11 +60,11 @@
 /// The short form of a workspace's name.
 pub type WorkspaceKey = u64;
 /// The number of one of the holders that there are at a time.
-pub type SlotNumber = u8;
+pub type HolderSlot = u8;
 
 /// Holders at a time. With one, its death stops every limited workspace for as long as
 /// parts are lent; with three, more is told than gained.
-pub const SLOTS: usize = 2;
+pub const HOLDER_SLOTS: usize = 2;
 
 /// Returns the short form of a host's name.
 pub fn host_key(name: &str) -> HostKey {
--- a/crates/quota/src/terms.rs
+++ b/crates/quota/src/limit.rs
@@ -23,9 +23,9 @@
 
 /// A bucket that fills at a rate up to a capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct BucketParams {
     /// Requests a second.
-    pub per_s: f64,
+    pub refill_per_s: f64,
     /// Requests that fit.
     pub capacity: f64,
     /// Requests with which a bucket begins whose holder does not know what went before,
@@ -33,16 +33,16 @@
     pub allowance: f64,
 }
 
-impl Terms {
+impl BucketParams {
     /// Returns the terms under which no span exceeds the bounds. A bucket lets in at
     /// most its capacity and what flows in during a span, and one that takes its place
     /// the allowance on top; the two share the burst, the excess and the slack.
-    pub fn of(limit: RateLimit, bounds: Bounds) -> Self {
+    pub fn new(limit: RateLimit, bounds: Bounds) -> Self {
         let owed = limit.per_s * bounds.window.as_secs_f64() + limit.burst;
         let tolerance = owed * bounds.excess + bounds.slack;
         let allowance = bounds.slack * ALLOWANCE_PART;
         Self {
-            per_s: limit.per_s,
+            refill_per_s: limit.per_s,
             capacity: limit.burst + tolerance - allowance,
             allowance,
         }
@@ -51,7 +51,7 @@
     /// Returns the terms of a share.
     pub(crate) fn share(self, share: f64) -> Self {
         Self {
-            per_s: self.per_s * share,
+            refill_per_s: self.refill_per_s * share,
             capacity: self.capacity * share,
             allowance: self.allowance * share,
         }
--- a/crates/quota/src/node.rs
+++ b/crates/quota/src/limiter.rs
@@ -1,6 +1,6 @@
 //! One host's part in all this: what it lends, what it holds, and what it asks.
 
-mod questions;
+mod queries;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::HOLDER_SLOTS;
+use crate::HolderSlot;
 use crate::HostKey;
-use crate::SLOTS;
-use crate::SlotNumber;
 use crate::WorkspaceKey;
+use crate::grantor::Lender;
+use crate::holder::Decision;
 use crate::holder::Holder;
-use crate::holder::Taken;
-use crate::lender::Lender;
+use crate::limit::BucketParams;
+use crate::message::Action;
 use crate::message::Message;
-use crate::message::Reaction;
 use crate::message::millis;
-use crate::terms::Terms;
 
-use self::questions::Open;
+use self::queries::Open;
 
 /// Time between two calls of a holder to lend it parts, in a fleet of up to
 /// [`HOSTS_PER_CALL`] hosts. Each call costs a datagram to every host and one back, some
@@ -60,21 +60,21 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fleet<'a> {
     /// Other hosts that could hold a slot, as far as this one hears them.
-    pub alive: &'a [HostKey],
+    pub holder_candidates: &'a [HostKey],
     /// All hosts.
-    pub listed: &'a [HostKey],
+    pub members: &'a [HostKey],
     /// Those of them that have been silent for so long that they hold nothing any more.
-    pub silent: &'a [HostKey],
-    /// Whether no host can be missing from `listed`.
-    pub is_whole: bool,
+    pub expired: &'a [HostKey],
+    /// Whether no host can be missing from `members`.
+    pub is_complete: bool,
 }
 
 /// One host.
 #[derive(Debug)]
-pub struct Node {
+pub struct Limiter {
     own: HostKey,
     started: Instant,
-    slots: [Slot; SLOTS],
+    slots: [Slot; HOLDER_SLOTS],
     /// The hosts of the fleet, with this one, as its own list has them.
     hosts: u32,
     /// Whether that list is whole.
@@ -100,7 +100,7 @@
     given: HashMap<u32, (usize, WorkspaceKey)>,
 }
 
-impl Node {
+impl Limiter {
     /// Returns a host that has just started.
     /// `drawn` is another number at each start.
     pub fn new(own: HostKey, drawn: u32, now: Instant) -> Self {
@@ -130,15 +130,15 @@
     }
 
     /// Puts other limits in force.
-    pub fn set_terms(&mut self, terms: HashMap<WorkspaceKey, Terms>, now: Instant) {
+    pub fn set_limits(&mut self, terms: HashMap<WorkspaceKey, BucketParams>, now: Instant) {
         for slot in &mut self.slots {
-            slot.holder.set_terms(terms.clone(), now);
+            slot.holder.set_limits(terms.clone(), now);
         }
     }
 
     /// Lets all parts go that were lent to this host, before it leaves the list of hosts:
     /// one that starts anew asks those in the list who holds its part.
-    pub fn stop_holding(&mut self, now: Instant) {
+    pub fn release_leases(&mut self, now: Instant) {
         for slot in &mut self.slots {
             slot.holder.let_go(now);
         }
@@ -146,7 +146,7 @@
 
     /// Returns when to come back where nobody could tell: a host that has just started
     /// lends its parts when those that it may have lent before are back.
-    pub fn come_back(&self, now: Instant) -> Duration {
+    pub fn retry_after(&self, now: Instant) -> Duration {
         let gap = call_gap(self.hosts);
         let lends_at = self.started + gap * (CALLS_VALID + 1);
         lends_at.saturating_duration_since(now).max(gap)
@@ -159,31 +159,31 @@
 
     /// Returns a slot that this host holds without knowing what was let in before, if the
     /// allowance of its buckets has not been asked for; it counts as asked for then. The
-    /// caller finds out whether [`may_allow`](crate::may_allow) lets it be taken.
-    pub fn wants_allowance(&mut self) -> Option<SlotNumber> {
-        let whole = 1.0 / SLOTS as f64;
+    /// caller finds out whether [`is_allowance_due`](crate::is_allowance_due) lets it be taken.
+    pub fn next_allowance_request(&mut self) -> Option<HolderSlot> {
+        let whole = 1.0 / HOLDER_SLOTS as f64;
         let mut slots = self.slots.iter_mut().enumerate();
-        let (number, slot) = slots.find(|(_, slot)| slot.holder.wants_allowance(whole))?;
+        let (number, slot) = slots.find(|(_, slot)| slot.holder.next_allowance_request(whole))?;
         slot.holder.ask_allowance();
-        Some(number as SlotNumber)
+        Some(number as HolderSlot)
     }
 
     /// Notes that the buckets of a slot begin without the allowance.
-    pub fn deny_allowance(&mut self, slot: SlotNumber) {
+    pub fn deny_allowance(&mut self, slot: HolderSlot) {
         if let Some(slot) = self.slots.get_mut(usize::from(slot)) {
             slot.holder.deny_allowance();
         }
     }
 
     /// Lets the buckets of a slot begin with the allowance that was asked for at a moment.
-    pub fn allow(&mut self, slot: SlotNumber, asked: Instant, now: Instant) {
+    pub fn grant_allowance(&mut self, slot: HolderSlot, asked: Instant, now: Instant) {
         if let Some(slot) = self.slots.get_mut(usize::from(slot)) {
-            slot.holder.allow(asked, now);
+            slot.holder.grant_allowance(asked, now);
         }
     }
 
     /// Returns the share of each slot that this host holds.
-    pub fn shares(&self) -> [f64; SLOTS] {
+    pub fn held_shares(&self) -> [f64; HOLDER_SLOTS] {
         std::array::from_fn(|slot| self.slots[slot].holder.share())
     }
 
@@ -195,17 +195,17 @@
         is_staying: bool,
         now: Instant,
     ) -> Vec<(HostKey, Message)> {
-        let listed = fleet.listed.iter().copied();
+        let listed = fleet.members.iter().copied();
         let others: Vec<HostKey> = listed.filter(|host| *host != self.own).collect();
         self.hosts = u32::try_from(others.len() + 1).unwrap_or(u32::MAX);
-        self.is_list_whole = fleet.is_whole;
-        self.alive = fleet.alive.to_vec();
+        self.is_list_whole = fleet.is_complete;
+        self.alive = fleet.holder_candidates.to_vec();
         let age = now.saturating_duration_since(self.started);
         let is_starting = age < STARTING;
         let mut told = Vec::new();
-        if is_starting && fleet.is_whole && !self.is_known_where {
+        if is_starting && fleet.is_complete && !self.is_known_where {
             let speaking = others.iter().copied();
-            let speaking = speaking.filter(|host| !fleet.silent.contains(host));
+            let speaking = speaking.filter(|host| !fleet.expired.contains(host));
             let speaking: Vec<HostKey> = speaking.collect();
             told = self.ask_where(&speaking, now);
         }
@@ -226,9 +226,9 @@
 
     /// Returns whether this host has most parts of each slot that it should hold.
     fn has_gathered(&self) -> bool {
-        let mine = (0..SLOTS).filter(|slot| self.best(*slot) == self.own);
+        let mine = (0..HOLDER_SLOTS).filter(|slot| self.best(*slot) == self.own);
         let mut shares = mine.map(|slot| self.slots[slot].holder.share());
-        shares.all(|share| share >= GATHERED_MIN / SLOTS as f64)
+        shares.all(|share| share >= GATHERED_MIN / HOLDER_SLOTS as f64)
     }
 
     /// Asks the hosts that have not said yet what they hold of this one's parts.
@@ -265,7 +265,7 @@
         let Some(hosts) = self.fleet() else {
             return calls;
         };
-        for number in 0..SLOTS {
+        for number in 0..HOLDER_SLOTS {
             self.slots[number].callers.retain(|_, until| now < *until);
             self.slots[number].holder.expire(now);
             if !is_staying || self.best(number) != self.own {
@@ -274,7 +274,7 @@
             self.lend_to_self(number, hosts, valid, now);
             for host in others {
                 let message = Message::Call {
-                    slot: number as SlotNumber,
+                    slot: number as HolderSlot,
                     stamp_ms,
                     valid_ms: millis(valid),
                     is_held: self.slots[number].holder.has(*host, now),
@@ -317,7 +317,7 @@
 
     /// Returns the part of each slot that one of so many hosts lends.
     fn part(&self, hosts: u32) -> f64 {
-        1.0 / (f64::from(hosts.max(1)) * SLOTS as f64)
+        1.0 / (f64::from(hosts.max(1)) * HOLDER_SLOTS as f64)
     }
 
     fn stamp_ms(&self, now: Instant) -> u64 {
@@ -326,7 +326,7 @@
     }
 
     /// Takes in what another host tells.
-    pub fn receive(&mut self, from: HostKey, message: &Message, now: Instant) -> Reaction {
+    pub fn receive(&mut self, from: HostKey, message: &Message, now: Instant) -> Action {
         match *message {
             Message::Call {
                 slot,
@@ -344,7 +344,7 @@
                 hosts,
             } => {
                 self.lent(from, slot, stamp_ms, hosts, now);
-                Reaction::None
+                Action::None
             }
             Message::Ask {
                 slot,
@@ -356,51 +356,51 @@
                 self.asked(slot, number, workspace, patience, now)
             }
             Message::Given { number, after_ms } => {
-                let after = Duration::from_millis(after_ms.into());
-                self.answered(number, Taken::Given { after }, now)
+                let delay = Duration::from_millis(after_ms.into());
+                self.answered(number, Decision::Admitted { delay }, now)
             }
             Message::Refused {
                 number,
                 retry_after_ms,
             } => {
                 let retry_after = Duration::from_millis(retry_after_ms.into());
-                self.answered(number, Taken::Refused { retry_after }, now)
+                self.answered(number, Decision::Refused { retry_after }, now)
             }
-            Message::Unknown { number } => self.answered(number, Taken::CannotTell, now),
-            Message::AskHeld => Reaction::Reply(Message::Held {
+            Message::Unknown { number } => self.answered(number, Decision::Unknown, now),
+            Message::AskHeld => Action::Reply(Message::Held {
                 slots: self.held_of(from, now),
             }),
             Message::Held { slots } => {
                 self.held_at.insert(from, slots);
-                Reaction::None
+                Action::None
             }
             Message::GivenBack { slot, workspace } => {
                 if let Some(slot) = self.slots.get_mut(usize::from(slot)) {
-                    slot.holder.give_back(workspace, now);
+                    slot.holder.refund(workspace, now);
                 }
-                Reaction::None
+                Action::None
             }
         }
     }
 
     /// Returns which of a host's parts are held here, a bit for each slot.
     fn held_of(&self, host: HostKey, now: Instant) -> u8 {
-        let held = (0..SLOTS).filter(|slot| self.slots[*slot].holder.has(host, now));
+        let held = (0..HOLDER_SLOTS).filter(|slot| self.slots[*slot].holder.has(host, now));
         held.fold(0, |bits, slot| bits | 1 << slot)
     }
 
     fn called(
         &mut self,
         from: HostKey,
-        number: SlotNumber,
+        number: HolderSlot,
         stamp_ms: u64,
         valid_ms: u32,
         is_held: bool,
         now: Instant,
-    ) -> Reaction {
+    ) -> Action {
         let place = usize::from(number);
-        let Some(hosts) = self.fleet().filter(|_| place < SLOTS) else {
-            return Reaction::None;
+        let Some(hosts) = self.fleet().filter(|_| place < HOLDER_SLOTS) else {
+            return Action::None;
         };
         let valid = Duration::from_millis(valid_ms.into());
         self.slots[place].callers.insert(from, now + valid);
@@ -410,10 +410,10 @@
         let is_free = self.is_free(place) && is_best;
         let slot = &mut self.slots[place];
         if !slot.lender.may_lend(from, is_held, is_free, valid, now) {
-            return Reaction::None;
+            return Action::None;
         }
         slot.lender.lend(from, valid, now);
-        Reaction::Reply(Message::Lent {
+        Action::Reply(Message::Lent {
             slot: number,
             stamp_ms,
             hosts,
@@ -421,7 +421,7 @@
     }
 
     /// Counts a part from when this host called for it, however late the answer is.
-    fn lent(&mut self, from: HostKey, slot: SlotNumber, stamp_ms: u64, hosts: u32, now: Instant) {
+    fn lent(&mut self, from: HostKey, slot: HolderSlot, stamp_ms: u64, hosts: u32, now: Instant) {
         let part = self.part(hosts);
         let (valid, since_ms) = self.valid;
         // Other stamps are of an earlier start of this host, or named another time.
--- a/crates/quota/src/node/questions.rs
+++ b/crates/quota/src/limiter/queries.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::Node;
+use super::Limiter;
 use super::rank;
+use crate::HOLDER_SLOTS;
+use crate::HolderSlot;
 use crate::HostKey;
-use crate::SLOTS;
-use crate::SlotNumber;
 use crate::WorkspaceKey;
-use crate::holder::Taken;
-use crate::message::Asked;
+use crate::holder::Decision;
+use crate::message::Action;
 use crate::message::Message;
-use crate::message::Reaction;
+use crate::message::Query;
 use crate::message::millis;
 use crate::message::short_millis;
 
@@ -27,33 +27,33 @@
     /// The slot that was asked last.
     slot: usize,
     /// Slots that have refused, with when there is room again.
-    refused: [Option<Duration>; SLOTS],
+    refused: [Option<Duration>; HOLDER_SLOTS],
     /// Times that a slot was asked.
     asked: usize,
 }
 
 impl Open {
     /// Returns what its host is told if nobody lets the request go.
-    fn refusal(&self) -> Taken {
+    fn refusal(&self) -> Decision {
         let soonest = self.refused.iter().flatten().min();
-        soonest.map_or(Taken::CannotTell, |retry_after| Taken::Refused {
+        soonest.map_or(Decision::Unknown, |retry_after| Decision::Refused {
             retry_after: *retry_after,
         })
     }
 }
 
-impl Node {
+impl Limiter {
     /// Asks whether a request of a workspace may go, now or within a time.
-    pub fn ask(&mut self, workspace: WorkspaceKey, patience: Duration, now: Instant) -> Asked {
+    pub fn query(&mut self, workspace: WorkspaceKey, patience: Duration, now: Instant) -> Query {
         self.next_number = self.next_number.wrapping_add(1);
         let number = self.next_number;
         // Both holders are asked by turns, so that both are used up evenly.
-        let slot = number as usize % SLOTS;
+        let slot = number as usize % HOLDER_SLOTS;
         let open = Open {
             workspace,
             patience,
             slot,
-            refused: [None; SLOTS],
+            refused: [None; HOLDER_SLOTS],
             asked: 0,
         };
         self.go_on(number, open, now)
@@ -61,19 +61,19 @@
 
     /// Asks the other holder, the first one having been silent for some time; nothing if
     /// the question was answered meanwhile.
-    pub fn ask_again(&mut self, number: u32, now: Instant) -> Option<Asked> {
+    pub fn retry_query(&mut self, number: u32, now: Instant) -> Option<Query> {
         let mut open = self.open.remove(&number)?;
-        open.slot = (open.slot + 1) % SLOTS;
+        open.slot = (open.slot + 1) % HOLDER_SLOTS;
         Some(self.go_on(number, open, now))
     }
 
     /// Gives a question up.
-    pub fn give_up(&mut self, number: u32) {
+    pub fn cancel_query(&mut self, number: u32) {
         self.open.remove(&number);
     }
 
-    fn go_on(&mut self, number: u32, mut open: Open, now: Instant) -> Asked {
-        for _ in 0..SLOTS {
+    fn go_on(&mut self, number: u32, mut open: Open, now: Instant) -> Query {
+        for _ in 0..HOLDER_SLOTS {
             let slot = open.slot;
             if open.refused[slot].is_none() {
                 open.asked += 1;
@@ -81,30 +81,30 @@
                     Some(host) if host == self.own => {
                         let holder = &mut self.slots[slot].holder;
                         match holder.take(open.workspace, open.patience, now) {
-                            Taken::Given { after } => {
-                                return self.given(number, slot, open.workspace, after);
+                            Decision::Admitted { delay } => {
+                                return self.given(number, slot, open.workspace, delay);
                             }
-                            Taken::Refused { retry_after } => {
+                            Decision::Refused { retry_after } => {
                                 open.refused[slot] = Some(retry_after);
                             }
-                            Taken::CannotTell => {}
+                            Decision::Unknown => {}
                         }
                     }
                     Some(host) => return self.send(number, open, host),
                     None => {}
                 }
             }
-            open.slot = (slot + 1) % SLOTS;
+            open.slot = (slot + 1) % HOLDER_SLOTS;
         }
-        Asked::Answered {
+        Query::Decided {
             number,
-            taken: open.refusal(),
+            decision: open.refusal(),
         }
     }
 
-    fn send(&mut self, number: u32, open: Open, to: HostKey) -> Asked {
+    fn send(&mut self, number: u32, open: Open, to: HostKey) -> Query {
         let message = Message::Ask {
-            slot: open.slot as SlotNumber,
+            slot: open.slot as HolderSlot,
             number,
             workspace: open.workspace,
             patience_ms: short_millis(open.patience),
@@ -116,7 +116,7 @@
                 .retain(|known, _| known.wrapping_sub(oldest) < OPEN_MAX as u32);
         }
         self.open.insert(number, open);
-        Asked::Sent {
+        Query::Sent {
             number,
             to,
             message,
@@ -128,16 +128,16 @@
         number: u32,
         slot: usize,
         workspace: WorkspaceKey,
-        after: Duration,
-    ) -> Asked {
+        delay: Duration,
+    ) -> Query {
         if self.given.len() >= OPEN_MAX {
             // Requests that old have long run.
             self.given.clear();
         }
         self.given.insert(number, (slot, workspace));
-        Asked::Answered {
+        Query::Decided {
             number,
-            taken: Taken::Given { after },
+            decision: Decision::Admitted { delay },
         }
     }
 
@@ -153,65 +153,65 @@
     }
 
     /// Notes that a request that was let in has not run; returns whom to tell.
-    pub fn give_back(&mut self, number: u32, now: Instant) -> Option<(HostKey, Message)> {
+    pub fn refund(&mut self, number: u32, now: Instant) -> Option<(HostKey, Message)> {
         let (slot, workspace) = self.given.remove(&number)?;
         let host = self.holder_of(slot, now)?;
         if host == self.own {
-            self.slots[slot].holder.give_back(workspace, now);
+            self.slots[slot].holder.refund(workspace, now);
             return None;
         }
-        let slot = slot as SlotNumber;
+        let slot = slot as HolderSlot;
         Some((host, Message::GivenBack { slot, workspace }))
     }
 
     /// Notes that a request that was let in has run, or may have.
-    pub fn ran(&mut self, number: u32) {
+    pub fn confirm(&mut self, number: u32) {
         self.given.remove(&number);
     }
 
-    pub(super) fn answered(&mut self, number: u32, taken: Taken, now: Instant) -> Reaction {
+    pub(super) fn answered(&mut self, number: u32, decision: Decision, now: Instant) -> Action {
         let Some(mut open) = self.open.remove(&number) else {
-            return Reaction::None;
+            return Action::None;
         };
         let slot = open.slot;
-        match taken {
-            Taken::Given { after } => {
+        match decision {
+            Decision::Admitted { delay } => {
                 let workspace = open.workspace;
-                return Reaction::Asked(self.given(number, slot, workspace, after));
+                return Action::Query(self.given(number, slot, workspace, delay));
             }
-            Taken::Refused { retry_after } => open.refused[slot] = Some(retry_after),
-            Taken::CannotTell => {}
+            Decision::Refused { retry_after } => open.refused[slot] = Some(retry_after),
+            Decision::Unknown => {}
         }
-        if open.asked >= SLOTS {
-            let taken = open.refusal();
-            return Reaction::Asked(Asked::Answered { number, taken });
+        if open.asked >= HOLDER_SLOTS {
+            let decision = open.refusal();
+            return Action::Query(Query::Decided { number, decision });
         }
-        open.slot = (slot + 1) % SLOTS;
-        Reaction::Asked(self.go_on(number, open, now))
+        open.slot = (slot + 1) % HOLDER_SLOTS;
+        Action::Query(self.go_on(number, open, now))
     }
 
     /// Answers another host's question.
     pub(super) fn asked(
         &mut self,
-        slot: SlotNumber,
+        slot: HolderSlot,
         number: u32,
         workspace: WorkspaceKey,
         patience: Duration,
         now: Instant,
-    ) -> Reaction {
+    ) -> Action {
         let Some(slot) = self.slots.get_mut(usize::from(slot)) else {
-            return Reaction::None;
+            return Action::None;
         };
-        Reaction::Reply(match slot.holder.take(workspace, patience, now) {
-            Taken::Given { after } => Message::Given {
+        Action::Reply(match slot.holder.take(workspace, patience, now) {
+            Decision::Admitted { delay } => Message::Given {
                 number,
-                after_ms: short_millis(after),
+                after_ms: short_millis(delay),
             },
-            Taken::Refused { retry_after } => Message::Refused {
+            Decision::Refused { retry_after } => Message::Refused {
                 number,
                 retry_after_ms: millis(retry_after),
             },
-            Taken::CannotTell => Message::Unknown { number },
+            Decision::Unknown => Message::Unknown { number },
         })
     }
 }
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -5,10 +5,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::HolderSlot;
 use crate::HostKey;
-use crate::SlotNumber;
 use crate::WorkspaceKey;
-use crate::holder::Taken;
+use crate::holder::Decision;
 
 /// What hosts tell one another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -16,7 +16,7 @@
     /// A holder asks for the receiver's part.
     Call {
         /// The slot.
-        slot: SlotNumber,
+        slot: HolderSlot,
         /// When it spoke, by its own clock.
         stamp_ms: u64,
         /// Time for which it counts on the part from then on.
@@ -29,7 +29,7 @@
     /// A host lends its part.
     Lent {
         /// The slot.
-        slot: SlotNumber,
+        slot: HolderSlot,
         /// The stamp of the call that it answers.
         stamp_ms: u64,
         /// Hosts that it knows of; its part is one of so many.
@@ -38,7 +38,7 @@
     /// May a request of a workspace go?
     Ask {
         /// The slot.
-        slot: SlotNumber,
+        slot: HolderSlot,
         /// The number of the question at its host.
         number: u32,
         /// The workspace.
@@ -75,7 +75,7 @@
     /// A request that was let in has not run.
     GivenBack {
         /// The slot.
-        slot: SlotNumber,
+        slot: HolderSlot,
         /// The workspace.
         workspace: WorkspaceKey,
     },
@@ -83,13 +83,13 @@
 
 /// What comes of a question at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Query {
     /// The host holds the slot itself, or nobody can be asked any more.
-    Answered {
+    Decided {
         /// The number of the question.
         number: u32,
         /// What came of it.
-        taken: Taken,
+        decision: Decision,
     },
     /// Another host was asked.
     Sent {
@@ -104,13 +104,13 @@
 
 /// What comes of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reaction {
+pub enum Action {
     /// Nothing.
     None,
     /// An answer to its sender.
     Reply(Message),
     /// A question goes on, or is answered.
-    Asked(Asked),
+    Query(Query),
 }
 
 /// Returns a time in whole milliseconds, rounded up: a promise is not due before.
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -4,30 +4,30 @@
 //! run in 5 s where 317 were allowed; with one, what is lost is what is refused wrongly.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod played;
+mod simulation;
 
 use std::time::Duration;
 use std::time::Instant;
 
 use notchwharf_config::access::RateLimit;
-use notchwharf_quota::Asked;
+use notchwharf_quota::Action;
+use notchwharf_quota::BucketParams;
+use notchwharf_quota::Decision;
+use notchwharf_quota::Limiter;
 use notchwharf_quota::Message;
-use notchwharf_quota::Node;
-use notchwharf_quota::Reaction;
-use notchwharf_quota::Taken;
-use notchwharf_quota::Terms;
-use notchwharf_quota::may_allow;
-use played::Fleet;
-use played::Way;
-use played::days::LARGE;
-use played::days::SECOND;
-use played::days::SMALL;
-use played::days::WARM;
-use played::days::all;
-use played::days::drawn;
-use played::days::load;
-use played::days::steps;
+use notchwharf_quota::Query;
+use notchwharf_quota::is_allowance_due;
 use rstest::rstest;
+use simulation::Fleet;
+use simulation::Way;
+use simulation::days::LARGE;
+use simulation::days::SECOND;
+use simulation::days::SMALL;
+use simulation::days::WARM;
+use simulation::days::all;
+use simulation::days::drawn;
+use simulation::days::load;
+use simulation::days::steps;
 
 /// Requests come as they like, so the rate is that of some minutes, and a small workspace
 /// happens to send more than its limit in a window now and then: refused then, it is so
@@ -132,23 +132,23 @@
     const WORKSPACE: u64 = 7;
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut node = Node::new(HOST, 1, start);
-    node.set_terms(
-        [(WORKSPACE, Terms::of(SMALL, played::BOUNDS))].into(),
+    let mut node = Limiter::new(HOST, 1, start);
+    node.set_limits(
+        [(WORKSPACE, BucketParams::new(SMALL, simulation::BOUNDS))].into(),
         start,
     );
     let fleet = notchwharf_quota::Fleet {
-        alive: &[],
-        listed: &[HOST],
-        silent: &[],
-        is_whole: true,
+        holder_candidates: &[],
+        members: &[HOST],
+        expired: &[],
+        is_complete: true,
     };
     let mut now_ms = 0;
     let slot = loop {
         now_ms += 20;
         assert!(now_ms < 5_000, "no allowance is wanted");
         node.tick(&fleet, true, at(now_ms));
-        if let Some(slot) = node.wants_allowance() {
+        if let Some(slot) = node.next_allowance_request() {
             break slot;
         }
     };
@@ -159,17 +159,17 @@
     // What flows in meanwhile is used up.
     given(&mut node, WORKSPACE, at(used_ms));
     assert_eq!(given(&mut node, WORKSPACE, at(used_ms)), 0);
-    node.allow(slot, at(now_ms), at(used_ms));
+    node.grant_allowance(slot, at(now_ms), at(used_ms));
     assert_eq!(given(&mut node, WORKSPACE, at(used_ms)) > 0, is_taken);
 }
 
 /// Returns how many of a hundred requests are let in: more than any bucket here holds.
-fn given(node: &mut Node, workspace: u64, now: Instant) -> usize {
+fn given(node: &mut Limiter, workspace: u64, now: Instant) -> usize {
     let mut is_given = || {
-        let Asked::Answered { taken, .. } = node.ask(workspace, Duration::ZERO, now) else {
+        let Query::Decided { decision, .. } = node.query(workspace, Duration::ZERO, now) else {
             panic!("A host alone asks nobody.");
         };
-        matches!(taken, Taken::Given { .. })
+        matches!(decision, Decision::Admitted { .. })
     };
     (0..100).filter(|_| is_given()).count()
 }
@@ -186,7 +186,7 @@
     #[case] may: bool,
 ) {
     let window = Duration::from_secs(5);
-    assert_eq!(may_allow(last_unix_ms, now_unix_ms, window), may);
+    assert_eq!(is_allowance_due(last_unix_ms, now_unix_ms, window), may);
 }
 
 #[test]
@@ -223,20 +223,20 @@
 fn a_host_that_does_not_know_the_fleet_lends_nothing_and_then_its_part_by_what_it_is_told() {
     let start = Instant::now();
     let workspace = 7;
-    let mut node = Node::new(1, 0, start);
-    node.set_terms(
-        [(workspace, Terms::of(LARGE, played::BOUNDS))].into(),
+    let mut node = Limiter::new(1, 0, start);
+    node.set_limits(
+        [(workspace, BucketParams::new(LARGE, simulation::BOUNDS))].into(),
         start,
     );
     let mut now = start;
     for _ in 0..50 {
         now += Duration::from_millis(100);
         node.tick(&notchwharf_quota::Fleet::default(), true, now);
-        let asked = node.ask(workspace, Duration::ZERO, now);
+        let asked = node.query(workspace, Duration::ZERO, now);
         let is_unknown = matches!(
             asked,
-            Asked::Answered {
-                taken: Taken::CannotTell,
+            Query::Decided {
+                decision: Decision::Unknown,
                 ..
             }
         );
@@ -254,7 +254,7 @@
         stamp_ms: 5,
         hosts: 61,
     };
-    assert_eq!(node.receive(2, &call, now), Reaction::Reply(lent));
+    assert_eq!(node.receive(2, &call, now), Action::Reply(lent));
 }
 
 /// 10,000 of them were played by hand, as `NOTCHWHARF_QUOTA_SEEDS=0..10000` says.
--- a/crates/quota/tests/played/counts.rs
+++ b/crates/quota/tests/simulation/counts.rs
@@ -1,7 +1,7 @@
 //! The first way: each host counts what it let in and tells the count; a bucket of the
 //! whole limit, kept on each host, falls by what is heard.
 
-use notchwharf_quota::Terms;
+use notchwharf_quota::BucketParams;
 
 use super::tank::Tank;
 
@@ -15,7 +15,7 @@
 }
 
 impl Counts {
-    pub fn new(hosts: usize, terms: Terms, now_us: u64) -> Self {
+    pub fn new(hosts: usize, terms: BucketParams, now_us: u64) -> Self {
         Self {
             tank: Tank::new(hosts, terms, now_us),
             own: 0,
@@ -23,7 +23,7 @@
         }
     }
 
-    pub fn set_terms(&mut self, terms: Terms) {
+    pub fn set_limits(&mut self, terms: BucketParams) {
         self.tank.terms = terms;
     }
 
--- a/crates/quota/tests/played/mod.rs
+++ b/crates/quota/tests/simulation/mod.rs
@@ -18,18 +18,18 @@
 use std::time::Instant;
 
 use notchwharf_config::access::RateLimit;
-use notchwharf_quota::Asked;
+use notchwharf_quota::Action;
 use notchwharf_quota::Bounds;
+use notchwharf_quota::BucketParams;
+use notchwharf_quota::Decision;
+use notchwharf_quota::HOLDER_SLOTS;
+use notchwharf_quota::HolderSlot;
 use notchwharf_quota::HostKey;
+use notchwharf_quota::Limiter;
 use notchwharf_quota::Message;
-use notchwharf_quota::Node;
-use notchwharf_quota::Reaction;
-use notchwharf_quota::SLOTS;
-use notchwharf_quota::SlotNumber;
-use notchwharf_quota::Taken;
-use notchwharf_quota::Terms;
+use notchwharf_quota::Query;
 use notchwharf_quota::WorkspaceKey;
-use notchwharf_quota::may_allow;
+use notchwharf_quota::is_allowance_due;
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -79,7 +79,7 @@
 pub enum Decider {
     Counts(Counts),
     Shares(Shares),
-    Holders(Box<Node>),
+    Holders(Box<Limiter>),
 }
 
 /// What hosts of any way tell one another.
@@ -108,7 +108,7 @@
     Arrive,
     Again(u32),
     /// The store has read what was last asked of it about a slot.
-    Allow(SlotNumber, Option<u64>),
+    Allow(HolderSlot, Option<u64>),
     GiveUp(u32),
     Go(u32),
 }
@@ -149,7 +149,7 @@
     pub loss: f64,
     pub is_store_away: bool,
     /// When the allowance of each slot was last asked for, by the asker's clock.
-    allowed_unix_ms: [Option<u64>; SLOTS],
+    allowed_unix_ms: [Option<u64>; HOLDER_SLOTS],
     pub rng: ChaCha8Rng,
     start: Instant,
     queue: BinaryHeap<Reverse<Due>>,
@@ -171,7 +171,7 @@
             bytes: 0,
             loss: 0.0,
             is_store_away: false,
-            allowed_unix_ms: [None; SLOTS],
+            allowed_unix_ms: [None; HOLDER_SLOTS],
             rng: ChaCha8Rng::seed_from_u64(seed),
             start: Instant::now(),
             queue: BinaryHeap::new(),
@@ -195,8 +195,8 @@
         fleet
     }
 
-    fn terms(&self) -> Terms {
-        Terms::of(self.limit, BOUNDS)
+    fn terms(&self) -> BucketParams {
+        BucketParams::new(self.limit, BOUNDS)
     }
 
     fn at(&self, us: u64) -> Instant {
@@ -210,8 +210,8 @@
             Way::Counts => Decider::Counts(Counts::new(hosts, terms, self.now_us)),
             Way::Shares => Decider::Shares(Shares::new(hosts, terms, self.now_us)),
             Way::Holders => {
-                let mut node = Node::new(key(host), self.rng.random(), now);
-                node.set_terms([(WORKSPACE, terms)].into(), now);
+                let mut node = Limiter::new(key(host), self.rng.random(), now);
+                node.set_limits([(WORKSPACE, terms)].into(), now);
                 Decider::Holders(Box::new(node))
             }
         }
@@ -292,9 +292,9 @@
         let now = self.at(self.now_us);
         for host in &mut self.hosts {
             match &mut host.decider {
-                Decider::Counts(counts) => counts.set_terms(terms),
-                Decider::Shares(shares) => shares.set_terms(terms),
-                Decider::Holders(node) => node.set_terms([(WORKSPACE, terms)].into(), now),
+                Decider::Counts(counts) => counts.set_limits(terms),
+                Decider::Shares(shares) => shares.set_limits(terms),
+                Decider::Holders(node) => node.set_limits([(WORKSPACE, terms)].into(), now),
             }
         }
     }
@@ -314,7 +314,7 @@
             Event::Again(number) => {
                 let is_waiting = self.hosts[host].waiting.contains_key(&number);
                 if let (true, Decider::Holders(node)) = (is_waiting, &mut self.hosts[host].decider)
-                    && let Some(asked) = node.ask_again(number, now)
+                    && let Some(asked) = node.retry_query(number, now)
                 {
                     self.asked(host, asked);
                     self.push(self.now_us + AGAIN_US, host, Event::Again(number));
@@ -324,7 +324,7 @@
                 let asked = asked_us.map(|us| self.at(us));
                 if let Decider::Holders(node) = &mut self.hosts[host].decider {
                     match asked {
-                        Some(asked) => node.allow(slot, asked, now),
+                        Some(asked) => node.grant_allowance(slot, asked, now),
                         None => node.deny_allowance(slot),
                     }
                 }
@@ -332,7 +332,7 @@
             Event::Go(number) => self.end(host, number, true),
             Event::GiveUp(number) => {
                 if let Decider::Holders(node) = &mut self.hosts[host].decider {
-                    node.give_up(number);
+                    node.cancel_query(number);
                 }
                 self.end(host, number, false);
             }
@@ -360,12 +360,12 @@
             }
             Decider::Holders(node) => {
                 let alive: Vec<HostKey> = alive.iter().map(|other| key(*other)).collect();
-                let listed: Vec<HostKey> = (0..hosts).map(key).collect();
+                let members: Vec<HostKey> = (0..hosts).map(key).collect();
                 let fleet = notchwharf_quota::Fleet {
-                    alive: &alive,
-                    listed: &listed,
-                    silent: &[],
-                    is_whole: true,
+                    holder_candidates: &alive,
+                    members: &members,
+                    expired: &[],
+                    is_complete: true,
                 };
                 let calls = node.tick(&fleet, true, now);
                 let place = |to: HostKey| (0..hosts).find(|host| key(*host) == to).unwrap();
@@ -393,7 +393,7 @@
         let Decider::Holders(node) = &mut self.hosts[host].decider else {
             return;
         };
-        let Some(slot) = node.wants_allowance() else {
+        let Some(slot) = node.next_allowance_request() else {
             return;
         };
         if self.is_store_away {
@@ -401,7 +401,7 @@
         }
         let unix_ms = (DAY_US + self.now_us + self.hosts[host].clock_us) / 1_000;
         let last = &mut self.allowed_unix_ms[usize::from(slot)];
-        let may = may_allow(*last, unix_ms, BOUNDS.window);
+        let may = is_allowance_due(*last, unix_ms, BOUNDS.window);
         if may {
             *last = Some(unix_ms);
         }
@@ -437,9 +437,9 @@
             _ => return,
         };
         match reaction {
-            Reaction::None => {}
-            Reaction::Reply(message) => self.tell(host, from, Told::Holders(message)),
-            Reaction::Asked(asked) => self.asked(host, asked),
+            Action::None => {}
+            Action::Reply(message) => self.tell(host, from, Told::Holders(message)),
+            Action::Query(asked) => self.asked(host, asked),
         }
     }
 
@@ -449,8 +449,8 @@
             Decider::Counts(counts) => counts.take(now_us),
             Decider::Shares(shares) => shares.take(now_us),
             Decider::Holders(node) => {
-                let asked = node.ask(WORKSPACE, PATIENCE, now);
-                let (Asked::Answered { number, .. } | Asked::Sent { number, .. }) = asked;
+                let asked = node.query(WORKSPACE, PATIENCE, now);
+                let (Query::Decided { number, .. } | Query::Sent { number, .. }) = asked;
                 self.hosts[host].waiting.insert(number, now_us);
                 self.push(now_us + AGAIN_US, host, Event::Again(number));
                 self.push(now_us + GIVE_UP_US, host, Event::GiveUp(number));
@@ -465,16 +465,16 @@
         });
     }
 
-    fn asked(&mut self, host: usize, asked: Asked) {
+    fn asked(&mut self, host: usize, asked: Query) {
         match asked {
-            Asked::Answered { number, taken } => match taken {
-                Taken::Given { after } => {
-                    let at = self.now_us + after.as_micros() as u64;
+            Query::Decided { number, decision } => match decision {
+                Decision::Admitted { delay } => {
+                    let at = self.now_us + delay.as_micros() as u64;
                     self.push(at, host, Event::Go(number));
                 }
-                Taken::Refused { .. } | Taken::CannotTell => self.end(host, number, false),
+                Decision::Refused { .. } | Decision::Unknown => self.end(host, number, false),
             },
-            Asked::Sent { to, message, .. } => {
+            Query::Sent { to, message, .. } => {
                 let hosts = self.hosts.len();
                 let to = (0..hosts).find(|other| key(*other) == to).unwrap();
                 self.tell(host, to, Told::Holders(message));
--- a/crates/quota/tests/played/shares.rs
+++ b/crates/quota/tests/simulation/shares.rs
@@ -1,7 +1,7 @@
 //! The second way: each host has a bucket of its share, which follows its part of the
 //! demand that hosts tell one another.
 
-use notchwharf_quota::Terms;
+use notchwharf_quota::BucketParams;
 
 use super::tank::Tank;
 
@@ -18,7 +18,7 @@
 }
 
 impl Shares {
-    pub fn new(hosts: usize, terms: Terms, now_us: u64) -> Self {
+    pub fn new(hosts: usize, terms: BucketParams, now_us: u64) -> Self {
         Self {
             tank: Tank::new(hosts, terms, now_us),
             asked: 0.0,
@@ -27,7 +27,7 @@
         }
     }
 
-    pub fn set_terms(&mut self, terms: Terms) {
+    pub fn set_limits(&mut self, terms: BucketParams) {
         self.tank.terms = terms;
     }
 
--- a/crates/quota/tests/played/tank.rs
+++ b/crates/quota/tests/simulation/tank.rs
@@ -1,9 +1,9 @@
 //! The bucket of a host in the first two ways: its share of the limit.
 
-use notchwharf_quota::Terms;
+use notchwharf_quota::BucketParams;
 
 pub struct Tank {
-    pub terms: Terms,
+    pub terms: BucketParams,
     pub level: f64,
     pub share: f64,
     at_us: u64,
@@ -11,7 +11,7 @@
 
 impl Tank {
     /// Returns an empty one, with the part of one host of so many.
-    pub fn new(hosts: usize, terms: Terms, now_us: u64) -> Self {
+    pub fn new(hosts: usize, terms: BucketParams, now_us: u64) -> Self {
         Self {
             terms,
             level: 0.0,
@@ -22,7 +22,7 @@
 
     pub fn fill(&mut self, now_us: u64) {
         let passed = now_us.saturating_sub(self.at_us) as f64 / 1e6;
-        let filled = self.level + self.terms.per_s * self.share * passed;
+        let filled = self.level + self.terms.refill_per_s * self.share * passed;
         self.level = filled.min(self.terms.capacity * self.share);
         self.at_us = now_us;
     }
--- a/crates/waiting/benches/line.rs
+++ b/crates/waiting/benches/wait_queue.rs
@@ -9,12 +9,12 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use notchwharf_waiting::Held;
-use notchwharf_waiting::Line;
-use notchwharf_waiting::Open;
+use notchwharf_waiting::FreeSlots;
 use notchwharf_waiting::Request;
-use notchwharf_waiting::Shares;
-use notchwharf_waiting::Told;
+use notchwharf_waiting::RequestSummary;
+use notchwharf_waiting::SlotUsage;
+use notchwharf_waiting::WaitQueue;
+use notchwharf_waiting::WorkspaceUsage;
 
 const SERVICE: u32 = 1;
 /// Requests that wait at this host, and at each of its peers.
@@ -22,56 +22,56 @@
 /// Other hosts of the data centre.
 const PEERS: u32 = 20;
 
-fn shares(workspaces: u32) -> Shares {
-    let mut shares = Shares::default();
+fn shares(workspaces: u32) -> SlotUsage {
+    let mut shares = SlotUsage::default();
     for workspace in 0..workspaces {
-        let held = vec![Held {
+        let held = vec![WorkspaceUsage {
             workspace,
             weight: 10.0,
-            places: 1,
+            slots: 1,
         }];
-        shares.tell(&format!("h{workspace}"), held);
+        shares.update_peer(&format!("h{workspace}"), held);
     }
     shares
 }
 
-fn line(now: Instant) -> Line {
-    let mut line = Line::default();
+fn line(now: Instant) -> WaitQueue {
+    let mut line = WaitQueue::default();
     for workspace in 0..WAITING {
         let request = Request {
             service: SERVICE,
             workspace,
             priority: 0,
-            since: now,
-            latest: now + Duration::from_millis(200),
+            waiting_since: now,
+            start_deadline: now + Duration::from_millis(200),
         };
-        line.enter(request, now);
+        line.enqueue(request, now);
     }
-    let told = Told {
+    let told = RequestSummary {
         service: SERVICE,
         priority: 0,
-        level: 0,
+        overuse_level: 0,
         age: Duration::from_millis(20),
     };
     for peer in 0..PEERS {
-        line.tell(&format!("h{peer}"), &[told; WAITING as usize], &[], now);
+        line.update_peer(&format!("h{peer}"), &[told; WAITING as usize], &[], now);
     }
     line
 }
 
-fn may_begin(c: &mut Criterion) {
+fn may_start(c: &mut Criterion) {
     let mut group = c.benchmark_group("may begin");
     for (workspaces, targets) in [(73, 15), (16_000, 153)] {
         let now = Instant::now();
         let (mut line, shares) = (line(now), shares(workspaces));
-        let open: Vec<Open> = (0..targets)
-            .map(|target| Open { target, places: 1 })
+        let open: Vec<FreeSlots> = (0..targets)
+            .map(|target| FreeSlots { target, count: 1 })
             .collect();
         let id = BenchmarkId::from_parameter(format!("{workspaces} workspaces, {targets} targets"));
         group.bench_function(id, |b| {
             b.iter(|| {
                 let first = line.first(SERVICE, &shares);
-                first.map(|first| line.may_begin(black_box(&first), &open, 200.0, now))
+                first.map(|first| line.may_start(black_box(&first), &open, 200.0, now))
             });
         });
     }
@@ -82,9 +82,9 @@
     let now = Instant::now();
     let (line, shares) = (line(now), shares(16_000));
     c.bench_function("tell what waits", |b| {
-        b.iter(|| black_box(line.told(&shares, now)));
+        b.iter(|| black_box(line.summary(&shares, now)));
     });
 }
 
-criterion_group!(benches, may_begin, told);
+criterion_group!(benches, may_start, told);
 criterion_main!(benches);
--- a/crates/waiting/src/lib.rs
+++ b/crates/waiting/src/lib.rs
@@ -10,23 +10,23 @@
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use notchwharf_waiting::{Begin, Line, Open, Request, Shares, key};
+//! use notchwharf_waiting::{FreeSlots, Request, SlotUsage, StartDecision, WaitQueue, key};
 //!
 //! let now = Instant::now();
-//! let (mut line, shares) = (Line::default(), Shares::default());
+//! let (mut queue, usage) = (WaitQueue::default(), SlotUsage::default());
 //! let service = key("s");
 //! let request = Request {
 //!     service,
 //!     workspace: key("choir"),
 //!     priority: 0,
-//!     since: now,
-//!     latest: now + Duration::from_millis(200),
+//!     waiting_since: now,
+//!     start_deadline: now + Duration::from_millis(200),
 //! };
-//! let ticket = line.enter(request, now);
-//! let first = line.first(service, &shares).unwrap();
+//! let ticket = queue.enqueue(request, now);
+//! let first = queue.first(service, &usage).unwrap();
 //! assert_eq!(first.ticket, ticket);
-//! let open = [Open { target: key("t1"), places: 8 }];
-//! assert_eq!(line.may_begin(&first, &open, 100.0, now), Begin::Any);
+//! let free = [FreeSlots { target: key("t1"), count: 8 }];
+//! assert_eq!(queue.may_start(&first, &free, 100.0, now), StartDecision::Any);
 //! ```
 //!
 //! What waits and what is held is told only while something waits, so in a calm hour it
@@ -43,26 +43,26 @@
 //!
 //! [order]: Rank
 
-mod line;
 mod request;
-mod shares;
-mod turns;
+mod retry;
+mod usage;
+mod wait_queue;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use self::line::Line;
-pub use self::request::Begin;
-pub use self::request::Expected;
-pub use self::request::First;
-pub use self::request::Next;
-pub use self::request::Open;
+pub use self::request::Assignment;
+pub use self::request::FreeSlots;
+pub use self::request::QueuedRequest;
 pub use self::request::Rank;
 pub use self::request::Request;
+pub use self::request::RequestSummary;
+pub use self::request::StartDecision;
+pub use self::request::StartEstimate;
 pub use self::request::Ticket;
-pub use self::request::Told;
-pub use self::shares::Held;
-pub use self::shares::Shares;
-pub use self::turns::Turns;
+pub use self::retry::RetrySchedule;
+pub use self::usage::SlotUsage;
+pub use self::usage::WorkspaceUsage;
+pub use self::wait_queue::WaitQueue;
 
 /// The short form of a service's name.
 pub type ServiceKey = u32;
--- a/crates/waiting/src/request.rs
+++ b/crates/waiting/src/request.rs
@@ -21,9 +21,9 @@
     /// How urgent it is; 0 is the most urgent.
     pub priority: u8,
     /// Since when it waits.
-    pub since: Instant,
+    pub waiting_since: Instant,
     /// Until when it must begin to be served in time.
-    pub latest: Instant,
+    pub start_deadline: Instant,
 }
 
 /// Where a request stands: less comes first.
@@ -32,27 +32,27 @@
     /// How urgent it is.
     pub priority: u8,
     /// How far its workspace exceeds its part of the places.
-    pub level: u8,
+    pub overuse_level: u8,
     /// Since when it waits.
-    pub since: Instant,
+    pub waiting_since: Instant,
 }
 
 /// A request that waits at another host, as that tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct RequestSummary {
     /// Its service.
     pub service: ServiceKey,
     /// How urgent it is.
     pub priority: u8,
     /// How far its workspace exceeds its part of the places.
-    pub level: u8,
+    pub overuse_level: u8,
     /// For how long it has waited.
     pub age: Duration,
 }
 
 /// The first request of a host's line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct First {
+pub struct QueuedRequest {
     /// Its number.
     pub ticket: Ticket,
     /// The request.
@@ -60,21 +60,21 @@
     /// Where it stands.
     pub rank: Rank,
     /// Since when it stands there.
-    pub entered: Instant,
+    pub enqueued_at: Instant,
 }
 
 /// A target at which places are free of online requests, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Open {
+pub struct FreeSlots {
     /// The target.
     pub target: TargetKey,
     /// How many places.
-    pub places: u32,
+    pub count: u32,
 }
 
 /// Whether a request may take one of the places that are free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum StartDecision {
     /// It may, any.
     Any,
     /// It may take one at this target, which those before it have left.
@@ -85,7 +85,7 @@
 
 /// When a request is expected to begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Expected {
+pub struct StartEstimate {
     /// Its number.
     pub ticket: Ticket,
     /// How many begin before it, over all hosts.
@@ -98,9 +98,9 @@
 
 /// Who takes a place that has fallen free at this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Assignment {
     /// This host's first request.
-    Own(First),
+    Local(QueuedRequest),
     /// A request of a peer, which is to be told.
     Peer(HostId),
 }
--- a/crates/waiting/src/turns.rs
+++ b/crates/waiting/src/retry.rs
@@ -23,15 +23,21 @@
 
 /// Turns that one host has given.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct RetrySchedule {
     last: Option<Instant>,
 }
 
-impl Turns {
+impl RetrySchedule {
     /// Returns when a caller is to come back that was refused now: after `wait`, in which
     /// those ahead begin, and after those who were refused before. `drain_per_s` places
     /// fall free a second, for `hosts` hosts.
-    pub fn next(&mut self, wait: Duration, drain_per_s: f64, hosts: u32, now: Instant) -> Duration {
+    pub fn next_retry_after(
+        &mut self,
+        wait: Duration,
+        drain_per_s: f64,
+        hosts: u32,
+        now: Instant,
+    ) -> Duration {
         let gap_s = f64::from(hosts.max(1)) / (drain_per_s * PART);
         let gap = Duration::try_from_secs_f64(gap_s).unwrap_or(TURN_MAX);
         let gap = gap.clamp(GAP_MIN, TURN_MAX);
--- a/crates/waiting/src/shares.rs
+++ b/crates/waiting/src/usage.rs
@@ -35,13 +35,13 @@
 
 /// Places that a workspace holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
+pub struct WorkspaceUsage {
     /// The workspace.
     pub workspace: WorkspaceKey,
     /// What it may hold against others.
     pub weight: f64,
     /// How many places it holds.
-    pub places: u32,
+    pub slots: u32,
 }
 
 /// What is known of one workspace.
@@ -60,47 +60,47 @@
 
 /// Places that workspaces hold.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
+pub struct SlotUsage {
     known: HashMap<WorkspaceKey, Known>,
-    peers: HashMap<HostId, Vec<Held>>,
+    peers: HashMap<HostId, Vec<WorkspaceUsage>>,
     /// The sum of places over all workspaces.
     held: u64,
     /// The sum of the weights of all that hold places.
     weight: f64,
 }
 
-impl Shares {
+impl SlotUsage {
     /// Counts a place that a request of this host takes.
-    pub fn begin(&mut self, workspace: WorkspaceKey, weight: f64) {
+    pub fn acquire(&mut self, workspace: WorkspaceKey, weight: f64) {
         self.change(workspace, weight, |known| known.own += 1);
     }
 
     /// Counts the end of a request of this host.
-    pub fn end(&mut self, workspace: WorkspaceKey) {
+    pub fn release(&mut self, workspace: WorkspaceKey) {
         self.change(workspace, 0.0, |known| {
             known.own = known.own.saturating_sub(1)
         });
     }
 
     /// Takes in what is held at a peer; it replaces what was known.
-    pub fn tell(&mut self, host: &str, held: Vec<Held>) {
-        self.forget(host);
+    pub fn update_peer(&mut self, host: &str, held: Vec<WorkspaceUsage>) {
+        self.remove_peer(host);
         if held.is_empty() {
             return;
         }
         for one in &held {
             self.change(one.workspace, one.weight, |known| {
-                known.others = known.others.saturating_add(one.places);
+                known.others = known.others.saturating_add(one.slots);
             });
         }
         self.peers.insert(host.to_owned(), held);
     }
 
     /// Forgets a peer: it is down.
-    pub fn forget(&mut self, host: &str) {
+    pub fn remove_peer(&mut self, host: &str) {
         for one in self.peers.remove(host).unwrap_or_default() {
             self.change(one.workspace, 0.0, |known| {
-                known.others = known.others.saturating_sub(one.places);
+                known.others = known.others.saturating_sub(one.slots);
             });
         }
     }
@@ -131,13 +131,13 @@
     }
 
     /// Returns how many places a workspace holds, as far as known.
-    pub fn held(&self, workspace: WorkspaceKey) -> u32 {
+    pub fn slots_in_use(&self, workspace: WorkspaceKey) -> u32 {
         self.known.get(&workspace).map_or(0, |known| known.held())
     }
 
     /// Returns how far a workspace exceeds its part of all places that are held: 0 if it
     /// does not, and one more with each doubling.
-    pub fn level(&self, workspace: WorkspaceKey) -> u8 {
+    pub fn overuse_level(&self, workspace: WorkspaceKey) -> u8 {
         let Some(known) = self.known.get(&workspace) else {
             return 0;
         };
@@ -156,16 +156,16 @@
     }
 
     /// Returns what this host tells its peers.
-    pub fn told(&self) -> Vec<Held> {
+    pub fn summary(&self) -> Vec<WorkspaceUsage> {
         let own = self.known.iter().filter(|(_, known)| known.own > 0);
-        let mut held: Vec<Held> = own
-            .map(|(workspace, known)| Held {
+        let mut held: Vec<WorkspaceUsage> = own
+            .map(|(workspace, known)| WorkspaceUsage {
                 workspace: *workspace,
                 weight: known.weight,
-                places: known.own,
+                slots: known.own,
             })
             .collect();
-        held.sort_unstable_by_key(|one| (u32::MAX - one.places, one.workspace));
+        held.sort_unstable_by_key(|one| (u32::MAX - one.slots, one.workspace));
         held.truncate(TOLD_MAX);
         held
     }
--- a/crates/waiting/src/line.rs
+++ b/crates/waiting/src/wait_queue.rs
@@ -6,17 +6,17 @@
 
 use crate::HostId;
 use crate::ServiceKey;
-use crate::Shares;
+use crate::SlotUsage;
 use crate::TargetKey;
-use crate::request::Begin;
-use crate::request::Expected;
-use crate::request::First;
-use crate::request::Next;
-use crate::request::Open;
+use crate::request::Assignment;
+use crate::request::FreeSlots;
+use crate::request::QueuedRequest;
 use crate::request::Rank;
 use crate::request::Request;
+use crate::request::RequestSummary;
+use crate::request::StartDecision;
+use crate::request::StartEstimate;
 use crate::request::Ticket;
-use crate::request::Told;
 
 /// Requests of which a host tells, its first ones. A host is rarely granted more places
 /// than that before it tells again.
@@ -71,27 +71,27 @@
 
 /// Requests that wait at a host, and what its peers told of theirs.
 #[derive(Clone, Debug, Default)]
-pub struct Line {
+pub struct WaitQueue {
     waiting: Vec<(Ticket, Request, Instant)>,
     peers: HashMap<HostId, Peer>,
     /// Since when places of a service's targets have been seen to be free.
     open_since: HashMap<ServiceKey, HashMap<TargetKey, Instant>>,
     /// When hosts handed places of targets to requests elsewhere: until these have told
     /// that they took them, they look free.
-    promised: HashMap<(HostId, TargetKey), Instant>,
+    reserved: HashMap<(HostId, TargetKey), Instant>,
     entered: Ticket,
 }
 
-impl Line {
+impl WaitQueue {
     /// Lets a request wait.
-    pub fn enter(&mut self, request: Request, now: Instant) -> Ticket {
+    pub fn enqueue(&mut self, request: Request, now: Instant) -> Ticket {
         self.entered += 1;
         self.waiting.push((self.entered, request, now));
         self.entered
     }
 
     /// Takes a request out: it begins, is refused, or its caller has left.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn remove(&mut self, ticket: Ticket) {
         self.waiting.retain(|(known, ..)| *known != ticket);
     }
 
@@ -120,33 +120,33 @@
     }
 
     /// Returns this host's first request for a service.
-    pub fn first(&self, service: ServiceKey, shares: &Shares) -> Option<First> {
+    pub fn first(&self, service: ServiceKey, shares: &SlotUsage) -> Option<QueuedRequest> {
         self.of(service, shares).min_by_key(|first| first.rank)
     }
 
-    fn of(&self, service: ServiceKey, shares: &Shares) -> impl Iterator<Item = First> {
+    fn of(&self, service: ServiceKey, shares: &SlotUsage) -> impl Iterator<Item = QueuedRequest> {
         let waiting = self
             .waiting
             .iter()
             .filter(move |(_, r, _)| r.service == service);
-        waiting.map(|(ticket, request, entered)| First {
+        waiting.map(|(ticket, request, entered)| QueuedRequest {
             ticket: *ticket,
             request: *request,
             rank: rank(request, shares),
-            entered: *entered,
+            enqueued_at: *entered,
         })
     }
 
     /// Returns who takes a place that has fallen free at this host, and notes that it is
     /// handed to a peer; nothing if nobody waits. The host that frees a place decides: it
     /// knows of it first, and no two hosts decide about one place.
-    pub fn next(
+    pub fn assign_freed(
         &mut self,
         service: ServiceKey,
         target: TargetKey,
-        shares: &Shares,
+        shares: &SlotUsage,
         now: Instant,
-    ) -> Option<Next> {
+    ) -> Option<Assignment> {
         let own = self.first(service, shares);
         let peers = self.peers.iter_mut().filter_map(|(host, peer)| {
             let mut waiting = peer.waiting.iter().filter(|(of, _)| *of == service);
@@ -156,22 +156,22 @@
         });
         let best = peers.min_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
         match (own, best) {
-            (Some(own), Some((rank, ..))) if own.rank <= rank => Some(Next::Own(own)),
+            (Some(own), Some((rank, ..))) if own.rank <= rank => Some(Assignment::Local(own)),
             (_, Some((_, host, peer))) => {
                 peer.handed.retain(|(_, at)| !is_over(*at, now));
                 peer.handed.push((service, now));
-                self.promised.insert((OWN, target), now);
-                Some(Next::Peer(host.clone()))
+                self.reserved.insert((OWN, target), now);
+                Some(Assignment::Peer(host.clone()))
             }
-            (own, None) => own.map(Next::Own),
+            (own, None) => own.map(Assignment::Local),
         }
     }
 
     /// Returns the targets of which this host has just handed places over: its peers hear
     /// from it that these are free.
-    pub fn handed(&self, now: Instant) -> Vec<TargetKey> {
+    pub fn recent_transfers(&self, now: Instant) -> Vec<TargetKey> {
         let own = self
-            .promised
+            .reserved
             .iter()
             .filter(|((host, _), at)| *host == OWN && !is_over(**at, now));
         own.map(|((_, target), _)| *target).collect()
@@ -179,20 +179,20 @@
 
     /// Returns how many places of a target were handed to requests elsewhere which these may
     /// not have taken yet.
-    pub fn promised(&self, target: TargetKey, now: Instant) -> u32 {
-        let all = self.promised.iter();
+    pub fn reserved(&self, target: TargetKey, now: Instant) -> u32 {
+        let all = self.reserved.iter();
         let open = all.filter(|((_, of), at)| *of == target && !is_over(**at, now));
         u32::try_from(open.count()).unwrap_or(u32::MAX)
     }
 
     /// Returns the places that are free and promised to nobody.
-    fn unpromised(&mut self, open: &[Open], now: Instant) -> Vec<Open> {
-        self.promised.retain(|_, at| !is_over(*at, now));
-        let open = open.iter().map(|one| Open {
+    fn unreserved(&mut self, open: &[FreeSlots], now: Instant) -> Vec<FreeSlots> {
+        self.reserved.retain(|_, at| !is_over(*at, now));
+        let open = open.iter().map(|one| FreeSlots {
             target: one.target,
-            places: one.places.saturating_sub(self.promised(one.target, now)),
+            count: one.count.saturating_sub(self.reserved(one.target, now)),
         });
-        open.filter(|one| one.places > 0).collect()
+        open.filter(|one| one.count > 0).collect()
     }
 
     /// Returns how many requests come before one, at other hosts.
@@ -209,37 +209,37 @@
     /// may not know of it, there must be more by what others may be taking just now: of two
     /// hosts that take the last place one would wait behind the other in the target's queue.
     /// It may also take a place that has been free for some time: those before it do not.
-    pub fn may_begin(
+    pub fn may_start(
         &mut self,
-        first: &First,
-        open: &[Open],
+        first: &QueuedRequest,
+        open: &[FreeSlots],
         drain_per_s: f64,
         now: Instant,
-    ) -> Begin {
+    ) -> StartDecision {
         let service = first.request.service;
         let ahead = self.ahead(service, first.rank);
-        let unpromised;
-        let open = if self.promised.is_empty() {
+        let unreserved;
+        let open = if self.reserved.is_empty() {
             open
         } else {
-            unpromised = self.unpromised(open, now);
-            &unpromised
+            unreserved = self.unreserved(open, now);
+            &unreserved
         };
-        let free: u32 = open.iter().map(|open| open.places).sum();
+        let free: u32 = open.iter().map(|open| open.count).sum();
         let unseen = drain_per_s * SETTLED.as_secs_f64() + SURE_MIN;
-        let is_settled = now.saturating_duration_since(first.entered) >= SETTLED;
+        let is_settled = now.saturating_duration_since(first.enqueued_at) >= SETTLED;
         let sure = if is_settled { 0 } else { unseen.ceil() as u32 };
         if free > ahead.saturating_add(sure) {
             self.open_since.remove(&service);
-            return Begin::Any;
+            return StartDecision::Any;
         }
         let left = self.left(service, open, now);
-        left.map_or(Begin::Wait, Begin::At)
+        left.map_or(StartDecision::Wait, StartDecision::At)
     }
 
     /// Notes at which targets places are free; returns the one at which they have been free
     /// for so long that whoever they were left to does not take them.
-    fn left(&mut self, service: ServiceKey, open: &[Open], now: Instant) -> Option<TargetKey> {
+    fn left(&mut self, service: ServiceKey, open: &[FreeSlots], now: Instant) -> Option<TargetKey> {
         let since = self.open_since.entry(service).or_default();
         since.retain(|target, _| open.iter().any(|open| open.target == *target));
         for one in open {
@@ -254,26 +254,26 @@
 
     /// Returns when each request for a service is expected to begin if so many places fall
     /// free a second; in the order in which they do.
-    pub fn expect(
+    pub fn estimate_starts(
         &self,
         service: ServiceKey,
         drain_per_s: f64,
-        shares: &Shares,
+        shares: &SlotUsage,
         now: Instant,
-    ) -> Vec<Expected> {
-        let mut waiting: Vec<First> = self.of(service, shares).collect();
+    ) -> Vec<StartEstimate> {
+        let mut waiting: Vec<QueuedRequest> = self.of(service, shares).collect();
         waiting.sort_unstable_by_key(|first| first.rank);
         let numbered = (0..).zip(waiting);
         let expected = numbered.map(|(before, first)| {
             let ahead = before + self.ahead(service, first.rank);
             let wait_s = f64::from(ahead + 1) / drain_per_s;
-            let left = first.request.latest.saturating_duration_since(now);
-            let is_new = now.saturating_duration_since(first.entered) <= EARLY;
+            let left = first.request.start_deadline.saturating_duration_since(now);
+            let is_new = now.saturating_duration_since(first.enqueued_at) <= EARLY;
             let margin = match is_new {
-                true => MARGIN + MARGIN_LEVEL * f64::from(first.rank.level),
+                true => MARGIN + MARGIN_LEVEL * f64::from(first.rank.overuse_level),
                 false => 1.0,
             };
-            Expected {
+            StartEstimate {
                 ticket: first.ticket,
                 ahead,
                 wait: Duration::try_from_secs_f64(wait_s).unwrap_or(Duration::MAX),
@@ -284,18 +284,18 @@
     }
 
     /// Returns what this host tells its peers: its first requests.
-    pub fn told(&self, shares: &Shares, now: Instant) -> Vec<Told> {
+    pub fn summary(&self, shares: &SlotUsage, now: Instant) -> Vec<RequestSummary> {
         let waiting = self.waiting.iter();
         let mut first: Vec<(Rank, ServiceKey)> = waiting
             .map(|(_, r, _)| (rank(r, shares), r.service))
             .collect();
         first.sort_unstable();
         let first = first.into_iter().take(TOLD_MAX);
-        let told = first.map(|(rank, service)| Told {
+        let told = first.map(|(rank, service)| RequestSummary {
             service,
             priority: rank.priority,
-            level: rank.level,
-            age: now.saturating_duration_since(rank.since),
+            overuse_level: rank.overuse_level,
+            age: now.saturating_duration_since(rank.waiting_since),
         });
         told.collect()
     }
@@ -303,12 +303,18 @@
     /// Takes in what waits at a peer, which replaces what was known, and the targets of
     /// which it has just handed places over. Returns whether that lets others go before:
     /// fewer wait there than before.
-    pub fn tell(&mut self, host: &str, told: &[Told], handed: &[TargetKey], now: Instant) -> bool {
+    pub fn update_peer(
+        &mut self,
+        host: &str,
+        told: &[RequestSummary],
+        handed: &[TargetKey],
+        now: Instant,
+    ) -> bool {
         // Each word of the host repeats it for a while: what counts is the first.
-        self.promised.retain(|_, at| !is_over(*at, now));
+        self.reserved.retain(|_, at| !is_over(*at, now));
         for target in handed {
-            let promised = self.promised.entry((host.to_owned(), *target));
-            promised.or_insert(now);
+            let reserved = self.reserved.entry((host.to_owned(), *target));
+            reserved.or_insert(now);
         }
         let before = self.peers.get(host);
         let has_moved = before.is_some_and(|peer| peer.waiting.len() > told.len());
@@ -316,11 +322,11 @@
             return self.peers.remove(host).is_some();
         }
         let waiting = told.iter().map(|one| {
-            let since = now.checked_sub(one.age).unwrap_or(now);
+            let waiting_since = now.checked_sub(one.age).unwrap_or(now);
             let rank = Rank {
                 priority: one.priority,
-                level: one.level,
-                since,
+                overuse_level: one.overuse_level,
+                waiting_since,
             };
             (one.service, rank)
         });
@@ -334,7 +340,7 @@
     }
 
     /// Forgets a peer: it is down.
-    pub fn forget(&mut self, host: &str) {
+    pub fn remove_peer(&mut self, host: &str) {
         self.peers.remove(host);
     }
 }
@@ -344,10 +350,10 @@
     now.saturating_duration_since(handed_at) >= TOLD_WITHIN
 }
 
-fn rank(request: &Request, shares: &Shares) -> Rank {
+fn rank(request: &Request, shares: &SlotUsage) -> Rank {
     Rank {
         priority: request.priority,
-        level: shares.level(request.workspace),
-        since: request.since,
+        overuse_level: shares.overuse_level(request.workspace),
+        waiting_since: request.waiting_since,
     }
 }
--- a/crates/waiting/tests/load.rs
+++ b/crates/waiting/tests/load.rs
@@ -5,14 +5,14 @@
     reason = "Tests fail by panicking, and count little."
 )]
 
-mod played;
+mod simulation;
 
-use played::Fleet;
-use played::Outcome;
-use played::SECOND;
-use played::Sender;
-use played::Way;
 use rstest::rstest;
+use simulation::Fleet;
+use simulation::Outcome;
+use simulation::SECOND;
+use simulation::Sender;
+use simulation::Way;
 
 /// Hosts and targets of a data centre, 120 places: about 170 requests a second.
 const HOSTS: usize = 20;
--- a/crates/waiting/tests/played/mod.rs
+++ b/crates/waiting/tests/simulation/mod.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_waiting::Begin;
-use notchwharf_waiting::Held;
-use notchwharf_waiting::Line;
-use notchwharf_waiting::Next;
-use notchwharf_waiting::Open;
+use notchwharf_waiting::Assignment;
+use notchwharf_waiting::FreeSlots;
 use notchwharf_waiting::Request;
-use notchwharf_waiting::Shares;
+use notchwharf_waiting::RequestSummary;
+use notchwharf_waiting::SlotUsage;
+use notchwharf_waiting::StartDecision;
 use notchwharf_waiting::Ticket;
-use notchwharf_waiting::Told;
+use notchwharf_waiting::WaitQueue;
+use notchwharf_waiting::WorkspaceUsage;
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use rand::seq::IndexedRandom as _;
@@ -100,8 +100,8 @@
 #[derive(Clone, Debug, Default)]
 struct News {
     loads: Vec<i32>,
-    waiting: Vec<Told>,
-    held: Vec<Held>,
+    waiting: Vec<RequestSummary>,
+    held: Vec<WorkspaceUsage>,
     handed: Vec<u32>,
 }
 
@@ -110,8 +110,8 @@
     others: Vec<Vec<i32>>,
     /// The number of the newest news of each.
     heard: Vec<usize>,
-    line: Line,
-    shares: Shares,
+    line: WaitQueue,
+    shares: SlotUsage,
     waiting: HashMap<Ticket, (usize, u64)>,
     is_up: bool,
 }
@@ -149,8 +149,8 @@
             own: vec![0; targets],
             others: vec![vec![0; targets]; hosts],
             heard: vec![0; hosts],
-            line: Line::default(),
-            shares: Shares::default(),
+            line: WaitQueue::default(),
+            shares: SlotUsage::default(),
             waiting: HashMap::new(),
             is_up: true,
         };
@@ -241,10 +241,10 @@
             service: SERVICE,
             workspace: workspace as u32,
             priority: 0,
-            since: now,
-            latest: now + Duration::from_millis(BEGIN_MS),
+            waiting_since: now,
+            start_deadline: now + Duration::from_millis(BEGIN_MS),
         };
-        let ticket = self.hosts[host].line.enter(request, now);
+        let ticket = self.hosts[host].line.enqueue(request, now);
         self.hosts[host]
             .waiting
             .insert(ticket, (workspace, self.now_us));
@@ -283,19 +283,19 @@
             let Some(first) = this.line.first(SERVICE, &this.shares) else {
                 return;
             };
-            let rooms = (0..targets).map(|target| Open {
+            let rooms = (0..targets).map(|target| FreeSlots {
                 target: target as u32,
-                places: this.room(target) as u32,
+                count: this.room(target) as u32,
             });
-            let open: Vec<Open> = rooms.filter(|open| open.places > 0).collect();
-            let target = match this.line.may_begin(&first, &open, drain_per_s, now) {
-                Begin::Any => {
+            let open: Vec<FreeSlots> = rooms.filter(|open| open.count > 0).collect();
+            let target = match this.line.may_start(&first, &open, drain_per_s, now) {
+                StartDecision::Any => {
                     let draw = self.rng.random_range(0..open.len());
                     let drawn = (0..open.len()).map(|i| open[(i + draw) % open.len()]);
-                    drawn.max_by_key(|open| open.places).unwrap().target as usize
+                    drawn.max_by_key(|open| open.count).unwrap().target as usize
                 }
-                Begin::At(target) => target as usize,
-                Begin::Wait => return,
+                StartDecision::At(target) => target as usize,
+                StartDecision::Wait => return,
             };
             self.grant(host, first.ticket, target);
         }
@@ -303,10 +303,10 @@
 
     fn grant(&mut self, host: usize, ticket: Ticket, target: usize) {
         let this = &mut self.hosts[host];
-        this.line.leave(ticket);
+        this.line.remove(ticket);
         let (workspace, came_us) = this.waiting.remove(&ticket).unwrap();
         let weight = self.senders[workspace].weight;
-        this.shares.begin(workspace as u32, weight);
+        this.shares.acquire(workspace as u32, weight);
         self.begin(host, workspace, target, came_us);
     }
 
@@ -361,11 +361,14 @@
         }
         this.own[target] -= 1;
         if self.way == Way::Hosts {
-            this.shares.end(workspace as u32);
+            this.shares.release(workspace as u32);
             if this.room(target) > 0 {
-                match this.line.next(SERVICE, target as u32, &this.shares, now) {
-                    Some(Next::Own(first)) => self.grant(host, first.ticket, target),
-                    Some(Next::Peer(peer)) => {
+                match this
+                    .line
+                    .assign_freed(SERVICE, target as u32, &this.shares, now)
+                {
+                    Some(Assignment::Local(first)) => self.grant(host, first.ticket, target),
+                    Some(Assignment::Peer(peer)) => {
                         let at_us = self.now_us + self.rng.random_range(WORD_US);
                         self.push(at_us, Event::Hand(peer.parse().unwrap(), target));
                     }
@@ -386,9 +389,11 @@
     fn refuse(&mut self, host: usize) {
         let (now, drain_per_s) = (self.now(), self.drain_per_s());
         let this = &mut self.hosts[host];
-        let expected = this.line.expect(SERVICE, drain_per_s, &this.shares, now);
+        let expected = this
+            .line
+            .estimate_starts(SERVICE, drain_per_s, &this.shares, now);
         for late in expected.into_iter().filter(|e| e.is_late) {
-            this.line.leave(late.ticket);
+            this.line.remove(late.ticket);
             let (workspace, came_us) = this.waiting.remove(&late.ticket).unwrap();
             self.outcomes[workspace].refused += 1;
             if self.now_us - came_us > 10_000 {
@@ -403,10 +408,10 @@
         let is_contended = this.line.is_contended();
         let news = News {
             loads: this.own.clone(),
-            waiting: this.line.told(&this.shares, now),
-            handed: this.line.handed(now),
+            waiting: this.line.summary(&this.shares, now),
+            handed: this.line.recent_transfers(now),
             held: if is_contended {
-                this.shares.told()
+                this.shares.summary()
             } else {
                 Vec::new()
             },
@@ -436,8 +441,8 @@
         this.heard[from] = number;
         this.others[from] = loads;
         let name = from.to_string();
-        this.line.tell(&name, &waiting, &handed, now);
-        this.shares.tell(&name, held);
+        this.line.update_peer(&name, &waiting, &handed, now);
+        this.shares.update_peer(&name, held);
         if !this.line.is_empty() {
             self.serve(to);
         }
