--- a/crates/gateway/src/jobs/read.rs
+++ b/crates/gateway/src/jobs/read.rs
@@ -190,9 +190,9 @@
         let jobs = ctx.journal.jobs();
         let known = jobs
             .get(job)
-            .filter(|j| !j.ended)
+            .filter(|j| !j.is_ended)
             .ok_or(JobCall::NotFound)?;
-        let place = known.item(item).ok_or(JobCall::NotFound)?;
+        let place = known.item_index(item).ok_or(JobCall::NotFound)?;
         (Arc::clone(&known.accepted), place as usize)
     };
     let payload = Payload::read(ctx, &accepted).await;
--- a/crates/gateway/src/jobs/submit.rs
+++ b/crates/gateway/src/jobs/submit.rs
@@ -150,7 +150,7 @@
     if ctx.journal.jobs().get(job).is_none() {
         sync(ctx).await?;
     }
-    let is_ended = ctx.journal.jobs().get(job).map(|j| j.ended);
+    let is_ended = ctx.journal.jobs().get(job).map(|j| j.is_ended);
     if is_ended.ok_or(JobCall::NotFound)? {
         return Ok(());
     }
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -213,7 +213,7 @@
             .filter(|(_, job)| upkeep::is_over(job, unix_ms));
         let over: Vec<JobId> = over.map(|(id, _)| id.clone()).collect();
         for job in &over {
-            state.jobs.forget(job);
+            state.jobs.remove_job(job);
         }
         over.len()
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -332,7 +332,7 @@
         let able = self.able();
         let mut hosts: Vec<&str> = able.iter().map(String::as_str).collect();
         hosts.push(own);
-        rendezvous::best(job, &hosts, 1) == [own]
+        rendezvous::top_ranked(job, &hosts, 1) == [own]
     }
 }
 
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -205,7 +205,7 @@
     let heard = lock(&neighbours.heard);
     let others = heard.keys().map(String::as_str);
     let all: Vec<&str> = others.chain([own.as_str()]).collect();
-    rendezvous::best(task, &all, 1) == [own.as_str()]
+    rendezvous::top_ranked(task, &all, 1) == [own.as_str()]
 }
 
 /// Takes in what another cell runs, from one of its hosts.
--- a/crates/gateway/src/peers/loading.rs
+++ b/crates/gateway/src/peers/loading.rs
@@ -203,7 +203,7 @@
         .filter(|(host, peer)| cell::is_together(ctx, cells, host, peer));
     let hosts = near.map(|(host, _)| host.as_str()).chain([ctx.host()]);
     let hosts: Vec<&str> = hosts.collect();
-    rendezvous::best(TASK, &hosts, LISTERS).contains(&ctx.host())
+    rendezvous::top_ranked(TASK, &hosts, LISTERS).contains(&ctx.host())
 }
 
 fn deadline() -> Instant {
--- a/crates/ledger/benches/fold.rs
+++ b/crates/ledger/benches/fold.rs
@@ -111,8 +111,8 @@
         at: Instant::now(),
         unix_ms: 0,
     };
-    let shard = Shard::restore(bytes).expect("The snapshot is whole.");
-    let next = shard.next();
+    let shard = Shard::decode(bytes).expect("The snapshot is whole.");
+    let next = shard.next_offset();
     let mut cfg = Config::new("a1", 1);
     cfg.host = "b1".into();
     let mut owner = Owner::resume(cfg, shard, now);
@@ -124,12 +124,12 @@
     record.id.host = "b1".into();
     owner.step(
         now,
-        Input::Tail {
+        Input::RecordRead {
             offset: next,
             record,
         },
     );
-    assert!(owner.held().is_some(), "The claim wins.");
+    assert!(owner.held_epoch().is_some(), "The claim wins.");
     owner
 }
 
@@ -141,7 +141,7 @@
     for items in [10_000, 100_000, 300_000, 1_000_000] {
         let records = records(items);
         let shard = folded(&records);
-        let bytes = shard.save();
+        let bytes = shard.encode();
         println!(
             "{items} items, half done: {} bytes of snapshot, {:.1} an item",
             bytes.len(),
@@ -152,7 +152,7 @@
             b.iter(|| black_box(folded(&records)));
         });
         group.bench_function(BenchmarkId::new("save", items), |b| {
-            b.iter(|| black_box(shard.save()));
+            b.iter(|| black_box(shard.encode()));
         });
         group.bench_function(BenchmarkId::new("takeover", items), |b| {
             b.iter_batched(
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -56,7 +56,7 @@
 
 /// Why a stream cannot be folded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fold {
+pub enum FoldError {
     /// Records between the snapshot and the oldest kept record are gone.
     Gap {
         /// The offset expected next.
@@ -68,7 +68,7 @@
     Undecodable,
 }
 
-impl fmt::Display for Fold {
+impl fmt::Display for FoldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Gap { expected, found } => write!(
@@ -80,11 +80,11 @@
     }
 }
 
-impl std::error::Error for Fold {}
+impl std::error::Error for FoldError {}
 
 /// Why an owner did not carry a command out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refused {
+pub enum CommandError {
     /// This host does not hold the shard; the command was not run.
     NotOwner {
         /// The holder, where it is known.
@@ -98,14 +98,14 @@
     Invalid(Ignored),
 }
 
-impl Refused {
+impl CommandError {
     /// Returns whether the command certainly had no effect.
-    pub fn not_run(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         !matches!(self, Self::Unknown)
     }
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotOwner { holder: Some(host) } => write!(f, "host {host} holds the shard"),
@@ -117,4 +117,4 @@
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for CommandError {}
--- a/crates/ledger/src/fleet.rs
+++ b/crates/ledger/src/fleet.rs
@@ -46,7 +46,7 @@
         /// The target.
         target: TargetId,
         /// The lease that the claim would end, if the target is held.
-        seen: Option<Seen>,
+        seen: Option<ObservedLease>,
     },
     /// The writer gives a target back.
     Release {
@@ -66,7 +66,7 @@
 
 /// What a claimer had seen of the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ObservedLease {
     /// The epoch that the claim would end.
     pub epoch: Epoch,
     /// The holder's newest record.
@@ -79,11 +79,11 @@
     /// The incarnation.
     pub incarnation: Incarnation,
     /// The offset of its newest record.
-    pub last: Offset,
+    pub last_offset: Offset,
     /// The sequence number of its newest record.
     pub last_seq: u64,
     /// Whether the host has left.
-    pub ended: bool,
+    pub has_ended: bool,
 }
 
 /// The lease on a target.
@@ -107,7 +107,7 @@
 
 impl Fleet {
     /// Returns the offset that follows the newest record folded.
-    pub fn next(&self) -> Offset {
+    pub fn next_offset(&self) -> Offset {
         self.next
     }
 
@@ -128,15 +128,15 @@
 
     /// Returns what a claim on a target must name, and whether the holder's
     /// session is over so that nothing needs to be waited for.
-    pub fn seen(&self, target: &str) -> (Option<Seen>, bool) {
+    pub fn observed_lease(&self, target: &str) -> (Option<ObservedLease>, bool) {
         let Some(lease) = self.leases.get(target) else {
             return (None, true);
         };
         let session = self.sessions.get(&lease.holder);
-        let last = session.map_or(lease.epoch, |s| s.last);
-        let over = session.is_none_or(|s| s.ended || s.incarnation != lease.incarnation);
+        let last = session.map_or(lease.epoch, |s| s.last_offset);
+        let over = session.is_none_or(|s| s.has_ended || s.incarnation != lease.incarnation);
         let epoch = lease.epoch;
-        (Some(Seen { epoch, last }), over)
+        (Some(ObservedLease { epoch, last }), over)
     }
 
     /// Folds a record in and returns what became of each entry.
@@ -166,9 +166,9 @@
         }
         let session = Session {
             incarnation: id.incarnation,
-            last: offset,
+            last_offset: offset,
             last_seq: id.seq,
-            ended: false,
+            has_ended: false,
         };
         self.sessions.insert(id.host.clone(), session);
         Ok(())
@@ -191,9 +191,9 @@
         offset: Offset,
         id: &RecordId,
         target: &str,
-        seen: Option<Seen>,
+        seen: Option<ObservedLease>,
     ) -> Outcome {
-        let (current, over) = self.seen(target);
+        let (current, over) = self.observed_lease(target);
         if current.map(|s| s.epoch) != seen.map(|s| s.epoch) {
             return Err(Ignored::StaleClaim);
         }
@@ -228,7 +228,7 @@
     fn end(&mut self, id: &RecordId) {
         self.leases.retain(|_, lease| lease.holder != id.host);
         if let Some(session) = self.sessions.get_mut(&id.host) {
-            session.ended = true;
+            session.has_ended = true;
         }
     }
 
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -208,7 +208,7 @@
     /// # Errors
     ///
     /// Returns why it does not count.
-    pub fn finish(&mut self, item: ItemIndex, place: Place) -> Result<(), Ignored> {
+    pub fn record_done(&mut self, item: ItemIndex, place: Place) -> Result<(), Ignored> {
         let slot = self.open(item)?;
         slot.phase = Phase::Done;
         slot.result = place;
@@ -221,7 +221,7 @@
     /// # Errors
     ///
     /// Returns why it does not count.
-    pub fn fail(&mut self, item: ItemIndex, failure: Failure) -> Result<(), Ignored> {
+    pub fn record_failed(&mut self, item: ItemIndex, failure: Failure) -> Result<(), Ignored> {
         let slot = self.open(item)?;
         slot.phase = Phase::Failed;
         self.counts.failed += 1;
@@ -234,7 +234,7 @@
     /// # Errors
     ///
     /// Returns why it does not count.
-    pub fn attempt(&mut self, item: ItemIndex, before: u8) -> Result<(), Ignored> {
+    pub fn record_attempt(&mut self, item: ItemIndex, before: u8) -> Result<(), Ignored> {
         let slot = self.open(item)?;
         if slot.attempts != before {
             return Err(Ignored::Counted);
@@ -244,7 +244,7 @@
     }
 
     /// Rewrites the places of blobs that were written again.
-    pub fn move_blobs(&mut self, moved: &[(BlobId, BlobId)], at_unix_ms: u64) {
+    pub fn relocate_blobs(&mut self, moved: &[(BlobId, BlobId)], at_unix_ms: u64) {
         let map: std::collections::HashMap<BlobId, BlobId> = moved.iter().copied().collect();
         for chunk in &mut self.spec.manifest.chunks {
             if let Some(to) = map.get(&chunk.blob) {
--- a/crates/ledger/src/jobs.rs
+++ b/crates/ledger/src/jobs.rs
@@ -65,7 +65,7 @@
     /// The job was accepted by it, or by an earlier copy of it.
     Accepted,
     /// The job had been accepted before, by another try.
-    Repeated,
+    Duplicate,
     /// The job does not fit the limit; it never runs by this try.
     OverQuota {
         /// Tokens of its workspace that wait on the route already.
@@ -117,7 +117,7 @@
     /// The offset of the record by which the owner became it.
     pub epoch: Offset,
     /// Whether the caller ended it.
-    pub ended: bool,
+    pub is_ended: bool,
     /// Its items that have ended, each at its position for good.
     pub listed: Vec<Listed>,
     is_listed: Vec<bool>,
@@ -127,7 +127,7 @@
 impl Job {
     /// Returns whether items of the job are still to be run.
     pub fn is_open(&self) -> bool {
-        !self.ended && self.listed.len() < self.accepted.items.len()
+        !self.is_ended && self.listed.len() < self.accepted.items.len()
     }
 
     /// Returns whether an item has ended.
@@ -136,7 +136,7 @@
     }
 
     /// Returns the place of an item in the caller's order.
-    pub fn item(&self, id: &str) -> Option<u32> {
+    pub fn item_index(&self, id: &str) -> Option<u32> {
         let place = self.accepted.items.iter().position(|item| item.id == id)?;
         u32::try_from(place).ok()
     }
@@ -214,7 +214,7 @@
     }
 
     /// Forgets a job whose records were removed from the stream.
-    pub fn forget(&mut self, job: &str) {
+    pub fn remove_job(&mut self, job: &str) {
         self.open.remove(job);
         if let Some(job) = self.jobs.remove(job) {
             self.release(&Pool::of(&job.accepted), job.waiting_tokens);
@@ -237,7 +237,7 @@
             if known.accepted.attempt == accepted.attempt {
                 return Applied::Accepted;
             }
-            return Applied::Repeated;
+            return Applied::Duplicate;
         }
         let pool = Pool::of(&accepted);
         let waiting = self.waiting_in(&pool);
@@ -260,7 +260,7 @@
             owner: accepted.host.clone(),
             owner_before: None,
             epoch: offset,
-            ended: false,
+            is_ended: false,
             listed: Vec::new(),
             is_listed: vec![false; accepted.items.len()],
             waiting_tokens: tokens,
@@ -313,7 +313,7 @@
         let Some(job) = self.jobs.get_mut(job) else {
             return Applied::Ignored(Ignored::NoJob);
         };
-        if std::mem::replace(&mut job.ended, true) {
+        if std::mem::replace(&mut job.is_ended, true) {
             return Applied::Ignored(Ignored::AlreadyEnded);
         }
         let tokens = std::mem::take(&mut job.waiting_tokens);
--- a/crates/ledger/src/jobs/snapshot.rs
+++ b/crates/ledger/src/jobs/snapshot.rs
@@ -87,7 +87,7 @@
             owner: job.owner.clone(),
             owner_before: job.owner_before.clone(),
             epoch: job.epoch,
-            ended: job.ended,
+            ended: job.is_ended,
             listed: job.listed.clone(),
         }
     }
@@ -108,7 +108,7 @@
             owner: self.owner,
             owner_before: self.owner_before,
             epoch: self.epoch,
-            ended: self.ended,
+            is_ended: self.ended,
             listed: self.listed,
             is_listed,
             waiting_tokens,
--- a/crates/ledger/src/owner/answer.rs
+++ b/crates/ledger/src/owner/answer.rs
@@ -10,8 +10,8 @@
 use super::command::Verdict;
 use super::command::View;
 use super::commit::is_report;
+use crate::error::CommandError;
 use crate::error::Ignored;
-use crate::error::Refused;
 use crate::job::Job;
 use crate::job::State;
 use crate::record::Entry;
@@ -32,7 +32,7 @@
             Answered::Now(res) => self.reply(token, res),
             Answered::After(entry) => {
                 if self.log_down(now) && !is_report(&entry) {
-                    self.reply(token, Err(Refused::LogDown));
+                    self.reply(token, Err(CommandError::LogDown));
                     return;
                 }
                 self.push(Some(token), now.at, entry);
@@ -98,24 +98,24 @@
         }
     }
 
-    pub(super) fn file(&self, file: &str, tenant: &str) -> Result<Reply, Refused> {
+    pub(super) fn file(&self, file: &str, tenant: &str) -> Result<Reply, CommandError> {
         self.shard
             .files()
             .get(file)
             .filter(|f| f.tenant == tenant)
             .map(|f| Reply::File(f.clone()))
-            .ok_or(Refused::Invalid(Ignored::Unknown))
+            .ok_or(CommandError::Invalid(Ignored::Unknown))
     }
 
-    fn job(&self, job: &str, tenant: Option<&str>) -> Result<&Job, Refused> {
+    fn job(&self, job: &str, tenant: Option<&str>) -> Result<&Job, CommandError> {
         self.shard
             .jobs()
             .get(job)
             .filter(|j| tenant.is_none_or(|t| t == j.spec.tenant))
-            .ok_or(Refused::Invalid(Ignored::Unknown))
+            .ok_or(CommandError::Invalid(Ignored::Unknown))
     }
 
-    pub(super) fn view(&self, job: &str, tenant: Option<&str>) -> Result<Reply, Refused> {
+    pub(super) fn view(&self, job: &str, tenant: Option<&str>) -> Result<Reply, CommandError> {
         let job = self.job(job, tenant)?;
         Ok(Reply::Job(Box::new(View::of(job))))
     }
@@ -148,7 +148,7 @@
         tenant: &str,
         from: ItemIndex,
         max: u32,
-    ) -> Result<Reply, Refused> {
+    ) -> Result<Reply, CommandError> {
         let job = self.job(job, Some(tenant))?;
         let upto = job.counts.total.min(from.saturating_add(max.max(1)));
         let answers = (from..upto)
@@ -164,11 +164,11 @@
         serving: &str,
         max: u32,
         host: (&HostId, Incarnation),
-    ) -> Result<Reply, Refused> {
+    ) -> Result<Reply, CommandError> {
         if now.at >= self.valid_until {
-            return Err(Refused::LogDown);
+            return Err(CommandError::LogDown);
         }
-        if now.at.duration_since(self.held_since) < self.cfg.grace {
+        if now.at.duration_since(self.held_since) < self.cfg.takeover_grace {
             // Hosts still report what they run; handing it out would run it
             // twice for nothing.
             return Ok(Reply::Work(Vec::new()));
@@ -184,7 +184,7 @@
             Ok(known) => known,
         };
         if known.cancelled {
-            return Answered::Now(Err(Refused::Invalid(Ignored::Cancelled)));
+            return Answered::Now(Err(CommandError::Invalid(Ignored::Cancelled)));
         }
         Answered::After(match verdict {
             Verdict::Done(place) => Entry::Done { job, item, place },
@@ -202,19 +202,19 @@
                 at_unix_ms,
             }),
             Some(known) if known.digest != digest => {
-                Answered::Now(Err(Refused::Invalid(Ignored::OtherBody)))
+                Answered::Now(Err(CommandError::Invalid(Ignored::OtherBody)))
             }
             Some(known) => Answered::Now(
                 known
                     .end
                     .map(Reply::Ended)
-                    .ok_or(Refused::Invalid(Ignored::Started)),
+                    .ok_or(CommandError::Invalid(Ignored::Started)),
             ),
         }
     }
 }
 
 enum Answered {
-    Now(Result<Reply, Refused>),
+    Now(Result<Reply, CommandError>),
     After(Entry),
 }
--- a/crates/ledger/src/owner/commit.rs
+++ b/crates/ledger/src/owner/commit.rs
@@ -15,8 +15,8 @@
 use super::Pending;
 use super::Token;
 use super::command::Reply;
+use crate::error::CommandError;
 use crate::error::Ignored;
-use crate::error::Refused;
 use crate::record::Entry;
 use crate::record::Epoch;
 use crate::record::Record;
@@ -44,10 +44,10 @@
         }
     }
 
-    fn confirmed(&self, entry: &Entry, outcome: Outcome) -> Result<Reply, Refused> {
+    fn confirmed(&self, entry: &Entry, outcome: Outcome) -> Result<Reply, CommandError> {
         match (entry, outcome) {
             (_, Err(Ignored::Fenced)) => Err(self.not_owner()),
-            (_, Err(ignored)) => Err(Refused::Invalid(ignored)),
+            (_, Err(ignored)) => Err(CommandError::Invalid(ignored)),
             (Entry::File(file), Ok(())) => self.file(&file.id, &file.tenant),
             (Entry::Job(spec), Ok(())) => self.view(&spec.id, None),
             (Entry::Cancel { job }, Ok(())) => self.view(job, None),
@@ -113,7 +113,7 @@
             let Some(token) = pending.token.filter(|_| overdue(pending.since)) else {
                 return true;
             };
-            late.push((token, Refused::LogDown));
+            late.push((token, CommandError::LogDown));
             // Reports of hosts are kept: they cost work to make again.
             pending.token = None;
             is_report(&pending.entry)
@@ -122,7 +122,7 @@
             && overdue(outstanding.first_sent)
         {
             let tokens = outstanding.tokens.iter_mut();
-            late.extend(tokens.filter_map(|t| t.take().map(|t| (t, Refused::Unknown))));
+            late.extend(tokens.filter_map(|t| t.take().map(|t| (t, CommandError::Unknown))));
         }
         for (token, refused) in late {
             self.reply(token, Err(refused));
@@ -133,7 +133,7 @@
         if !self.preferred || !self.caught_up || self.outstanding.is_some() {
             return;
         }
-        let silent = now.at.duration_since(self.heard_at) >= self.cfg.lease;
+        let silent = now.at.duration_since(self.heard_at) >= self.cfg.lease_duration;
         let (supersedes, seen) = match self.shard.lease() {
             Some(_) if !silent => return,
             Some(lease) => (Some(lease.epoch), lease.last),
@@ -144,7 +144,7 @@
     }
 
     pub(super) fn maybe_release(&mut self, now: Now) {
-        let settled = now.at.duration_since(self.held_since) >= self.cfg.grace;
+        let settled = now.at.duration_since(self.held_since) >= self.cfg.takeover_grace;
         let quiet = self.outstanding.is_none() && self.pending.is_empty();
         if settled && quiet {
             self.push(None, now.at, Entry::Release);
@@ -160,10 +160,10 @@
         }
         let last_sent = self.last_sent;
         let due = |pause| last_sent.is_none_or(|at| now.at.duration_since(at) >= pause);
-        if self.pending.is_empty() && due(self.cfg.renew) {
+        if self.pending.is_empty() && due(self.cfg.renew_interval) {
             self.push(None, now.at, Entry::Renew);
         }
-        if self.pending.is_empty() || !due(self.cfg.commit.max(self.pace)) {
+        if self.pending.is_empty() || !due(self.cfg.commit_interval.max(self.pace)) {
             return;
         }
         let count = self.pending.len().min(ENTRIES_MAX);
@@ -211,16 +211,16 @@
         });
     }
 
-    pub(super) fn reply(&mut self, token: Token, res: Result<Reply, Refused>) {
+    pub(super) fn reply(&mut self, token: Token, res: Result<Reply, CommandError>) {
         self.effects.push(Effect::Reply { token, res });
     }
 
-    pub(super) fn not_owner(&self) -> Refused {
+    pub(super) fn not_owner(&self) -> CommandError {
         let lease = self.shard.lease();
         let holder = lease
             .map(|l| l.holder.clone())
             .filter(|holder| *holder != self.cfg.host);
-        Refused::NotOwner { holder }
+        CommandError::NotOwner { holder }
     }
 
     pub(super) fn refuse_all(&mut self) {
--- a/crates/ledger/src/owner/mod.rs
+++ b/crates/ledger/src/owner/mod.rs
@@ -29,7 +29,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::error::Refused;
+use crate::error::CommandError;
 use crate::queue::Queue;
 use crate::record::BlobId;
 use crate::record::Entry;
@@ -68,11 +68,11 @@
     /// This host's incarnation.
     pub incarnation: Incarnation,
     /// Silence of a holder after which this host may claim.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Time between two renewals.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// Least time between two appends.
-    pub commit: Duration,
+    pub commit_interval: Duration,
     /// Time after which a command that waits for the log is answered anyway.
     pub reply_timeout: Duration,
     /// Attempts after which an item fails for good.
@@ -80,13 +80,13 @@
     /// Time after which an item is handed out again whatever its host says.
     pub item_timeout: Duration,
     /// Time after a claim in which hosts report what they run.
-    pub grace: Duration,
+    pub takeover_grace: Duration,
     /// Records between two snapshots.
     pub snapshot_records: u64,
     /// Age of blobs and snapshots at which they are written again.
-    pub carry_after: Duration,
+    pub rewrite_after: Duration,
     /// Time for which ended jobs and keys are kept.
-    pub readable: Duration,
+    pub retention: Duration,
 }
 
 impl Config {
@@ -95,16 +95,16 @@
         Self {
             host: host.into(),
             incarnation,
-            lease: Duration::from_secs(6),
-            renew: Duration::from_millis(1_500),
-            commit: Duration::from_millis(20),
+            lease_duration: Duration::from_secs(6),
+            renew_interval: Duration::from_millis(1_500),
+            commit_interval: Duration::from_millis(20),
             reply_timeout: Duration::from_secs(3),
             attempts_max: 3,
             item_timeout: Duration::from_secs(600),
-            grace: Duration::from_secs(1),
+            takeover_grace: Duration::from_secs(1),
             snapshot_records: 4_096,
-            carry_after: Duration::from_secs(64_800),
-            readable: Duration::from_secs(259_200),
+            rewrite_after: Duration::from_secs(64_800),
+            retention: Duration::from_secs(259_200),
         }
     }
 }
@@ -115,7 +115,7 @@
     /// Time passed.
     Tick,
     /// A record was read from the shard's stream.
-    Tail {
+    RecordRead {
         /// Its offset.
         offset: Offset,
         /// The record.
@@ -124,9 +124,9 @@
     /// The reader of the stream has reached its end.
     CaughtUp,
     /// The append sent last may or may not have taken effect.
-    AppendLost,
+    AppendUnconfirmed,
     /// Somebody asks something.
-    Ask {
+    Command {
         /// What identifies the command.
         token: Token,
         /// What is asked.
@@ -135,25 +135,25 @@
     /// Whether this host should hold the shard.
     Preferred(bool),
     /// Least time between two appends, for the fleet to keep to its budget.
-    Pace(Duration),
+    AppendInterval(Duration),
     /// A host is dead or has started again.
-    HostGone {
+    HostFailed {
         /// The host.
         host: HostId,
         /// Its newest incarnation that is gone.
         incarnation: Incarnation,
     },
     /// A snapshot was written.
-    Saved {
+    SnapshotSaved {
         /// Its parts.
         parts: Vec<BlobId>,
         /// The last offset that it covers.
         upto: Offset,
     },
     /// A snapshot or the blobs of a job could not be written.
-    SaveFailed,
+    BlobWriteFailed,
     /// The blobs of a job were written again.
-    Carried {
+    BlobsRewritten {
         /// The job.
         job: JobId,
         /// Old and new places.
@@ -171,17 +171,17 @@
         /// What identifies the command.
         token: Token,
         /// The answer.
-        res: Result<Reply, Refused>,
+        res: Result<Reply, CommandError>,
     },
-    /// Write these bytes as a snapshot, then say [`Input::Saved`].
-    Save {
+    /// Write these bytes as a snapshot, then say [`Input::SnapshotSaved`].
+    SaveSnapshot {
         /// The state.
         bytes: Vec<u8>,
         /// The last offset that it covers.
         upto: Offset,
     },
-    /// Write these blobs again, then say [`Input::Carried`].
-    Carry {
+    /// Write these blobs again, then say [`Input::BlobsRewritten`].
+    RewriteBlobs {
         /// The job that they belong to.
         job: JobId,
         /// The blobs.
@@ -267,12 +267,12 @@
     }
 
     /// Returns the epoch under which this host holds the shard, if it does.
-    pub fn held(&self) -> Option<Epoch> {
+    pub fn held_epoch(&self) -> Option<Epoch> {
         self.held
     }
 
     /// Returns the servings that have items to hand out.
-    pub fn backlog(&self) -> Vec<String> {
+    pub fn pending_servings(&self) -> Vec<String> {
         if self.held.is_none() {
             return Vec::new();
         }
@@ -280,7 +280,7 @@
     }
 
     /// Returns how many items hosts run.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.queue.out_len()
     }
 
@@ -288,18 +288,18 @@
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now),
-            Input::Tail { offset, record } => self.tail(now, offset, &record),
+            Input::RecordRead { offset, record } => self.tail(now, offset, &record),
             Input::CaughtUp => self.caught_up = true,
-            Input::AppendLost => self.append_lost(now),
-            Input::Ask { token, command } => self.ask(now, token, command),
+            Input::AppendUnconfirmed => self.append_lost(now),
+            Input::Command { token, command } => self.ask(now, token, command),
             Input::Preferred(preferred) => self.preferred = preferred,
-            Input::Pace(pace) => self.pace = pace,
-            Input::HostGone { host, incarnation } => {
+            Input::AppendInterval(pace) => self.pace = pace,
+            Input::HostFailed { host, incarnation } => {
                 self.queue.host_gone(self.shard.jobs(), &host, incarnation);
             }
-            Input::Saved { parts, upto } => self.saved(now, parts, upto),
-            Input::SaveFailed => self.saving = false,
-            Input::Carried { job, blobs } => self.carried(now, job, blobs),
+            Input::SnapshotSaved { parts, upto } => self.saved(now, parts, upto),
+            Input::BlobWriteFailed => self.saving = false,
+            Input::BlobsRewritten { job, blobs } => self.carried(now, job, blobs),
         }
         std::mem::take(&mut self.effects)
     }
@@ -322,7 +322,7 @@
     }
 
     fn tail(&mut self, now: Now, offset: Offset, record: &Record) {
-        if offset < self.shard.next() {
+        if offset < self.shard.next_offset() {
             return;
         }
         let was_last = self.shard.lease().map(|l| l.last);
@@ -357,7 +357,7 @@
             && confirmed
             && let Some(outstanding) = &self.outstanding
         {
-            self.valid_until = outstanding.first_sent + self.cfg.lease;
+            self.valid_until = outstanding.first_sent + self.cfg.lease_duration;
         }
         if epoch == self.held {
             return;
--- a/crates/ledger/src/owner/upkeep.rs
+++ b/crates/ledger/src/owner/upkeep.rs
@@ -87,14 +87,14 @@
     pub(super) fn maybe_save(&mut self, now: Now) {
         let many = self.records_since_snapshot >= self.cfg.snapshot_records;
         let age_ms = now.unix_ms.saturating_sub(self.snapshot_unix_ms);
-        let old = age_ms >= millis(self.cfg.carry_after) && self.records_since_snapshot > 0;
+        let old = age_ms >= millis(self.cfg.rewrite_after) && self.records_since_snapshot > 0;
         if self.saving || !(many || old) {
             return;
         }
         self.saving = true;
-        let upto = self.shard.next().saturating_sub(1);
-        let bytes = self.shard.save();
-        self.effects.push(Effect::Save { bytes, upto });
+        let upto = self.shard.next_offset().saturating_sub(1);
+        let bytes = self.shard.encode();
+        self.effects.push(Effect::SaveSnapshot { bytes, upto });
     }
 
     pub(super) fn saved(&mut self, now: Now, parts: Vec<BlobId>, upto: Offset) {
@@ -124,8 +124,8 @@
             return;
         }
         let age = |since_ms: u64| Duration::from_millis(now.unix_ms.saturating_sub(since_ms));
-        let keep = self.cfg.readable;
-        let carry = self.cfg.carry_after;
+        let keep = self.cfg.retention;
+        let carry = self.cfg.rewrite_after;
         let files = self.shard.files().values();
         let files = files
             .filter(|f| age(f.created_unix_ms) >= carry)
@@ -149,12 +149,12 @@
         if self.saving {
             return;
         }
-        let carry_ms = millis(self.cfg.carry_after);
+        let carry_ms = millis(self.cfg.rewrite_after);
         let old = |j: &&Job| now.unix_ms.saturating_sub(j.blobs_unix_ms) >= carry_ms;
         let Some(job) = self.shard.jobs().values().find(old) else {
             return;
         };
-        let effect = Effect::Carry {
+        let effect = Effect::RewriteBlobs {
             job: job.spec.id.clone(),
             blobs: blobs_of(job),
         };
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::error::Fold;
+use crate::error::FoldError;
 use crate::job::Failure;
 use crate::job::File;
 use crate::job::Spec;
@@ -59,7 +59,7 @@
 impl Record {
     /// Returns a record that says nothing, in whose stead a reader folds one
     /// that it cannot decode.
-    pub fn void() -> Self {
+    pub fn empty() -> Self {
         Self {
             id: RecordId {
                 host: HostId::new(),
@@ -219,7 +219,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Fold::Undecodable`] if the bytes are not of that type.
-pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Fold> {
-    postcard::from_bytes(bytes).map_err(|_| Fold::Undecodable)
+/// Returns [`FoldError::Undecodable`] if the bytes are not of that type.
+pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, FoldError> {
+    postcard::from_bytes(bytes).map_err(|_| FoldError::Undecodable)
 }
--- a/crates/ledger/src/rendezvous.rs
+++ b/crates/ledger/src/rendezvous.rs
@@ -12,11 +12,11 @@
 /// use notchwharf_ledger::rendezvous;
 ///
 /// let hosts = ["a1", "a2", "a3"];
-/// let all = rendezvous::best("shard-4", &hosts, 2);
+/// let all = rendezvous::top_ranked("shard-4", &hosts, 2);
 /// let rest: Vec<_> = hosts.into_iter().filter(|h| *h != all[0]).collect();
-/// assert_eq!(rendezvous::best("shard-4", &rest, 1), [all[1]]);
+/// assert_eq!(rendezvous::top_ranked("shard-4", &rest, 1), [all[1]]);
 /// ```
-pub fn best<'a>(key: &str, hosts: &[&'a str], count: usize) -> Vec<&'a str> {
+pub fn top_ranked<'a>(key: &str, hosts: &[&'a str], count: usize) -> Vec<&'a str> {
     let seed = hash(key);
     let mut scored: Vec<(u64, &str)> = hosts
         .iter()
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -22,7 +22,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::error::Fold;
+use crate::error::FoldError;
 use crate::error::Ignored;
 use crate::job::File;
 use crate::job::Job;
@@ -88,7 +88,7 @@
     }
 
     /// Returns the offset that follows the newest record folded.
-    pub fn next(&self) -> Offset {
+    pub fn next_offset(&self) -> Offset {
         self.next
     }
 
@@ -119,15 +119,15 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Fold::Gap`] if records before this one are missing.
-    pub fn apply(&mut self, offset: Offset, record: &Record) -> Result<Vec<Outcome>, Fold> {
+    /// Returns [`FoldError::Gap`] if records before this one are missing.
+    pub fn apply(&mut self, offset: Offset, record: &Record) -> Result<Vec<Outcome>, FoldError> {
         if offset < self.next {
             return Ok(Vec::new());
         }
         // An empty shard may start anywhere: older records have expired only
         // after an owner wrote a snapshot, which the reader loads first.
         if self.next != 0 && offset != self.next {
-            return Err(Fold::Gap {
+            return Err(FoldError::Gap {
                 expected: self.next,
                 found: offset,
             });
@@ -137,16 +137,16 @@
     }
 
     /// Returns the state as bytes, for a snapshot.
-    pub fn save(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         crate::record::encode(self)
     }
 
-    /// Returns the state that bytes from [`Shard::save`] hold.
+    /// Returns the state that bytes from [`Shard::encode`] hold.
     ///
     /// # Errors
     ///
-    /// Returns [`Fold::Undecodable`] if the bytes hold no such state.
-    pub fn restore(bytes: &[u8]) -> Result<Self, Fold> {
+    /// Returns [`FoldError::Undecodable`] if the bytes hold no such state.
+    pub fn decode(bytes: &[u8]) -> Result<Self, FoldError> {
         crate::record::decode(bytes)
     }
 
@@ -223,9 +223,11 @@
                 Ok(())
             }
             Entry::Job(spec) => self.accept(spec),
-            Entry::Done { job, item, place } => self.job(job)?.finish(*item, *place),
-            Entry::Attempt { job, item, before } => self.job(job)?.attempt(*item, *before),
-            Entry::Failed { job, item, failure } => self.job(job)?.fail(*item, failure.clone()),
+            Entry::Done { job, item, place } => self.job(job)?.record_done(*item, *place),
+            Entry::Attempt { job, item, before } => self.job(job)?.record_attempt(*item, *before),
+            Entry::Failed { job, item, failure } => {
+                self.job(job)?.record_failed(*item, failure.clone())
+            }
             Entry::Cancel { job } => self.cancel(job),
             Entry::KeyStart {
                 key,
@@ -240,7 +242,7 @@
                 blobs,
                 at_unix_ms,
             } => {
-                self.job(job)?.move_blobs(blobs, *at_unix_ms);
+                self.job(job)?.relocate_blobs(blobs, *at_unix_ms);
                 Ok(())
             }
             Entry::Snapshot { .. } => {
--- a/crates/ledger/tests/fold.rs
+++ b/crates/ledger/tests/fold.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use notchwharf_ledger::error::Fold;
+use notchwharf_ledger::error::FoldError;
 use notchwharf_ledger::error::Ignored;
 use notchwharf_ledger::fleet;
 use notchwharf_ledger::fleet::Fleet;
@@ -117,7 +117,7 @@
 
 #[rstest]
 fn a_missing_record_is_noticed() {
-    let expected = Err(Fold::Gap {
+    let expected = Err(FoldError::Gap {
         expected: 3,
         found: 5,
     });
@@ -150,12 +150,12 @@
     };
     let mut fleet = Fleet::default();
     assert_eq!(fleet.apply(1, &say("a", 1, claim(None))), [Ok(())]);
-    let (seen, over) = fleet.seen("t");
+    let (seen, over) = fleet.observed_lease("t");
     assert!(!over);
     fleet.apply(2, &say("a", 2, Vec::new()));
     let early = fleet.apply(3, &say("b", 1, claim(seen)));
     assert_eq!(early, [Err(Ignored::HolderAlive)]);
-    let (seen, _) = fleet.seen("t");
+    let (seen, _) = fleet.observed_lease("t");
     assert_eq!(fleet.apply(4, &say("b", 2, claim(seen))), [Ok(())]);
     assert_eq!(fleet.lease("t").unwrap().epoch, 4);
     let stale = fleet::Entry::Keep {
@@ -186,7 +186,7 @@
     next.incarnation = 2;
     let entries = Vec::new();
     fleet.apply(2, &fleet::Record { id: next, entries });
-    assert!(fleet.seen("t").1, "Nobody need wait for it.");
+    assert!(fleet.observed_lease("t").1, "Nobody need wait for it.");
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
@@ -241,7 +241,7 @@
         for (i, record) in records.iter().enumerate() {
             let offset = i as u64 + 1;
             if i == cut {
-                resumed = Shard::restore(&resumed.save()).unwrap();
+                resumed = Shard::decode(&resumed.encode()).unwrap();
             }
             let a = whole.apply(offset, record);
             let b = resumed.apply(offset, record);
--- a/crates/ledger/tests/jobs.rs
+++ b/crates/ledger/tests/jobs.rs
@@ -62,7 +62,7 @@
 
 #[rstest]
 #[case::second_copy(vec![accepted(1, 1, 1, 9), accepted(1, 1, 1, 9)], Applied::Accepted)]
-#[case::another_try(vec![accepted(1, 1, 1, 9), accepted(1, 2, 1, 9)], Applied::Repeated)]
+#[case::another_try(vec![accepted(1, 1, 1, 9), accepted(1, 2, 1, 9)], Applied::Duplicate)]
 #[case::full(vec![accepted(1, 1, 1, 60), accepted(2, 2, 1, 41)], Applied::OverQuota { waiting: 60 })]
 #[case::fits_to_the_token(vec![accepted(1, 1, 1, 60), accepted(2, 2, 1, 40)], Applied::Accepted)]
 #[case::room_after_an_item(
@@ -135,7 +135,7 @@
         .map(|(id, job)| {
             format!(
                 "{id} {} {} {} {:?}",
-                job.owner, job.epoch, job.ended, job.listed
+                job.owner, job.epoch, job.is_ended, job.listed
             )
         })
         .collect();
--- a/crates/ledger/tests/matrix.rs
+++ b/crates/ledger/tests/matrix.rs
@@ -6,8 +6,8 @@
 
 mod world;
 
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::error::Ignored;
-use notchwharf_ledger::error::Refused;
 use notchwharf_ledger::job::Phase;
 use notchwharf_ledger::job::State;
 use notchwharf_ledger::owner::Command;
@@ -89,7 +89,7 @@
             let at = 100 + runs;
             match world.insist(&done(&work, at)) {
                 Ok(_) => acked.push((work.item, at)),
-                Err(Refused::Invalid(Ignored::Settled)) => {}
+                Err(CommandError::Invalid(Ignored::Settled)) => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -180,14 +180,14 @@
 
 /// A call with a key, as the server makes it: it is sent only after the start
 /// was confirmed, and its end is recorded until that is confirmed.
-fn run_keyed(world: &mut World, sends: &mut u32) -> Result<Reply, Refused> {
+fn run_keyed(world: &mut World, sends: &mut u32) -> Result<Reply, CommandError> {
     let start = Command::KeyStart {
         key: "school/k".into(),
         digest: "d".into(),
     };
     let Some(index) = world.holder() else {
         world.step();
-        return Err(Refused::NotOwner { holder: None });
+        return Err(CommandError::NotOwner { holder: None });
     };
     let res = world.ask_host(index, start)?;
     if res != Reply::Done {
@@ -279,7 +279,7 @@
     };
     assert_eq!(view.state, State::Cancelled);
     let late = world.insist(&done(&works[0], 1));
-    assert_eq!(late, Err(Refused::Invalid(Ignored::Cancelled)));
+    assert_eq!(late, Err(CommandError::Invalid(Ignored::Cancelled)));
     world.settle_down();
     let Ok(Reply::Work(more)) = world.insist(&take(9, "w")) else {
         panic!("The owner answers.");
@@ -309,7 +309,7 @@
 ) {
     let mut world = World::new(3);
     // The first record of a stream has offset zero, like no other epoch.
-    world.log.extend(vec![Record::void(); first_offset]);
+    world.log.extend(vec![Record::empty(); first_offset]);
     world.run_for(300);
     world.applies = step.applies();
     world.fates.push_back(fate);
@@ -319,7 +319,7 @@
         let res = world.ask_host(0, Command::CreateJob(spec(&id, 1)));
         world.run_for(40);
         let Err(refused) = res else { continue };
-        if !refused.not_run() {
+        if !refused.is_not_run() {
             continue;
         }
         let mut later = world.folded_after(3 * LEASE_MS);
@@ -409,7 +409,7 @@
     world.insist(&attempt(&works[0])).unwrap();
     world.insist(&take(1, "v")).unwrap();
     let again = world.insist(&attempt(&works[0]));
-    assert_eq!(again, Err(Refused::Invalid(Ignored::Counted)));
+    assert_eq!(again, Err(CommandError::Invalid(Ignored::Counted)));
     let Ok(Reply::Work(more)) = world.insist(&take(1, "v")) else {
         panic!("The owner answers.");
     };
@@ -423,7 +423,7 @@
     world.log_down_until_ms = u64::MAX;
     world.run_for(LEASE_MS);
     let res = world.ask(Command::CreateJob(spec("job", 1)));
-    assert_eq!(res, Err(Refused::LogDown));
+    assert_eq!(res, Err(CommandError::LogDown));
     world.settle_down();
     assert!(world.folded().jobs().is_empty(), "Not run means not run.");
 }
@@ -438,7 +438,7 @@
         panic!("The owner answers.");
     };
     assert!(none.is_empty());
-    let gone = notchwharf_ledger::owner::Input::HostGone {
+    let gone = notchwharf_ledger::owner::Input::HostFailed {
         host: "w".into(),
         incarnation: 1,
     };
--- a/crates/ledger/tests/world/mod.rs
+++ b/crates/ledger/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_ledger::error::Refused;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::job::Chunk;
 use notchwharf_ledger::job::Manifest;
 use notchwharf_ledger::job::Spec;
@@ -59,7 +59,7 @@
     pub owner: Owner,
     pub alive: bool,
     pub paused_until_ms: u64,
-    pub replies: Vec<(Token, Result<Reply, Refused>)>,
+    pub replies: Vec<(Token, Result<Reply, CommandError>)>,
     name: String,
     incarnation: u64,
     read: usize,
@@ -105,11 +105,11 @@
     fn host(&self, index: usize, incarnation: u64) -> Host {
         let name = format!("a{index}");
         let cfg = Config {
-            lease: Duration::from_millis(LEASE_MS),
-            renew: Duration::from_millis(200),
-            commit: Duration::from_millis(STEP_MS),
+            lease_duration: Duration::from_millis(LEASE_MS),
+            renew_interval: Duration::from_millis(200),
+            commit_interval: Duration::from_millis(STEP_MS),
             reply_timeout: Duration::from_millis(500),
-            grace: Duration::from_millis(50),
+            takeover_grace: Duration::from_millis(50),
             snapshot_records: 16,
             item_timeout: Duration::from_secs(5),
             ..Config::new(&name, incarnation)
@@ -144,9 +144,10 @@
     }
 
     pub fn holder(&self) -> Option<usize> {
-        let holds = |h: &Host| h.alive && h.owner.held().is_some();
+        let holds = |h: &Host| h.alive && h.owner.held_epoch().is_some();
         let held = self.hosts.iter().enumerate().filter(|(_, h)| holds(h));
-        held.max_by_key(|(_, h)| h.owner.held()).map(|(i, _)| i)
+        held.max_by_key(|(_, h)| h.owner.held_epoch())
+            .map(|(i, _)| i)
     }
 
     pub fn log_is_up(&self) -> bool {
@@ -185,16 +186,16 @@
         let host = &mut self.hosts[index];
         if host.lost_at_ms.is_some_and(|at| at <= self.now_ms) {
             host.lost_at_ms = None;
-            inputs.push(Input::AppendLost);
+            inputs.push(Input::AppendUnconfirmed);
         }
         for (parts, upto) in std::mem::take(&mut host.saved) {
-            inputs.push(Input::Saved { parts, upto });
+            inputs.push(Input::SnapshotSaved { parts, upto });
         }
         if self.now_ms >= self.log_down_until_ms {
             for offset in host.read..self.log.len() {
                 let record = self.log[offset].clone();
                 let offset = offset as u64;
-                inputs.push(Input::Tail { offset, record });
+                inputs.push(Input::RecordRead { offset, record });
             }
             host.read = self.log.len();
             inputs.push(Input::CaughtUp);
@@ -220,13 +221,13 @@
         match effect {
             Effect::Append(record) => self.append(index, record),
             Effect::Reply { token, res } => self.hosts[index].replies.push((token, res)),
-            Effect::Save { bytes, upto } => {
+            Effect::SaveSnapshot { bytes, upto } => {
                 let offset = self.snapshots.len() as u64;
                 self.snapshots.push(bytes);
                 let part = BlobId { stream: 0, offset };
                 self.hosts[index].saved.push((vec![part], upto));
             }
-            Effect::Carry { .. } => {}
+            Effect::RewriteBlobs { .. } => {}
         }
     }
 
@@ -263,18 +264,18 @@
 
     /// Asks whoever holds the shard, once. A host that dies with the question
     /// leaves the outcome unknown.
-    pub fn ask(&mut self, command: Command) -> Result<Reply, Refused> {
+    pub fn ask(&mut self, command: Command) -> Result<Reply, CommandError> {
         let Some(index) = self.holder() else {
             self.step();
-            return Err(Refused::NotOwner { holder: None });
+            return Err(CommandError::NotOwner { holder: None });
         };
         self.ask_host(index, command)
     }
 
-    pub fn ask_host(&mut self, index: usize, command: Command) -> Result<Reply, Refused> {
+    pub fn ask_host(&mut self, index: usize, command: Command) -> Result<Reply, CommandError> {
         let token = self.next_token;
         self.next_token += 1;
-        self.feed(index, Input::Ask { token, command });
+        self.feed(index, Input::Command { token, command });
         for _ in 0..300 {
             let host = &mut self.hosts[index];
             let found = host.replies.iter().position(|(t, _)| *t == token);
@@ -282,19 +283,19 @@
                 return host.replies.remove(at).1;
             }
             if !host.alive {
-                return Err(Refused::Unknown);
+                return Err(CommandError::Unknown);
             }
             self.step();
         }
-        Err(Refused::Unknown)
+        Err(CommandError::Unknown)
     }
 
     /// Asks again until there is a final answer.
-    pub fn insist(&mut self, command: &Command) -> Result<Reply, Refused> {
+    pub fn insist(&mut self, command: &Command) -> Result<Reply, CommandError> {
         for _ in 0..3_000 {
             let res = self.ask(command.clone());
             match res {
-                Ok(_) | Err(Refused::Invalid(_)) => return res,
+                Ok(_) | Err(CommandError::Invalid(_)) => return res,
                 Err(_) => self.step(),
             }
         }
--- a/crates/placement/src/reconcile.rs
+++ b/crates/placement/src/reconcile.rs
@@ -7,9 +7,9 @@
 
 /// What one target holds, by fingerprint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct TargetState {
     /// What it can serve.
-    pub holds: Vec<String>,
+    pub loaded: Vec<String>,
     /// What it is loading.
     pub loading: Vec<String>,
 }
@@ -30,20 +30,20 @@
 /// unloads, one at a time: the weight store is shared by all. Something that
 /// the bundle names is unloaded only if another ready target holds it, so a
 /// roll-out never removes the last.
-pub fn next(
+pub fn next_step(
     wanted: &[String],
-    seen: &Seen,
+    state: &TargetState,
     others: impl Fn(&str) -> usize,
     in_force: impl Fn(&str) -> bool,
 ) -> Option<Step> {
-    if !seen.loading.is_empty() {
+    if !state.loading.is_empty() {
         return None;
     }
-    let missing = wanted.iter().find(|w| !seen.holds.contains(w));
+    let missing = wanted.iter().find(|w| !state.loaded.contains(w));
     if let Some(missing) = missing {
         return Some(Step::Load(missing.clone()));
     }
-    let surplus = seen.holds.iter().filter(|h| !wanted.contains(h));
+    let surplus = state.loaded.iter().filter(|h| !wanted.contains(h));
     let mut removable = surplus.filter(|h| !in_force(h) || others(h) > 0);
     removable.next().map(|held| Step::Unload(held.clone()))
 }
--- a/crates/placement/tests/reconcile.rs
+++ b/crates/placement/tests/reconcile.rs
@@ -6,9 +6,9 @@
 
 use notchwharf_config::bundle::Serving;
 use notchwharf_placement::plan::plan;
-use notchwharf_placement::reconcile::Seen;
 use notchwharf_placement::reconcile::Step;
-use notchwharf_placement::reconcile::next;
+use notchwharf_placement::reconcile::TargetState;
+use notchwharf_placement::reconcile::next_step;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -30,11 +30,11 @@
     #[case] others: usize,
     #[case] expected: Option<Step>,
 ) {
-    let seen = Seen {
-        holds: all(holds),
+    let seen = TargetState {
+        loaded: all(holds),
         loading: all(loading),
     };
-    let step = next(&all(wanted), &seen, |_| others, |held| held != "old");
+    let step = next_step(&all(wanted), &seen, |_| others, |held| held != "old");
     assert_eq!(step, expected);
 }
 
@@ -98,12 +98,12 @@
         for at in order.iter().map(|at| at % count) {
             let before: BTreeSet<String> = held.iter().flatten().cloned().collect();
             let wanted: Vec<String> = plan[targets[at]].iter().map(|s| s.name.clone()).collect();
-            let seen = Seen { holds: held[at].iter().cloned().collect(), loading: Vec::new() };
+            let seen = TargetState { loaded: held[at].iter().cloned().collect(), loading: Vec::new() };
             let others = |f: &str| {
                 let others = held.iter().enumerate().filter(|(i, _)| *i != at);
                 others.filter(|(_, h)| h.contains(f)).count()
             };
-            match next(&wanted, &seen, others, in_force) {
+            match next_step(&wanted, &seen, others, in_force) {
                 Some(Step::Load(f)) => { held[at].insert(f); }
                 Some(Step::Unload(f)) => { held[at].remove(&f); }
                 None => {}
--- a/crates/proto/src/peer.rs
+++ b/crates/proto/src/peer.rs
@@ -5,7 +5,7 @@
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
 use notchwharf_config::bundle::Bundle;
-use notchwharf_ledger::error::Refused;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Reply;
 use notchwharf_ledger::owner::Work;
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyedError {
     /// It was not sent.
-    NotRun(Refused),
+    NotRun(CommandError),
     /// No target could take it; it was not sent.
     NoTarget,
     /// The key was used with another call.
@@ -132,7 +132,11 @@
 pub trait Peer {
     /// Asks the owner of a shard.
     #[method(name = "ledger")]
-    async fn ledger(&self, shard: ShardId, command: Command) -> RpcResult<Result<Reply, Refused>>;
+    async fn ledger(
+        &self,
+        shard: ShardId,
+        command: Command,
+    ) -> RpcResult<Result<Reply, CommandError>>;
 
     /// Hands out items of any shard that the host holds.
     #[method(name = "take")]
--- a/crates/server/src/api/batches.rs
+++ b/crates/server/src/api/batches.rs
@@ -117,7 +117,9 @@
     format!("batch_{}", &hex(&digest)[..24])
 }
 
-fn expect_job(res: Result<Reply, notchwharf_ledger::error::Refused>) -> Result<Box<View>, Problem> {
+fn expect_job(
+    res: Result<Reply, notchwharf_ledger::error::CommandError>,
+) -> Result<Box<View>, Problem> {
     match res {
         Ok(Reply::Job(view)) => Ok(view),
         Ok(_) => Err(Problem::NotFound("batch")),
--- a/crates/server/src/api/files.rs
+++ b/crates/server/src/api/files.rs
@@ -15,8 +15,8 @@
 use multer::Multipart;
 use notchwharf_config::bundle::Class;
 use notchwharf_config::settings::ms;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::error::Ignored;
-use notchwharf_ledger::error::Refused;
 use notchwharf_ledger::job::Failure;
 use notchwharf_ledger::job::File;
 use notchwharf_ledger::job::Manifest;
@@ -59,13 +59,13 @@
 }
 
 /// Returns what a ledger's refusal means to a caller.
-pub(crate) fn refused(refused: Refused, what: &'static str) -> Problem {
+pub(crate) fn refused(refused: CommandError, what: &'static str) -> Problem {
     match refused {
-        Refused::NotOwner { .. } => Problem::NoOwner,
-        Refused::LogDown => Problem::LogDown,
-        Refused::Unknown => Problem::OutcomeUnknown,
-        Refused::Invalid(Ignored::Unknown) => Problem::NotFound(what),
-        Refused::Invalid(_) => Problem::KeyReused,
+        CommandError::NotOwner { .. } => Problem::NoOwner,
+        CommandError::LogDown => Problem::LogDown,
+        CommandError::Unknown => Problem::OutcomeUnknown,
+        CommandError::Invalid(Ignored::Unknown) => Problem::NotFound(what),
+        CommandError::Invalid(_) => Problem::KeyReused,
     }
 }
 
--- a/crates/server/src/api/services.rs
+++ b/crates/server/src/api/services.rs
@@ -24,7 +24,7 @@
 use notchwharf_clients::error::Call;
 use notchwharf_clients::http::Client;
 use notchwharf_config::bundle::Class;
-use notchwharf_ledger::error::Refused;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_proto::peer::Callee;
 use notchwharf_proto::peer::KeyedAnswer;
 use notchwharf_proto::peer::KeyedCall;
@@ -219,7 +219,7 @@
             retry_after: Duration::from_secs(1),
         }),
         Err(KeyedError::Unknown) => Err(Problem::OutcomeUnknown),
-        Err(KeyedError::NotRun(Refused::NotOwner { .. })) => Err(Problem::NoOwner),
+        Err(KeyedError::NotRun(CommandError::NotOwner { .. })) => Err(Problem::NoOwner),
         Err(KeyedError::NotRun(_)) => Err(Problem::LogDown),
     }
 }
--- a/crates/server/src/dispatch/orders.rs
+++ b/crates/server/src/dispatch/orders.rs
@@ -13,8 +13,8 @@
 use notchwharf_membership::fact;
 use notchwharf_placement::plan;
 use notchwharf_placement::reconcile;
-use notchwharf_placement::reconcile::Seen;
 use notchwharf_placement::reconcile::Step;
+use notchwharf_placement::reconcile::TargetState;
 
 use super::Dispatcher;
 use crate::bundle::held_of;
@@ -42,12 +42,12 @@
             wanted.extend(mine.map(|s| held_of(s)));
         }
         let names = |all: &[Held]| all.iter().map(Held::fingerprint).collect::<Vec<_>>();
-        let seen = Seen {
-            holds: names(&status.holds),
+        let seen = TargetState {
+            loaded: names(&status.holds),
             loading: names(&status.loading),
         };
         let others = |fingerprint: &str| self.others_holding(fingerprint);
-        let step = reconcile::next(&names(&wanted), &seen, others, |f| active.is_in_force(f));
+        let step = reconcile::next_step(&names(&wanted), &seen, others, |f| active.is_in_force(f));
         let action = match step {
             None => return,
             Some(Step::Load(f)) => {
--- a/crates/server/src/fleet.rs
+++ b/crates/server/src/fleet.rs
@@ -208,12 +208,12 @@
                 continue;
             }
             let target = &listed.name;
-            let best = rendezvous::best(target, &live, 1);
+            let best = rendezvous::top_ranked(target, &live, 1);
             let preferred = best.first() == Some(&self.shared.host().as_str());
             let mine = self.mine.get(target);
             match (preferred, mine) {
                 (true, None) if self.may_claim(target, now) => {
-                    let seen = self.fleet.seen(target).0;
+                    let seen = self.fleet.observed_lease(target).0;
                     let target = target.clone();
                     entries.push(Entry::Claim { target, seen });
                 }
@@ -228,7 +228,7 @@
     }
 
     fn may_claim(&self, target: &str, now: Instant) -> bool {
-        let (seen, over) = self.fleet.seen(target);
+        let (seen, over) = self.fleet.observed_lease(target);
         let Some(lease) = self.fleet.lease(target).filter(|_| seen.is_some() && !over) else {
             return true;
         };
--- a/crates/server/src/item.rs
+++ b/crates/server/src/item.rs
@@ -6,7 +6,7 @@
 
 use notchwharf_config::bundle::Class;
 use notchwharf_config::settings::ms;
-use notchwharf_ledger::error::Refused;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::job::Failure;
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Verdict;
@@ -210,7 +210,7 @@
                 ctx.metrics.count(Counted::Items, label);
                 return;
             }
-            Err(Refused::Invalid(_)) => {
+            Err(CommandError::Invalid(_)) => {
                 ctx.metrics.count(Counted::Items, "superseded");
                 return;
             }
--- a/crates/server/src/keyed.rs
+++ b/crates/server/src/keyed.rs
@@ -18,8 +18,8 @@
 use hyper::Request;
 use jsonrpsee::core::client::Error as RpcError;
 use notchwharf_clients::error::Call;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::error::Ignored;
-use notchwharf_ledger::error::Refused;
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Reply;
 use notchwharf_ledger::record::Place;
@@ -55,7 +55,7 @@
     let deadline = Instant::now() + time;
     for pause in budget::pauses(rand::random()) {
         let res = run_once(ctx, shard, call.clone()).await;
-        let retry = matches!(res, Err(KeyedError::NotRun(Refused::NotOwner { .. })));
+        let retry = matches!(res, Err(KeyedError::NotRun(CommandError::NotOwner { .. })));
         if !retry || Instant::now() + pause >= deadline {
             return res;
         }
@@ -69,7 +69,7 @@
     shard: ShardId,
     call: KeyedCall,
 ) -> Result<KeyedAnswer, KeyedError> {
-    let nobody = KeyedError::NotRun(Refused::NotOwner { holder: None });
+    let nobody = KeyedError::NotRun(CommandError::NotOwner { holder: None });
     let Some(host) = ledger::holder(ctx, shard) else {
         return Err(nobody);
     };
@@ -111,13 +111,13 @@
     match ledger::ask_here(ctx, shard, start).await {
         Ok(Reply::Ended(place)) => return replay(ctx, place).await,
         Ok(_) => {}
-        Err(Refused::Invalid(Ignored::OtherBody)) => return Err(KeyedError::OtherBody),
-        Err(Refused::Invalid(_)) => return Err(KeyedError::Unknown),
+        Err(CommandError::Invalid(Ignored::OtherBody)) => return Err(KeyedError::OtherBody),
+        Err(CommandError::Invalid(_)) => return Err(KeyedError::Unknown),
         Err(refused) => {
-            if refused == Refused::Unknown {
+            if refused == CommandError::Unknown {
                 // The start may be recorded, but the call is never sent now.
                 tokio::spawn(record(Arc::clone(ctx), shard, Command::KeyUnsent { key }));
-                return Err(KeyedError::NotRun(Refused::LogDown));
+                return Err(KeyedError::NotRun(CommandError::LogDown));
             }
             return Err(KeyedError::NotRun(refused));
         }
@@ -261,7 +261,7 @@
 async fn record(ctx: Arc<Context>, shard: ShardId, command: Command) {
     for pause in budget::pauses(rand::random()) {
         match ledger::ask(&ctx, shard, command.clone()).await {
-            Ok(_) | Err(Refused::Invalid(_)) => return,
+            Ok(_) | Err(CommandError::Invalid(_)) => return,
             Err(_) => tokio::time::sleep(pause).await,
         }
     }
@@ -269,7 +269,7 @@
 
 async fn replay(ctx: &Context, place: Place) -> Result<KeyedAnswer, KeyedError> {
     let bytes = ctx.blobs.part(place).await;
-    let bytes = bytes.map_err(|_| KeyedError::NotRun(Refused::LogDown))?;
+    let bytes = bytes.map_err(|_| KeyedError::NotRun(CommandError::LogDown))?;
     let answer: KeyedAnswer = serde_json::from_slice(&bytes).map_err(|_| KeyedError::Unknown)?;
     Ok(KeyedAnswer {
         replayed: true,
--- a/crates/server/src/ledger.rs
+++ b/crates/server/src/ledger.rs
@@ -7,7 +7,7 @@
 use jsonrpsee::core::client::Error as RpcError;
 use jsonrpsee::http_client::HttpClient;
 use jsonrpsee::http_client::HttpClientBuilder;
-use notchwharf_ledger::error::Refused;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Reply;
 use notchwharf_ledger::record::ShardId;
@@ -54,14 +54,14 @@
     ctx: &Arc<Context>,
     shard: ShardId,
     command: Command,
-) -> Result<Reply, Refused> {
+) -> Result<Reply, CommandError> {
     let deadline = Instant::now() + SEARCH_TIME;
     let again = !matches!(command, Command::KeyStart { .. } | Command::Take { .. });
     for pause in budget::pauses(rand::random()) {
         let res = ask_once(ctx, shard, command.clone()).await;
         let retry = match &res {
-            Err(Refused::NotOwner { .. }) => true,
-            Err(Refused::Unknown) => again,
+            Err(CommandError::NotOwner { .. }) => true,
+            Err(CommandError::Unknown) => again,
             _ => false,
         };
         if !retry || Instant::now() + pause >= deadline {
@@ -69,27 +69,31 @@
         }
         tokio::time::sleep(pause).await;
     }
-    Err(Refused::NotOwner { holder: None })
+    Err(CommandError::NotOwner { holder: None })
 }
 
-async fn ask_once(ctx: &Arc<Context>, shard: ShardId, command: Command) -> Result<Reply, Refused> {
+async fn ask_once(
+    ctx: &Arc<Context>,
+    shard: ShardId,
+    command: Command,
+) -> Result<Reply, CommandError> {
     let Some(host) = holder(ctx, shard) else {
-        return Err(Refused::NotOwner { holder: None });
+        return Err(CommandError::NotOwner { holder: None });
     };
     if host == *ctx.host() {
         return ask_here(ctx, shard, command).await;
     }
     let url = ctx.view().peer_url(&host);
     let Some(client) = url.and_then(|url| ctx.peer_client(&url, PEER_TIMEOUT)) else {
-        return Err(Refused::NotOwner { holder: None });
+        return Err(CommandError::NotOwner { holder: None });
     };
     match client.ledger(shard, command).await {
         Ok(res) => res,
         Err(RpcError::Transport(err)) if is_connect(&*err) => {
-            Err(Refused::NotOwner { holder: None })
+            Err(CommandError::NotOwner { holder: None })
         }
         // Any other call that fails may have reached the owner.
-        Err(_) => Err(Refused::Unknown),
+        Err(_) => Err(CommandError::Unknown),
     }
 }
 
@@ -98,13 +102,13 @@
     ctx: &Context,
     shard: ShardId,
     command: Command,
-) -> Result<Reply, Refused> {
+) -> Result<Reply, CommandError> {
     let Some(actor) = ctx.shard(shard) else {
-        return Err(Refused::NotOwner { holder: None });
+        return Err(CommandError::NotOwner { holder: None });
     };
     let (tx, rx) = oneshot::channel();
     post(&actor, Ask { command, tx });
-    rx.await.unwrap_or(Err(Refused::Unknown))
+    rx.await.unwrap_or(Err(CommandError::Unknown))
 }
 
 /// Returns the host that holds a shard or, unknown, the one that should.
@@ -116,7 +120,7 @@
         return Some(host);
     }
     let live = view.live_hosts();
-    let best = rendezvous::best(&shard_name(shard), &live, 1);
+    let best = rendezvous::top_ranked(&shard_name(shard), &live, 1);
     best.first().map(|host| (*host).to_owned())
 }
 
--- a/crates/server/src/peers.rs
+++ b/crates/server/src/peers.rs
@@ -7,7 +7,7 @@
 use jsonrpsee::server::Server;
 use jsonrpsee::server::ServerConfig;
 use jsonrpsee::server::ServerHandle;
-use notchwharf_ledger::error::Refused;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Reply;
 use notchwharf_ledger::record::ShardId;
@@ -35,7 +35,11 @@
 
 #[async_trait]
 impl PeerServer for Peers {
-    async fn ledger(&self, shard: ShardId, command: Command) -> RpcResult<Result<Reply, Refused>> {
+    async fn ledger(
+        &self,
+        shard: ShardId,
+        command: Command,
+    ) -> RpcResult<Result<Reply, CommandError>> {
         Ok(ledger::ask_here(&self.ctx, shard, command).await)
     }
 
--- a/crates/server/src/shards.rs
+++ b/crates/server/src/shards.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use notchwharf_config::settings::ms;
-use notchwharf_ledger::error::Refused;
+use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Config;
 use notchwharf_ledger::owner::Effect;
@@ -50,7 +50,7 @@
 /// A command for the owner.
 pub(crate) struct Ask {
     pub(crate) command: Command,
-    pub(crate) tx: oneshot::Sender<Result<Reply, Refused>>,
+    pub(crate) tx: oneshot::Sender<Result<Reply, CommandError>>,
 }
 
 /// An input for the owner's decisions.
@@ -76,7 +76,7 @@
     owner: Owner,
     held: Option<u64>,
     next_token: Token,
-    waiting: HashMap<Token, oneshot::Sender<Result<Reply, Refused>>>,
+    waiting: HashMap<Token, oneshot::Sender<Result<Reply, CommandError>>>,
 }
 
 impl Actor for ShardActor {
@@ -95,7 +95,7 @@
         self.next_token += 1;
         self.waiting.insert(token, ask.tx);
         let command = ask.command;
-        self.feed(Input::Ask { token, command }, ctx);
+        self.feed(Input::Command { token, command }, ctx);
     }
 }
 
@@ -114,7 +114,7 @@
 
     async fn handle(&mut self, gone: HostGone, ctx: &mut Context<Self>) {
         let HostGone { host, incarnation } = gone;
-        self.feed(Input::HostGone { host, incarnation }, ctx);
+        self.feed(Input::HostFailed { host, incarnation }, ctx);
     }
 }
 
@@ -130,7 +130,7 @@
     type Return = Vec<String>;
 
     async fn handle(&mut self, _: Backlog, _: &mut Context<Self>) -> Vec<String> {
-        self.owner.backlog()
+        self.owner.pending_servings()
     }
 }
 
@@ -156,11 +156,11 @@
                     let _ = tx.send(res);
                 }
             }
-            Effect::Save { bytes, upto } => {
+            Effect::SaveSnapshot { bytes, upto } => {
                 let shared = Arc::clone(&self.shared);
                 tokio::spawn(save(shared, bytes, upto, address));
             }
-            Effect::Carry { job, blobs } => {
+            Effect::RewriteBlobs { job, blobs } => {
                 let shared = Arc::clone(&self.shared);
                 tokio::spawn(carry(shared, job, blobs, address));
             }
@@ -168,7 +168,7 @@
     }
 
     fn note_lease(&mut self) {
-        let held = self.owner.held();
+        let held = self.owner.held_epoch();
         if held == self.held {
             return;
         }
@@ -225,7 +225,7 @@
 ) {
     let name = shard_name(shard);
     if !shared.append(&name, record::encode(&record)).await {
-        feed_weak(&address, Input::AppendLost).await;
+        feed_weak(&address, Input::AppendUnconfirmed).await;
     }
 }
 
@@ -243,12 +243,12 @@
         match shared.write_blob(&blob).await {
             Ok(id) => parts.push(id),
             Err(_) => {
-                feed_weak(&address, Input::SaveFailed).await;
+                feed_weak(&address, Input::BlobWriteFailed).await;
                 return;
             }
         }
     }
-    feed_weak(&address, Input::Saved { parts, upto }).await;
+    feed_weak(&address, Input::SnapshotSaved { parts, upto }).await;
 }
 
 async fn carry(
@@ -258,8 +258,8 @@
     address: Address<ShardActor, Weak>,
 ) {
     let input = match shared.blobs.carry(&blobs).await {
-        Ok(blobs) => Input::Carried { job, blobs },
-        Err(_) => Input::SaveFailed,
+        Ok(blobs) => Input::BlobsRewritten { job, blobs },
+        Err(_) => Input::BlobWriteFailed,
     };
     feed_weak(&address, input).await;
 }
@@ -301,7 +301,7 @@
         post(actor, Preferred(*first));
     }
     for (id, actor) in shards.iter() {
-        post(actor, Feed(vec![Input::Pace(pace)]));
+        post(actor, Feed(vec![Input::AppendInterval(pace)]));
         if !wanted.contains_key(id) {
             post(actor, Preferred(false));
         }
@@ -320,7 +320,7 @@
     let live = view.live_hosts();
     let host = shared.host().as_str();
     let rank = |shard: ShardId| {
-        let best = rendezvous::best(&shard_name(shard), &live, READERS);
+        let best = rendezvous::top_ranked(&shard_name(shard), &live, READERS);
         best.iter().position(|h| *h == host)
     };
     (0..shared.settings.ledger.shards)
@@ -350,14 +350,14 @@
 fn owner_config(shared: &Shared) -> Config {
     let s = &shared.settings;
     Config {
-        lease: ms(s.lease.duration_ms),
-        renew: ms(s.lease.renew_ms),
-        commit: ms(s.ledger.commit_ms),
+        lease_duration: ms(s.lease.duration_ms),
+        renew_interval: ms(s.lease.renew_ms),
+        commit_interval: ms(s.ledger.commit_ms),
         attempts_max: u8::try_from(s.ledger.attempts_max).unwrap_or(u8::MAX),
         item_timeout: ms(s.batch.item_timeout_ms),
         snapshot_records: s.ledger.snapshot_records.into(),
-        carry_after: ms(s.ledger.retention_ms - s.ledger.carry_margin_ms),
-        readable: ms(s.ledger.readable_ms),
+        rewrite_after: ms(s.ledger.retention_ms - s.ledger.carry_margin_ms),
+        retention: ms(s.ledger.readable_ms),
         ..Config::new(shared.host(), shared.incarnation)
     }
 }
--- a/crates/server/src/shards/read.rs
+++ b/crates/server/src/shards/read.rs
@@ -68,8 +68,8 @@
             let offset = stored.offset;
             next = offset + 1;
             // A record that is not ours is skipped by every reader alike.
-            let record = record::decode(&bytes).unwrap_or_else(|_| Record::void());
-            inputs.push(Input::Tail { offset, record });
+            let record = record::decode(&bytes).unwrap_or_else(|_| Record::empty());
+            inputs.push(Input::RecordRead { offset, record });
         }
         if next >= page.next {
             inputs.push(Input::CaughtUp);
@@ -93,7 +93,7 @@
     }
     match load_snapshot(shared, name, bounds.next - 1).await {
         Ok(Some(state)) => {
-            let next = state.next();
+            let next = state.next_offset();
             let _ = address.send(Restored(state)).await;
             Ok(next)
         }
@@ -123,7 +123,7 @@
         let blob = shared.blobs.read(part).await?;
         blob.parts.iter().for_each(|p| bytes.extend_from_slice(p));
     }
-    let state = Shard::restore(&bytes).map_err(|_| Read::Undecodable)?;
+    let state = Shard::decode(&bytes).map_err(|_| Read::Undecodable)?;
     Ok(Some(state))
 }
 
