--- a/crates/config/src/access.rs
+++ b/crates/config/src/access.rs
@@ -5,7 +5,7 @@
 //! configuration: it is built once, never changed, and replaced whole.
 //!
 //! ```
-//! use notchwharf_config::access::{key, Workspace, Workspaces};
+//! use notchwharf_config::access::{parse_key, Workspace, Workspaces};
 //!
 //! let (all, faults) = Workspaces::new(vec![Workspace {
 //!     name: "choir".into(),
@@ -13,12 +13,12 @@
 //!     ..Workspace::default()
 //! }]);
 //! assert!(faults.is_empty());
-//! let presented = key("Token", [b"token  k1".as_slice()]).unwrap();
-//! assert_eq!(all.holder(presented).unwrap().name, "choir");
-//! assert!(all.holder("k2").is_none());
+//! let presented = parse_key("Token", [b"token  k1".as_slice()]).unwrap();
+//! assert_eq!(all.by_key(presented).unwrap().name, "choir");
+//! assert!(all.by_key("k2").is_none());
 //! ```
 //!
-//! What a faulty entry leads to is decided here, for all adapters: see [`Fault`].
+//! What a faulty entry leads to is decided here, for all adapters: see [`EntryError`].
 //! Refusing the whole configuration was rejected, since one workspace's fault would
 //! keep a key of another in force that was taken away.
 
@@ -68,7 +68,7 @@
 
 /// A workspace without its keys.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holder {
+pub struct WorkspacePolicy {
     /// Its name.
     pub name: WorkspaceName,
     /// Its rank, which goes before a route's; nothing if the route's counts.
@@ -79,31 +79,31 @@
 
 /// What is wrong with an entry, and what it leads to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum EntryError {
     /// A workspace has no name, or one that no header can carry or that is too long: it
     /// is left out.
-    Unnamed,
+    InvalidName,
     /// Two entries have one name: they are one workspace, with the keys of both
     /// and the stricter terms.
-    Doubled(WorkspaceName),
+    DuplicateName(WorkspaceName),
     /// Two workspaces have one key: it is nobody's.
     SharedKey(WorkspaceName, WorkspaceName),
     /// A key is empty or too long to be presented: it is left out.
-    UnusableKey(WorkspaceName),
+    InvalidKey(WorkspaceName),
     /// A limit is negative or no number: nothing beyond its burst is let in.
-    UnsoundLimit(WorkspaceName),
+    InvalidLimit(WorkspaceName),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unnamed => f.write_str("a workspace has no usable name and is left out"),
-            Self::Doubled(name) => {
+            Self::InvalidName => f.write_str("a workspace has no usable name and is left out"),
+            Self::DuplicateName(name) => {
                 write!(f, "workspace {name} stands twice; the stricter terms hold")
             }
             Self::SharedKey(a, b) => write!(f, "a key of {a} is also one of {b}; it is nobody's"),
-            Self::UnusableKey(name) => write!(f, "a key of {name} cannot be used"),
-            Self::UnsoundLimit(name) => {
+            Self::InvalidKey(name) => write!(f, "a key of {name} cannot be used"),
+            Self::InvalidLimit(name) => {
                 write!(
                     f,
                     "the limit of {name} is unsound; only its burst is let in"
@@ -113,11 +113,11 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for EntryError {}
 
 /// Why a request presents no key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoKey {
+pub enum KeyError {
     /// There is none.
     Missing,
     /// There are two, or it is no text, too long or empty.
@@ -126,7 +126,7 @@
     OtherScheme,
 }
 
-impl NoKey {
+impl KeyError {
     /// Returns the reason as logs and metrics name it.
     pub fn label(self) -> &'static str {
         match self {
@@ -137,7 +137,7 @@
     }
 }
 
-impl fmt::Display for NoKey {
+impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Missing => "an API key is required",
@@ -147,7 +147,7 @@
     }
 }
 
-impl std::error::Error for NoKey {}
+impl std::error::Error for KeyError {}
 
 /// Returns the key among the values of the `Authorization` header. The scheme's case
 /// and blanks around the key do not matter, as RFC 9110 has it.
@@ -155,20 +155,23 @@
 /// # Errors
 ///
 /// Returns why there is none.
-pub fn key<'a>(scheme: &str, values: impl IntoIterator<Item = &'a [u8]>) -> Result<&'a str, NoKey> {
+pub fn parse_key<'a>(
+    scheme: &str,
+    values: impl IntoIterator<Item = &'a [u8]>,
+) -> Result<&'a str, KeyError> {
     let mut values = values.into_iter();
-    let value = values.next().ok_or(NoKey::Missing)?;
+    let value = values.next().ok_or(KeyError::Missing)?;
     if values.next().is_some() || value.len() > KEY_BYTES_MAX {
-        return Err(NoKey::Malformed);
+        return Err(KeyError::Malformed);
     }
-    let text = std::str::from_utf8(value).map_err(|_| NoKey::Malformed)?;
-    let (found, key) = text.trim().split_once(' ').ok_or(NoKey::OtherScheme)?;
+    let text = std::str::from_utf8(value).map_err(|_| KeyError::Malformed)?;
+    let (found, key) = text.trim().split_once(' ').ok_or(KeyError::OtherScheme)?;
     if !found.eq_ignore_ascii_case(scheme) {
-        return Err(NoKey::OtherScheme);
+        return Err(KeyError::OtherScheme);
     }
     let key = key.trim();
     if key.is_empty() || key.contains(char::is_whitespace) {
-        return Err(NoKey::Malformed);
+        return Err(KeyError::Malformed);
     }
     Ok(key)
 }
@@ -182,13 +185,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Workspaces {
     /// Nothing for a key that several workspaces have.
-    by_key: HashMap<Digest, Option<Arc<Holder>>>,
-    by_name: HashMap<WorkspaceName, Arc<Holder>>,
+    by_key: HashMap<Digest, Option<Arc<WorkspacePolicy>>>,
+    by_name: HashMap<WorkspaceName, Arc<WorkspacePolicy>>,
 }
 
 impl Workspaces {
     /// Returns the workspaces, and what was wrong with their entries.
-    pub fn new(entries: Vec<Workspace>) -> (Self, Vec<Fault>) {
+    pub fn new(entries: Vec<Workspace>) -> (Self, Vec<EntryError>) {
         let mut faults = Vec::new();
         let mut merged: HashMap<WorkspaceName, Workspace> = HashMap::new();
         for entry in entries {
@@ -202,8 +205,8 @@
         (all, faults)
     }
 
-    fn insert(&mut self, workspace: Workspace, faults: &mut Vec<Fault>) {
-        let holder = Arc::new(Holder {
+    fn insert(&mut self, workspace: Workspace, faults: &mut Vec<EntryError>) {
+        let holder = Arc::new(WorkspacePolicy {
             name: workspace.name,
             priority: workspace.priority,
             limit: workspace.limit,
@@ -219,7 +222,7 @@
                     if other.as_ref() != Some(&holder.name) {
                         entry.insert(None);
                         let other = other.unwrap_or_default();
-                        faults.push(Fault::SharedKey(holder.name.clone(), other));
+                        faults.push(EntryError::SharedKey(holder.name.clone(), other));
                     }
                 }
             }
@@ -228,22 +231,22 @@
     }
 
     /// Returns the workspace that holds a key.
-    pub fn holder(&self, key: &str) -> Option<&Arc<Holder>> {
+    pub fn by_key(&self, key: &str) -> Option<&Arc<WorkspacePolicy>> {
         self.by_digest(&digest(key))
     }
 
     /// Returns the workspace that holds the key of a digest.
-    pub fn by_digest(&self, digest: &Digest) -> Option<&Arc<Holder>> {
+    pub fn by_digest(&self, digest: &Digest) -> Option<&Arc<WorkspacePolicy>> {
         self.by_key.get(digest)?.as_ref()
     }
 
     /// Returns the workspace with a name.
-    pub fn by_name(&self, name: &str) -> Option<&Arc<Holder>> {
+    pub fn by_name(&self, name: &str) -> Option<&Arc<WorkspacePolicy>> {
         self.by_name.get(name)
     }
 
     /// Returns all workspaces.
-    pub fn iter(&self) -> impl Iterator<Item = &Arc<Holder>> {
+    pub fn iter(&self) -> impl Iterator<Item = &Arc<WorkspacePolicy>> {
         self.by_name.values()
     }
 
@@ -264,17 +267,17 @@
 }
 
 /// Returns the entry without what cannot be used of it.
-fn sound(mut entry: Workspace, faults: &mut Vec<Fault>) -> Workspace {
+fn sound(mut entry: Workspace, faults: &mut Vec<EntryError>) -> Workspace {
     let name = entry.name.clone();
     let before = entry.keys.len();
     entry.keys.retain(|key| is_presentable(key));
     for _ in entry.keys.len()..before {
-        faults.push(Fault::UnusableKey(name.clone()));
+        faults.push(EntryError::InvalidKey(name.clone()));
     }
     if let Some(limit) = entry.limit {
         let is_sound = limit.per_s >= 0.0 && limit.burst >= 0.0;
         if !is_sound {
-            faults.push(Fault::UnsoundLimit(name));
+            faults.push(EntryError::InvalidLimit(name));
         }
         entry.limit = bounded(limit);
     }
@@ -303,10 +306,10 @@
 fn merge(
     merged: &mut HashMap<WorkspaceName, Workspace>,
     entry: Workspace,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<EntryError>,
 ) {
     if !is_name(&entry.name) {
-        faults.push(Fault::Unnamed);
+        faults.push(EntryError::InvalidName);
         return;
     }
     match merged.entry(entry.name.clone()) {
@@ -314,7 +317,7 @@
             vacant.insert(entry);
         }
         Entry::Occupied(mut occupied) => {
-            faults.push(Fault::Doubled(entry.name.clone()));
+            faults.push(EntryError::DuplicateName(entry.name.clone()));
             let known = occupied.get_mut();
             known.keys.extend(entry.keys);
             known.priority = known.priority.max(entry.priority);
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::access::Fault;
+use crate::access::EntryError;
 use crate::access::Workspace;
 use crate::access::Workspaces;
 
@@ -42,7 +42,7 @@
 
 /// The terms of jobs on a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct JobTerms {
+pub struct JobPolicy {
     /// Time after the first submission within which results are worth most.
     pub objective: Duration,
     /// Time after the first submission from which an item may be given up.
@@ -86,7 +86,7 @@
     /// The longest pause between two events that callers hope for.
     pub gap_objective: Option<Duration>,
     /// The terms of its jobs.
-    pub jobs: JobTerms,
+    pub jobs: JobPolicy,
     /// Whether anybody may call, also without a key.
     pub public: bool,
 }
@@ -102,7 +102,7 @@
     }
 
     /// Returns the service for a request; `draw` spreads requests by weight.
-    pub fn service(&self, draw: u64) -> Option<&ServiceName> {
+    pub fn select_service(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
         let mut left = draw.checked_rem(total)?;
         let chosen = self.shares.iter().find(|share| {
@@ -165,7 +165,7 @@
     services: HashMap<ServiceName, Service>,
     limits: Limits,
     workspaces: Option<Workspaces>,
-    faults: Vec<Fault>,
+    entry_errors: Vec<EntryError>,
 }
 
 impl Table {
@@ -192,24 +192,24 @@
             services,
             limits,
             workspaces: None,
-            faults: Vec::new(),
+            entry_errors: Vec::new(),
         }
     }
 
     /// Returns the table with the workspaces that may call; without them anybody may.
     #[must_use]
     pub fn with_workspaces(self, entries: Vec<Workspace>) -> Self {
-        let (workspaces, faults) = Workspaces::new(entries);
+        let (workspaces, entry_errors) = Workspaces::new(entries);
         Self {
             workspaces: Some(workspaces),
-            faults,
+            entry_errors,
             ..self
         }
     }
 
     /// Returns what was wrong with entries of workspaces.
-    pub fn faults(&self) -> &[Fault] {
-        &self.faults
+    pub fn entry_errors(&self) -> &[EntryError] {
+        &self.entry_errors
     }
 
     /// Returns the workspaces that may call; nothing if callers are not told apart.
--- a/crates/config/tests/access.rs
+++ b/crates/config/tests/access.rs
@@ -1,12 +1,12 @@
 //! Keys and workspaces: which request is whose, whatever a configuration says.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-use notchwharf_config::access::Fault;
-use notchwharf_config::access::NoKey;
+use notchwharf_config::access::EntryError;
+use notchwharf_config::access::KeyError;
 use notchwharf_config::access::RateLimit;
 use notchwharf_config::access::Workspace;
 use notchwharf_config::access::Workspaces;
-use notchwharf_config::access::key;
+use notchwharf_config::access::parse_key;
 use rstest::rstest;
 
 fn workspace(name: &str, keys: &[&str]) -> Workspace {
@@ -25,33 +25,39 @@
 }
 
 fn holder(all: &Workspaces, key: &str) -> Option<String> {
-    all.holder(key).map(|holder| holder.name.clone())
+    all.by_key(key).map(|holder| holder.name.clone())
 }
 
 #[rstest]
 #[case::as_written(&["Token k1"], Ok("k1"))]
 #[case::other_case(&["tOKEN k1"], Ok("k1"))]
 #[case::blanks(&["  Token   k1  "], Ok("k1"))]
-#[case::none(&[], Err(NoKey::Missing))]
-#[case::twice(&["Token k1", "Token k1"], Err(NoKey::Malformed))]
-#[case::other_scheme(&["Bearer k1"], Err(NoKey::OtherScheme))]
-#[case::no_scheme(&["k1"], Err(NoKey::OtherScheme))]
-#[case::scheme_alone(&["Token"], Err(NoKey::OtherScheme))]
-#[case::scheme_and_blanks(&["Token   "], Err(NoKey::OtherScheme))]
-#[case::two_words(&["Token k1 k2"], Err(NoKey::Malformed))]
-#[case::empty(&[""], Err(NoKey::OtherScheme))]
+#[case::none(&[], Err(KeyError::Missing))]
+#[case::twice(&["Token k1", "Token k1"], Err(KeyError::Malformed))]
+#[case::other_scheme(&["Bearer k1"], Err(KeyError::OtherScheme))]
+#[case::no_scheme(&["k1"], Err(KeyError::OtherScheme))]
+#[case::scheme_alone(&["Token"], Err(KeyError::OtherScheme))]
+#[case::scheme_and_blanks(&["Token   "], Err(KeyError::OtherScheme))]
+#[case::two_words(&["Token k1 k2"], Err(KeyError::Malformed))]
+#[case::empty(&[""], Err(KeyError::OtherScheme))]
 fn a_key_is_read_or_there_is_a_reason(
     #[case] values: &[&str],
-    #[case] expected: Result<&str, NoKey>,
+    #[case] expected: Result<&str, KeyError>,
 ) {
-    assert_eq!(key("Token", values.iter().map(|v| v.as_bytes())), expected);
+    assert_eq!(
+        parse_key("Token", values.iter().map(|v| v.as_bytes())),
+        expected
+    );
 }
 
 #[rstest]
 #[case::not_text(vec![b'T', b'o', b'k', b'e', b'n', b' ', 0xff])]
 #[case::eight_kilobytes([b"Token ".to_vec(), vec![b'k'; 8 << 10]].concat())]
 fn bytes_that_are_no_key_are_none(#[case] value: Vec<u8>) {
-    assert_eq!(key("Token", [value.as_slice()]), Err(NoKey::Malformed));
+    assert_eq!(
+        parse_key("Token", [value.as_slice()]),
+        Err(KeyError::Malformed)
+    );
 }
 
 #[test]
@@ -80,10 +86,10 @@
         ..limited("choir", 5.0, 8.0)
     };
     let (all, faults) = Workspaces::new(vec![first, second]);
-    assert_eq!(faults, [Fault::Doubled("choir".into())]);
+    assert_eq!(faults, [EntryError::DuplicateName("choir".into())]);
     assert_eq!(all.len(), 1);
-    let known = all.holder("k2").unwrap();
-    assert_eq!(Some(known), all.holder("choir"));
+    let known = all.by_key("k2").unwrap();
+    assert_eq!(Some(known), all.by_key("choir"));
     assert_eq!(known.priority, Some(3));
     let limit = RateLimit {
         per_s: 5.0,
@@ -98,17 +104,20 @@
         workspace("choir", &["shared", "k1"]),
         workspace("strings", &["shared", "k2"]),
     ]);
-    assert!(matches!(faults[..], [Fault::SharedKey(..)]), "{faults:?}");
+    assert!(
+        matches!(faults[..], [EntryError::SharedKey(..)]),
+        "{faults:?}"
+    );
     assert_eq!(holder(&all, "shared"), None);
     assert_eq!(holder(&all, "k1").as_deref(), Some("choir"));
     assert_eq!(holder(&all, "k2").as_deref(), Some("strings"));
 }
 
 #[rstest]
-#[case::no_name("", Fault::Unnamed)]
-#[case::name_of_two_lines("a\nb", Fault::Unnamed)]
-#[case::too_long(&"n".repeat(200), Fault::Unnamed)]
-fn a_workspace_that_cannot_be_named_is_left_out(#[case] name: &str, #[case] fault: Fault) {
+#[case::no_name("", EntryError::InvalidName)]
+#[case::name_of_two_lines("a\nb", EntryError::InvalidName)]
+#[case::too_long(&"n".repeat(200), EntryError::InvalidName)]
+fn a_workspace_that_cannot_be_named_is_left_out(#[case] name: &str, #[case] fault: EntryError) {
     let (all, faults) = Workspaces::new(vec![workspace(name, &["k1"]), workspace("b", &["k2"])]);
     assert_eq!(faults, [fault]);
     assert_eq!(holder(&all, "k1"), None);
@@ -121,7 +130,7 @@
 #[case::too_long(&"k".repeat(600))]
 fn a_key_that_cannot_be_presented_is_left_out(#[case] key: &str) {
     let (all, faults) = Workspaces::new(vec![workspace("choir", &[key, "k1"])]);
-    assert_eq!(faults, [Fault::UnusableKey("choir".into())]);
+    assert_eq!(faults, [EntryError::InvalidKey("choir".into())]);
     assert_eq!(holder(&all, key), None);
     assert_eq!(holder(&all, "k1").as_deref(), Some("choir"));
 }
--- a/crates/config/tests/gateway.rs
+++ b/crates/config/tests/gateway.rs
@@ -70,14 +70,14 @@
         ..Route::default()
     };
     for (service, count) in expected {
-        let drawn = (0..100).filter(|draw| route.service(*draw).unwrap() == service);
+        let drawn = (0..100).filter(|draw| route.select_service(*draw).unwrap() == service);
         assert_eq!(drawn.count(), *count, "{service}");
     }
 }
 
 #[test]
 fn a_route_without_weights_has_no_service() {
-    assert_eq!(Route::default().service(7), None);
+    assert_eq!(Route::default().select_service(7), None);
 }
 
 #[rstest]
--- a/crates/gateway/benches/news.rs
+++ b/crates/gateway/benches/news.rs
@@ -10,9 +10,9 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use notchwharf_proto::news;
-use notchwharf_proto::news::News;
-use notchwharf_proto::news::Status;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::PeerMessage;
+use notchwharf_proto::messages::Status;
 use notchwharf_routing::places::Config;
 use notchwharf_routing::places::Load;
 use notchwharf_routing::places::Places;
@@ -39,12 +39,12 @@
 
 /// Returns what a peer tells at a step: it runs something else each time.
 fn datagram(peer: u32, step: u32) -> Vec<u8> {
-    let loads = (0..BUSY).map(|n| news::Load {
+    let loads = (0..BUSY).map(|n| messages::Load {
         target: key_of(&format!("i-{:08x}", (peer + step + n) % TARGETS)),
         online: 1,
         batch: 0,
     });
-    news::encode(&News::Status(Status {
+    messages::encode(&PeerMessage::Status(Status {
         host: format!("front-cluj-a-{peer}"),
         incarnation: 1_700_000_000_000,
         number: u64::from(step),
@@ -58,7 +58,7 @@
 }
 
 fn take(places: &mut Places, bytes: &[u8], now: Instant) {
-    let Some(News::Status(status)) = news::decode(bytes) else {
+    let Some(PeerMessage::Status(status)) = messages::decode(bytes) else {
         return;
     };
     let loads = status.loads.iter().map(|told| {
--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -15,8 +15,8 @@
 use std::time::Instant;
 
 use hyper::HeaderMap;
-use notchwharf_config::access::Holder;
-use notchwharf_config::access::NoKey;
+use notchwharf_config::access::KeyError;
+use notchwharf_config::access::WorkspacePolicy;
 use notchwharf_config::routes::Table;
 
 use crate::catalog;
@@ -44,12 +44,12 @@
     /// Anybody; the route is a public one.
     Public,
     /// A workspace, by one of its keys.
-    Workspace(Arc<Holder>),
+    Workspace(Arc<WorkspacePolicy>),
 }
 
 impl Caller {
     /// Returns the workspace, if it is one.
-    pub fn workspace(&self) -> Option<&Arc<Holder>> {
+    pub fn workspace(&self) -> Option<&Arc<WorkspacePolicy>> {
         match self {
             Self::Workspace(holder) => Some(holder),
             Self::Untold | Self::Public => None,
@@ -106,7 +106,7 @@
 /// Returns that nobody does who may, or that the host cannot tell.
 pub async fn of_job_call(ctx: &Context, presented: Presented<'_>) -> Result<Caller, Failure> {
     let deadline = Instant::now() + LOOK_MAX;
-    let is_keyless = (ctx.decode.key)(presented.headers) == Err(NoKey::Missing);
+    let is_keyless = (ctx.decode.key)(presented.headers) == Err(KeyError::Missing);
     let is_public = |table: &Table| is_keyless && table.has_public_jobs(presented.host);
     let identified = identify(ctx, presented, deadline, is_public).await?;
     Ok(identified.caller)
@@ -167,7 +167,7 @@
         return Ok(Caller::Public);
     }
     let key = (ctx.decode.key)(headers).map_err(NoCaller::NoKey)?;
-    let holder = workspaces.holder(key).cloned();
+    let holder = workspaces.by_key(key).cloned();
     holder.map(Caller::Workspace).ok_or_else(|| {
         if ctx.catalog.was_removed(key) {
             NoCaller::Removed
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -205,7 +205,7 @@
         }
         known.config = Some(config);
         let (version, workspaces) = (table.version(), table.workspaces().map(Workspaces::len));
-        for fault in table.faults() {
+        for fault in table.entry_errors() {
             slog::error!(logger, "entry of the configuration at fault"; "version" => version,
                 "error" => fault.to_string());
         }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use notchwharf_config::access::NoKey;
+use notchwharf_config::access::KeyError;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoCaller {
     /// The request presents no key.
-    NoKey(NoKey),
+    NoKey(KeyError),
     /// No configuration held its key.
     Unknown,
     /// Its key was taken away.
--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -306,7 +306,7 @@
         let item = backlog.take()?;
         return Some(Next::GiveUp(item, Reason::Expired));
     }
-    let service = route.service(hash(&item.forward.id))?;
+    let service = route.select_service(hash(&item.forward.id))?;
     let ahead = lock(&ctx.items.line).ahead(place.turn_unix_ms());
     ctx.metrics.set("items_ahead", ahead.items as usize);
     let mut places = lock(&ctx.places);
--- a/crates/gateway/src/items/load.rs
+++ b/crates/gateway/src/items/load.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_config::routes::JobTerms;
+use notchwharf_config::routes::JobPolicy;
 use notchwharf_ledger::jobs::Accepted;
 use notchwharf_ledger::jobs::HostId;
 use notchwharf_ledger::jobs::Offset;
@@ -82,7 +82,7 @@
 
 /// Returns the time after which items of a job are due. Without an objective
 /// they are when they may be given up: before that, they wait for others.
-fn due(terms: &JobTerms) -> Duration {
+fn due(terms: &JobPolicy) -> Duration {
     let times = [terms.objective, terms.abandon_after];
     let told = times.into_iter().find(|time| !time.is_zero());
     told.unwrap_or(DUE_MAX)
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -14,12 +14,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_config::access::Holder;
+use notchwharf_config::access::WorkspacePolicy;
 use notchwharf_config::gateway::Settings;
 use notchwharf_config::routes::Table;
 use notchwharf_listen::Phase;
-use notchwharf_proto::news;
-use notchwharf_proto::news::News;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::PeerMessage;
 use notchwharf_quota::Asked;
 use notchwharf_quota::Bounds;
 use notchwharf_quota::Fleet;
@@ -131,7 +131,7 @@
 /// Returns that the limit is reached, or that nobody could tell.
 pub(crate) async fn admit(
     ctx: &Arc<Context>,
-    workspace: &Holder,
+    workspace: &WorkspacePolicy,
     objective: Duration,
     deadline: Instant,
 ) -> Result<Option<Permit>, Failure> {
@@ -182,7 +182,7 @@
 /// limit yet; it asks on for as long as the request can wait.
 async fn ask(
     ctx: &Context,
-    workspace: &Holder,
+    workspace: &WorkspacePolicy,
     patience: Duration,
     begun: Instant,
 ) -> (u32, Taken) {
@@ -258,13 +258,13 @@
 
 fn send_to(ctx: &Context, addr: SocketAddr, message: Message) {
     let host = ctx.limits.own;
-    let word = news::Limits { host, message };
-    ctx.peers.send_to(addr, &News::Limits(word));
+    let word = messages::QuotaMessage { host, message };
+    ctx.peers.send_to(addr, &PeerMessage::Limits(word));
     ctx.metrics.count(Counted::Datagrams, "limits");
 }
 
 /// Takes in a word about limits.
-pub(crate) fn take(ctx: &Context, addr: SocketAddr, told: &news::Limits) {
+pub(crate) fn take(ctx: &Context, addr: SocketAddr, told: &messages::QuotaMessage) {
     let now = Instant::now();
     let reaction = lock(&ctx.limits.node).receive(told.host, &told.message, now);
     match reaction {
--- a/crates/gateway/src/online/sending.rs
+++ b/crates/gateway/src/online/sending.rs
@@ -81,7 +81,7 @@
         permit: Option<Permit>,
         deadline: Instant,
     ) -> Self {
-        let service = route.service(hash(&req.forward.id));
+        let service = route.select_service(hash(&req.forward.id));
         Self {
             trace,
             permit,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -38,11 +38,11 @@
 use notchwharf_config::gateway::Peers as Settings;
 use notchwharf_ledger::rendezvous;
 use notchwharf_listen::Phase;
-use notchwharf_proto::news;
-use notchwharf_proto::news::Cut;
-use notchwharf_proto::news::Hand;
-use notchwharf_proto::news::News;
-use notchwharf_proto::news::Status;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::PeerMessage;
+use notchwharf_proto::messages::Preemption;
+use notchwharf_proto::messages::SlotTransfer;
+use notchwharf_proto::messages::Status;
 use notchwharf_quota::HostKey;
 use notchwharf_quota::host_key;
 use notchwharf_routing::places::HostId;
@@ -221,13 +221,13 @@
     }
 
     /// Sends a datagram; lost, whoever sent it makes up for it.
-    pub(crate) fn send_to(&self, addr: SocketAddr, news: &News) {
+    pub(crate) fn send_to(&self, addr: SocketAddr, news: &PeerMessage) {
         if let Some(socket) = self.socket.get() {
-            let _ = socket.try_send_to(&news::encode(news), addr);
+            let _ = socket.try_send_to(&messages::encode(news), addr);
         }
     }
 
-    fn send_to_host(&self, host: &str, news: &News) {
+    fn send_to_host(&self, host: &str, news: &PeerMessage) {
         let addr = lock(&self.known).get(host).map(|p| p.addr);
         if let Some(addr) = addr {
             self.send_to(addr, news);
@@ -237,7 +237,7 @@
     /// Asks a peer to cut an item at a target.
     pub(crate) fn ask_cut(&self, host: &str, target: TargetKey) {
         // Lost, the target is overfull and its hosts notice that too.
-        self.send_to_host(host, &News::Cut(Cut { target }));
+        self.send_to_host(host, &PeerMessage::Preemption(Preemption { target }));
     }
 
     /// Returns the addresses of the hosts of some data centres that live.
@@ -253,7 +253,7 @@
     /// Hands a place that has fallen free to a request that waits at a peer.
     pub(crate) fn hand(&self, host: &str, target: TargetKey) {
         // Lost, all see soon that the place is free.
-        self.send_to_host(host, &News::Hand(Hand { target }));
+        self.send_to_host(host, &PeerMessage::SlotTransfer(SlotTransfer { target }));
     }
 
     /// Returns the hosts that can run jobs' items, without this one: they are
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -21,9 +21,9 @@
 
 use notchwharf_ledger::rendezvous;
 use notchwharf_listen::Phase;
-use notchwharf_proto::news;
-use notchwharf_proto::news::CellStatus;
-use notchwharf_proto::news::News;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::CellStatus;
+use notchwharf_proto::messages::PeerMessage;
 use notchwharf_routing::cells::Cells;
 use notchwharf_routing::cells::Division;
 use notchwharf_routing::places::HostId;
@@ -255,7 +255,7 @@
 fn cell_status(ctx: &Context) -> CellStatus {
     let versions = ctx.catalog.versions();
     let sum = lock(&ctx.places).sum();
-    let loads = sum.into_iter().map(|(target, load)| news::Load {
+    let loads = sum.into_iter().map(|(target, load)| messages::Load {
         target,
         online: load.online,
         batch: load.batch,
@@ -291,7 +291,7 @@
         let (Some(addr), Some(socket)) = (addr, ctx.peers.socket.get()) else {
             continue;
         };
-        let bytes = news::encode(&News::Cell(cell_status(&ctx)));
+        let bytes = messages::encode(&PeerMessage::Cell(cell_status(&ctx)));
         // Lost, another one makes up for it.
         let _ = socket.try_send_to(&bytes, addr);
         ctx.metrics.count(Counted::Datagrams, "sent");
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -11,9 +11,9 @@
 use std::sync::Mutex;
 
 use notchwharf_listen::Phase;
-use notchwharf_proto::news;
-use notchwharf_proto::news::News;
-use notchwharf_proto::news::Status;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::PeerMessage;
+use notchwharf_proto::messages::Status;
 use notchwharf_routing::places::HostId;
 use notchwharf_routing::telling::PASSING_GAP;
 use tokio::net::UdpSocket;
@@ -48,8 +48,8 @@
 fn parts(ctx: &Context, hosts: &HashSet<HostId>) -> Vec<Vec<Status>> {
     let known = lock(&ctx.peers.known);
     let news = hosts.iter().filter_map(|host| known.get(host));
-    let bytes_of = |status: &Status| news::encode(&News::Status(status.clone())).len();
-    news::parts(news.map(|peer| peer.status.clone()), bytes_of)
+    let bytes_of = |status: &Status| messages::encode(&PeerMessage::Status(status.clone())).len();
+    messages::split_by_size(news.map(|peer| peer.status.clone()), bytes_of)
 }
 
 /// Passes news on inside this host's data centre.
@@ -75,7 +75,7 @@
 
 fn pass_on(ctx: &Context, heard: &HashSet<HostId>, near: &[SocketAddr], socket: &UdpSocket) {
     for part in parts(ctx, heard) {
-        let bytes = news::encode(&News::PassedOn(part));
+        let bytes = messages::encode(&PeerMessage::PassedOn(part));
         for addr in near {
             // Lost, the next one makes up for it.
             let _ = socket.try_send_to(&bytes, *addr);
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -8,10 +8,10 @@
 
 use notchwharf_config::DataCentreId;
 use notchwharf_listen::Phase;
-use notchwharf_proto::news;
-use notchwharf_proto::news::Cut;
-use notchwharf_proto::news::News;
-use notchwharf_proto::news::Status;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::PeerMessage;
+use notchwharf_proto::messages::Preemption;
+use notchwharf_proto::messages::Status;
 use notchwharf_routing::items::turn::Waiting;
 use notchwharf_routing::places::Load;
 use notchwharf_routing::places::TargetKey;
@@ -46,17 +46,21 @@
     let versions = ctx.catalog.versions();
     let (loads, failing) = {
         let places = lock(&ctx.places);
-        let loads = places.own().map(|(target, load)| news::Load {
+        let loads = places.own().map(|(target, load)| messages::Load {
             target,
             online: load.online,
             batch: load.batch,
         });
         (loads.collect(), places.failing(Instant::now()))
     };
-    let waiting = ctx.items.waiting().into_iter().map(|w| news::Waiting {
-        due_unix_ms: w.due_unix_ms,
-        items: w.items,
-    });
+    let waiting = ctx
+        .items
+        .waiting()
+        .into_iter()
+        .map(|w| messages::WaitingItems {
+            due_unix_ms: w.due_unix_ms,
+            items: w.items,
+        });
     Status {
         host: ctx.host().to_owned(),
         incarnation: ctx.incarnation,
@@ -109,7 +113,7 @@
     receivers.addrs.extend(changed_elsewhere(ctx, due));
     if !receivers.addrs.is_empty() {
         let contention = ctx.waiting.told(Instant::now());
-        let bytes = news::encode_contended(own_status(ctx, number), contention.as_ref());
+        let bytes = messages::encode_with_contention(own_status(ctx, number), contention.as_ref());
         for addr in receivers.addrs {
             // Lost, the next one makes up for it.
             let _ = socket.try_send_to(&bytes, addr);
@@ -160,26 +164,26 @@
 
 /// Takes in a datagram.
 fn take(ctx: &Arc<Context>, addr: SocketAddr, bytes: &[u8]) {
-    let Some((news, contention)) = news::decode_contended(bytes) else {
+    let Some((news, contention)) = messages::decode_with_contention(bytes) else {
         return ctx.metrics.count(Counted::Datagrams, "unreadable");
     };
     match news {
-        News::Status(status) => take_status(ctx, Some(addr), status, contention),
-        News::PassedOn(news) => {
+        PeerMessage::Status(status) => take_status(ctx, Some(addr), status, contention),
+        PeerMessage::PassedOn(news) => {
             for status in news {
                 take_status(ctx, None, status, None);
             }
         }
-        News::Cut(cut) => take_cut(ctx, cut),
-        News::Cell(told) => cell::take(ctx, addr, told),
-        News::Suspects(told) => suspects::take(ctx, &told),
-        News::Hand(hand) => ctx.waiting.handed(hand.target),
-        News::Limits(told) => limits::take(ctx, addr, &told),
-        News::Announcement(message) => ctx.distributor.receive(addr, message),
+        PeerMessage::Preemption(cut) => take_cut(ctx, cut),
+        PeerMessage::Cell(told) => cell::take(ctx, addr, told),
+        PeerMessage::Suspects(told) => suspects::take(ctx, &told),
+        PeerMessage::SlotTransfer(hand) => ctx.waiting.handed(hand.target),
+        PeerMessage::Limits(told) => limits::take(ctx, addr, &told),
+        PeerMessage::Announcement(message) => ctx.distributor.receive(addr, message),
     }
 }
 
-fn take_cut(ctx: &Arc<Context>, cut: Cut) {
+fn take_cut(ctx: &Arc<Context>, cut: Preemption) {
     let target = lock(&ctx.places).id_of(cut.target).cloned();
     if let Some(target) = target {
         ctx.items.cut_one(&target);
@@ -191,7 +195,7 @@
     ctx: &Arc<Context>,
     addr: Option<SocketAddr>,
     status: Status,
-    contention: Option<news::Contention>,
+    contention: Option<messages::Contention>,
 ) {
     let host = status.host.clone();
     // One of another cell divides the fleet differently for a moment.
@@ -241,7 +245,12 @@
 }
 
 /// Takes in what waits at a host. Those elsewhere tell too seldom for an order of requests.
-fn take_contention(ctx: &Context, host: &str, heard: &Heard, contention: Option<news::Contention>) {
+fn take_contention(
+    ctx: &Context,
+    host: &str,
+    heard: &Heard,
+    contention: Option<messages::Contention>,
+) {
     let now = Instant::now();
     if heard.is_near {
         return ctx.waiting.peer_tells(host, contention, now);
@@ -263,7 +272,7 @@
     peer.is_some_and(|peer| cell::is_together(ctx, cells, host, peer))
 }
 
-pub(super) fn load(told: &news::Load) -> (TargetKey, Load) {
+pub(super) fn load(told: &messages::Load) -> (TargetKey, Load) {
     let load = Load {
         online: told.online,
         batch: told.batch,
@@ -271,7 +280,7 @@
     (told.target, load)
 }
 
-fn waiting(told: &news::Waiting) -> Waiting {
+fn waiting(told: &messages::WaitingItems) -> Waiting {
     Waiting {
         due_unix_ms: told.due_unix_ms,
         items: told.items,
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -15,8 +15,8 @@
 
 use bytes::Bytes;
 use notchwharf_listen::Phase;
-use notchwharf_proto::news;
-use notchwharf_proto::news::News;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::PeerMessage;
 use notchwharf_quarantine::news::RETELL_GAP;
 use notchwharf_quarantine::news::RETOLD_HOSTS;
 use notchwharf_quarantine::news::decode;
@@ -87,7 +87,10 @@
     };
     for suspects in encode(told) {
         let host = ctx.host().to_owned();
-        let bytes = news::encode(&News::Suspects(news::Suspects { host, suspects }));
+        let bytes = messages::encode(&PeerMessage::Suspects(messages::Suspects {
+            host,
+            suspects,
+        }));
         for addr in addrs {
             // Lost, it is told again.
             let _ = socket.try_send_to(&bytes, *addr);
@@ -103,7 +106,7 @@
         return None;
     }
     let told = ctx.suspects.gate.retold();
-    let suspects: Vec<news::Suspect> = encode(&told).into_iter().flatten().collect();
+    let suspects: Vec<messages::Suspect> = encode(&told).into_iter().flatten().collect();
     Some(postcard::to_stdvec(&suspects).expect("Suspects are representable."))
 }
 
@@ -132,7 +135,7 @@
             .metrics
             .count(Counted::Changes, "suspects not handed over");
     };
-    match postcard::from_bytes::<Vec<news::Suspect>>(&bytes) {
+    match postcard::from_bytes::<Vec<messages::Suspect>>(&bytes) {
         Ok(suspects) => {
             for suspect in &suspects {
                 quarantine::take(ctx, host, &decode(suspect));
@@ -145,7 +148,7 @@
 }
 
 /// Takes in what a host tells.
-pub(super) fn take(ctx: &Arc<Context>, told: &news::Suspects) {
+pub(super) fn take(ctx: &Arc<Context>, told: &messages::Suspects) {
     for suspect in &told.suspects {
         quarantine::take(ctx, &told.host, &decode(suspect));
     }
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -16,7 +16,7 @@
 use hyper::HeaderMap;
 use hyper::Method;
 use hyper::StatusCode;
-use notchwharf_config::access::NoKey;
+use notchwharf_config::access::KeyError;
 use notchwharf_config::access::WorkspaceName;
 use notchwharf_config::routes::Table;
 use notchwharf_routing::items::usual::Size;
@@ -292,7 +292,7 @@
 pub type DecodeCaller = fn(headers: &HeaderMap) -> &[u8];
 
 /// Reads the key that a request presents.
-pub type DecodeKey = fn(headers: &HeaderMap) -> Result<&str, NoKey>;
+pub type DecodeKey = fn(headers: &HeaderMap) -> Result<&str, KeyError>;
 
 /// Takes out of a request's headers whatever its caller said about itself, and tells
 /// the workspace, if there is one, in its place.
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -19,7 +19,7 @@
 
 use futures_util::future::BoxFuture;
 use notchwharf_listen::Phase;
-use notchwharf_proto::news::News;
+use notchwharf_proto::messages::PeerMessage;
 use notchwharf_proto::records;
 use notchwharf_proto::records::Announcement;
 use notchwharf_routing::places::HostId;
@@ -66,7 +66,7 @@
 pub(crate) type Neighbour = (HostId, SocketAddr);
 
 /// Sends a datagram to an address.
-type SendNews = Box<dyn Fn(SocketAddr, &News) + Send + Sync>;
+type SendNews = Box<dyn Fn(SocketAddr, &PeerMessage) + Send + Sync>;
 
 /// Operations on the other hosts.
 pub(crate) struct Links {
@@ -219,7 +219,7 @@
 
     fn forward(&self, links: &Links, addrs: &[SocketAddr], message: &Announcement) {
         for branch in tree::split(addrs, tree::FANOUT) {
-            let news = News::Announcement(Announcement {
+            let news = PeerMessage::Announcement(Announcement {
                 forward_to: branch.forward_to,
                 ..message.clone()
             });
--- a/crates/gateway/src/waiting/told.rs
+++ b/crates/gateway/src/waiting/told.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use notchwharf_proto::news;
+use notchwharf_proto::messages;
 use notchwharf_waiting::Held;
 use notchwharf_waiting::Told;
 
@@ -16,24 +16,28 @@
 
 impl Waiting {
     /// Returns what peers are to be told; nothing while nobody waits anywhere.
-    pub(crate) fn told(&self, now: Instant) -> Option<news::Contention> {
+    pub(crate) fn told(&self, now: Instant) -> Option<messages::Contention> {
         let state = lock(&self.state);
         if !state.line.is_contended() {
             return None;
         }
         let waiting = state.line.told(&state.shares, now);
-        let waiting = waiting.into_iter().map(|told| news::WaitingRequest {
+        let waiting = waiting.into_iter().map(|told| messages::WaitingRequest {
             service: told.service,
             priority: told.priority,
             level: told.level,
             age_ms: millis(told.age),
         });
-        let held = state.shares.told().into_iter().map(|held| news::Held {
-            workspace: held.workspace,
-            weight_milli: (held.weight * MILLI) as u64,
-            places: held.places,
-        });
-        Some(news::Contention {
+        let held = state
+            .shares
+            .told()
+            .into_iter()
+            .map(|held| messages::HeldSlots {
+                workspace: held.workspace,
+                weight_milli: (held.weight * MILLI) as u64,
+                places: held.places,
+            });
+        Some(messages::Contention {
             waiting: waiting.collect(),
             held: held.collect(),
             handed: state.line.handed(now),
@@ -41,7 +45,7 @@
     }
 
     /// Takes in what waits at a peer near by, and what is held there.
-    pub(crate) fn peer_tells(&self, host: &str, told: Option<news::Contention>, now: Instant) {
+    pub(crate) fn peer_tells(&self, host: &str, told: Option<messages::Contention>, now: Instant) {
         let told = told.unwrap_or_default();
         let waiting: Vec<Told> = told.waiting.iter().map(decode_waiting).collect();
         let held = told.held.iter().map(decode_held).collect();
@@ -69,7 +73,7 @@
     }
 }
 
-fn decode_waiting(told: &news::WaitingRequest) -> Told {
+fn decode_waiting(told: &messages::WaitingRequest) -> Told {
     Told {
         service: told.service,
         priority: told.priority,
@@ -78,7 +82,7 @@
     }
 }
 
-fn decode_held(told: &news::Held) -> Held {
+fn decode_held(told: &messages::HeldSlots) -> Held {
     Held {
         workspace: told.workspace,
         weight: told.weight_milli as f64 / MILLI,
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -9,10 +9,10 @@
 
 use notchwharf_config::gateway::Settings;
 use notchwharf_gateway::metrics::Counted;
-use notchwharf_proto::news;
-use notchwharf_proto::news::Load;
-use notchwharf_proto::news::News;
-use notchwharf_proto::news::Status;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::Load;
+use notchwharf_proto::messages::PeerMessage;
+use notchwharf_proto::messages::Status;
 use notchwharf_routing::places::key_of;
 use rstest::rstest;
 use tokio::net::UdpSocket;
@@ -38,11 +38,11 @@
 
     async fn says(&self, name: &str, incarnation: u64, number: u64, loads: &[(&str, u32)]) {
         let status = status(name, incarnation, number, loads);
-        self.sends(&News::Status(status)).await;
+        self.sends(&PeerMessage::Status(status)).await;
     }
 
-    async fn sends(&self, news: &News) {
-        let bytes = news::encode(news);
+    async fn sends(&self, news: &PeerMessage) {
+        let bytes = messages::encode(news);
         self.socket.send_to(&bytes, self.host).await.unwrap();
     }
 }
@@ -129,7 +129,8 @@
     let peer = Peer::of(host.ctx().settings.host.peer_listen).await;
     let unknown = status("y1", u64::MAX, 1, &[("t1", 5)]);
     let known = status("x1", u64::MAX, 1, &[("t1", 2)]);
-    peer.sends(&News::PassedOn(vec![unknown, known])).await;
+    peer.sends(&PeerMessage::PassedOn(vec![unknown, known]))
+        .await;
     until("it is heard", || host.ctx().peers_alive() == 1).await;
     // Where the other host is nobody knows yet, so it does not count.
     assert_eq!(host.ctx().load_of("t1").online, 2);
@@ -221,8 +222,8 @@
     let world = World::new(&["t1"]);
     let a1 = world.start_ready("a1").await;
     let peer = Peer::of(a1.ctx().settings.host.peer_listen).await;
-    let first = News::Status(Status {
-        waiting: vec![news::Waiting {
+    let first = PeerMessage::Status(Status {
+        waiting: vec![messages::WaitingItems {
             due_unix_ms: 1,
             items: 7,
         }],
--- a/crates/gateway/tests/spread.rs
+++ b/crates/gateway/tests/spread.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use notchwharf_gateway::ports::Topic;
-use notchwharf_proto::news;
-use notchwharf_proto::news::News;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::PeerMessage;
 use notchwharf_proto::records::Announcement;
 use notchwharf_proto::records::Reading;
 use notchwharf_proto::records::TargetChange;
@@ -255,7 +255,7 @@
     let reader = fleet.readers()[0];
     let other = &fleet.hosts[(reader + 1) % HOSTS];
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let bytes = news::encode(&News::Announcement(forged(from, to, offset)));
+    let bytes = messages::encode(&PeerMessage::Announcement(forged(from, to, offset)));
     let addr = other.ctx().settings.host.peer_listen;
     socket.send_to(&bytes, addr).await.unwrap();
     // The next announcement of the reader must still be applied.
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -23,11 +23,11 @@
 use hyper::Method;
 use hyper::StatusCode;
 use notchwharf_config::access;
-use notchwharf_config::access::NoKey;
+use notchwharf_config::access::KeyError;
 use notchwharf_config::access::Workspace;
 use notchwharf_config::gateway;
 use notchwharf_config::gateway::Settings;
-use notchwharf_config::routes::JobTerms;
+use notchwharf_config::routes::JobPolicy;
 use notchwharf_config::routes::Kind;
 use notchwharf_config::routes::Limits;
 use notchwharf_config::routes::Route;
@@ -323,9 +323,9 @@
     }
 }
 
-fn world_key(headers: &HeaderMap) -> Result<&str, NoKey> {
+fn world_key(headers: &HeaderMap) -> Result<&str, KeyError> {
     let values = headers.get_all(KEY).iter();
-    access::key("Key", values.map(hyper::header::HeaderValue::as_bytes))
+    access::parse_key("Key", values.map(hyper::header::HeaderValue::as_bytes))
 }
 
 fn world_mark(headers: &mut HeaderMap, workspace: Option<&str>) {
@@ -412,10 +412,10 @@
     Route {
         kind: Kind::Batch,
         attempts_max: 3,
-        jobs: JobTerms {
+        jobs: JobPolicy {
             tokens_max: Some(TOKENS_MAX),
             abandon_after: ABANDON_AFTER,
-            ..JobTerms::default()
+            ..JobPolicy::default()
         },
         ..stream(JOBS, true)
     }
--- a/crates/membership/examples/gossip_bytes.rs
+++ b/crates/membership/examples/gossip_bytes.rs
@@ -69,13 +69,13 @@
     let start = Instant::now();
     let mut now = start;
     let mut hosts: Vec<Gossip> = (0..count).map(|i| host(i, now)).collect();
-    let mut known: Vec<Fact> = hosts.iter().map(Gossip::me).collect();
+    let mut known: Vec<Fact> = hosts.iter().map(Gossip::own_fact).collect();
     for target in 0..count as u64 * TARGETS_PER_HOST {
         known.push(self::target(target, 0));
     }
     for host in &mut hosts {
         for fact in &known {
-            host.step(now, Input::Heard(fact.clone()));
+            host.step(now, Input::Fact(fact.clone()));
         }
     }
     // What all know already is told for a while; it does not count.
@@ -122,7 +122,7 @@
                 hosts,
                 *now,
                 at,
-                Input::Heard(fact),
+                Input::Fact(fact),
                 &mut bytes,
                 &mut datagrams,
             );
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -17,7 +17,7 @@
 //! let start = Instant::now();
 //! let mut a = Gossip::new(Config::new("a"), 1, address(1), 7, start);
 //! let b = Gossip::new(Config::new("b"), 1, address(2), 8, start);
-//! a.step(start, Input::Heard(b.me()));
+//! a.step(start, Input::Fact(b.own_fact()));
 //! let out = a.step(start + Duration::from_secs(2), Input::Tick);
 //! assert_eq!(out.sends[0].0, address(2).gossip);
 //! ```
@@ -67,9 +67,9 @@
     /// This host.
     pub host: HostId,
     /// Time between two probes.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// Time a suspect has to deny it.
-    pub suspect: Duration,
+    pub suspicion_timeout: Duration,
 }
 
 impl Config {
@@ -77,8 +77,8 @@
     pub fn new(host: &str) -> Self {
         Self {
             host: host.into(),
-            probe: Duration::from_secs(1),
-            suspect: Duration::from_secs(3),
+            probe_interval: Duration::from_secs(1),
+            suspicion_timeout: Duration::from_secs(3),
         }
     }
 }
@@ -91,7 +91,7 @@
     /// A datagram came.
     Datagram(Vec<u8>),
     /// A fact is known from elsewhere: the list, a call, this host itself.
-    Heard(Fact),
+    Fact(Fact),
     /// This host leaves.
     Leave,
 }
@@ -102,7 +102,7 @@
     /// Datagrams to send.
     pub sends: Vec<(SocketAddr, Vec<u8>)>,
     /// Facts that changed.
-    pub news: Vec<Fact>,
+    pub changed: Vec<Fact>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -152,7 +152,7 @@
         let mut spread = Spread::default();
         spread.merge(Fact::Host(cfg.host.clone(), me));
         Self {
-            next_probe: now + cfg.probe,
+            next_probe: now + cfg.probe_interval,
             next_push: now,
             cfg,
             spread,
@@ -168,7 +168,7 @@
     }
 
     /// Returns the fact about this host itself.
-    pub fn me(&self) -> Fact {
+    pub fn own_fact(&self) -> Fact {
         Fact::Host(self.cfg.host.clone(), self.own())
     }
 
@@ -203,7 +203,7 @@
                     self.receive(now, message);
                 }
             }
-            Input::Heard(fact) => self.learn(now, fact),
+            Input::Fact(fact) => self.learn(now, fact),
             Input::Leave => self.leave(now),
         }
         std::mem::take(&mut self.out)
@@ -213,7 +213,7 @@
         self.condemn(now);
         self.watch_probe(now);
         if now >= self.next_probe {
-            self.next_probe = now + self.cfg.probe;
+            self.next_probe = now + self.cfg.probe_interval;
             self.start_probe(now);
         }
         self.push(now);
@@ -282,7 +282,7 @@
         if let Fact::Host(id, host) = &merged {
             self.follow_health(now, id, host);
         }
-        self.out.news.push(merged);
+        self.out.changed.push(merged);
     }
 
     fn follow_health(&mut self, now: Instant, id: &str, host: &Host) {
--- a/crates/membership/src/gossip/probe.rs
+++ b/crates/membership/src/gossip/probe.rs
@@ -26,7 +26,7 @@
 impl Gossip {
     /// Takes suspects for dead that have not denied it in time.
     pub(super) fn condemn(&mut self, now: Instant) {
-        let patience = self.cfg.suspect;
+        let patience = self.cfg.suspicion_timeout;
         let due: Vec<HostId> = self
             .suspects
             .iter()
@@ -58,13 +58,13 @@
             return;
         };
         let waited = now.duration_since(probe.sent);
-        if waited >= self.cfg.probe {
+        if waited >= self.cfg.probe_interval {
             let host = probe.host.clone();
             self.probe = None;
             self.report(now, &host, Health::Suspect);
             return;
         }
-        if probe.helped || waited < self.cfg.probe / 3 {
+        if probe.helped || waited < self.cfg.probe_interval / 3 {
             return;
         }
         probe.helped = true;
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -53,8 +53,8 @@
         };
         // The list tells each host of one other; gossip must do the rest.
         for i in 0..count {
-            let other = net.hosts[(i + 1) % count].as_ref().unwrap().me();
-            net.feed(i, Input::Heard(other));
+            let other = net.hosts[(i + 1) % count].as_ref().unwrap().own_fact();
+            net.feed(i, Input::Fact(other));
         }
         net
     }
@@ -123,8 +123,8 @@
     net.run(Duration::from_secs(20));
     assert!(net.all_see(3, Health::Down));
     net.hosts[3] = Some(host(3, 2, net.now));
-    let other = net.hosts[0].as_ref().unwrap().me();
-    net.feed(3, Input::Heard(other));
+    let other = net.hosts[0].as_ref().unwrap().own_fact();
+    net.feed(3, Input::Fact(other));
     net.run(Duration::from_secs(5));
     assert!(net.all_see(3, Health::Alive));
 }
@@ -133,7 +133,7 @@
 fn news_reaches_all_hosts_long_before_the_next_probes() {
     let mut net = Net::new(12, 0);
     net.run(Duration::from_secs(10));
-    net.feed(0, Input::Heard(Fact::Bundle(7)));
+    net.feed(0, Input::Fact(Fact::Bundle(7)));
     net.run(Duration::from_millis(500));
     for at in 0..12 {
         let gossip = net.hosts[at].as_ref().unwrap();
@@ -146,10 +146,10 @@
 fn a_host_that_leaves_is_not_brought_back_by_stale_news() {
     let mut net = Net::new(5, 0);
     net.run(Duration::from_secs(3));
-    let stale = net.hosts[2].as_ref().unwrap().me();
+    let stale = net.hosts[2].as_ref().unwrap().own_fact();
     net.feed(2, Input::Leave);
     net.run(Duration::from_secs(1));
-    net.feed(0, Input::Heard(stale));
+    net.feed(0, Input::Fact(stale));
     net.run(Duration::from_secs(1));
     for at in 0..5 {
         let gossip = net.hosts[at].as_ref().unwrap();
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::news::Suspects;
+use crate::messages::Suspects;
 
 /// A datagram between hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! [`peer`] is what one host calls on another, over JSON-RPC. [`datagram`] is
 //! what hosts send over UDP: gossip, and notices too short-lived to be worth
-//! an answer. [`news`] takes the place of both where hosts share all targets, and
+//! an answer. [`messages`] takes the place of both where hosts share all targets, and
 //! [`records`] holds the messages by which hosts share the store's log.
 
 pub mod datagram;
-pub mod news;
+pub mod messages;
 pub mod peer;
 pub mod records;
--- a/crates/proto/src/news.rs
+++ b/crates/proto/src/messages.rs
@@ -1,12 +1,12 @@
 //! What hosts that share all targets send one another over UDP.
 //!
-//! News is the sender's whole state in short and not a difference, so that a
+//! PeerMessage is the sender's whole state in short and not a difference, so that a
 //! lost datagram does no harm and an old one is told by its number.
 //!
 //! ```
-//! use notchwharf_proto::news::{decode, encode, News, Status};
+//! use notchwharf_proto::messages::{decode, encode, PeerMessage, Status};
 //!
-//! let news = News::Status(Status { host: "a1".into(), ..Status::default() });
+//! let news = PeerMessage::Status(Status { host: "a1".into(), ..Status::default() });
 //! assert_eq!(decode(&encode(&news)), Some(news));
 //! assert_eq!(decode(b"?"), None);
 //! ```
@@ -23,11 +23,12 @@
 
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum PeerMessage {
     /// How a host is, and what it runs.
     Status(Status),
     /// The receiver is asked to make room.
-    Cut(Cut),
+    #[serde(rename = "Cut")]
+    Preemption(Preemption),
     /// How hosts far away are, passed on by one that was told.
     PassedOn(Vec<Status>),
     /// What the hosts of another cell run together.
@@ -35,23 +36,24 @@
     /// Requests under which targets crashed.
     Suspects(Suspects),
     /// A word about limits of workspaces.
-    Limits(Limits),
+    Limits(QuotaMessage),
     /// A place that has fallen free is for a request that waits at the receiver.
-    Hand(Hand),
+    #[serde(rename = "Hand")]
+    SlotTransfer(SlotTransfer),
     /// Records that a host has read from the store's log.
     Announcement(Announcement),
 }
 
 /// A place that has fallen free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hand {
+pub struct SlotTransfer {
     /// The short form of the target's name.
     pub target: u32,
 }
 
 /// A word of a host about limits of workspaces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limits {
+pub struct QuotaMessage {
     /// The short form of the host's name.
     pub host: HostKey,
     /// The word.
@@ -133,7 +135,7 @@
     /// What it runs.
     pub loads: Vec<Load>,
     /// Its items that wait for a place, those due first.
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<WaitingItems>,
     /// The short forms of the names of targets that fail its requests.
     pub failing: Vec<u32>,
 }
@@ -151,7 +153,7 @@
 
 /// Items that wait at a host and are due at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct WaitingItems {
     /// When they are due, by the clock of the host that took their job in.
     pub due_unix_ms: u64,
     /// How many they are.
@@ -165,7 +167,7 @@
     /// The host's first requests that wait.
     pub waiting: Vec<WaitingRequest>,
     /// Places that workspaces hold there, those with most.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldSlots>,
     /// The short forms of the names of targets of which it has just handed places to
     /// requests elsewhere.
     pub handed: Vec<u32>,
@@ -186,7 +188,7 @@
 
 /// Places that a workspace holds at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldSlots {
     /// The short form of the workspace's name.
     pub workspace: u32,
     /// What it may hold against others, in thousandths.
@@ -197,7 +199,7 @@
 
 /// An online request needs the place of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cut {
+pub struct Preemption {
     /// The short form of the target's name.
     pub target: u32,
 }
@@ -207,8 +209,8 @@
 /// # Panics
 ///
 /// Never: the type holds nothing that the codec cannot represent.
-pub fn encode(news: &News) -> Vec<u8> {
-    postcard::to_stdvec(news).expect("News is always representable.")
+pub fn encode(news: &PeerMessage) -> Vec<u8> {
+    postcard::to_stdvec(news).expect("PeerMessage is always representable.")
 }
 
 /// Encodes a status with what waits at the host, if anything does. It stands behind the
@@ -217,8 +219,8 @@
 /// # Panics
 ///
 /// Never: the types hold nothing that the codec cannot represent.
-pub fn encode_contended(status: Status, contention: Option<&Contention>) -> Vec<u8> {
-    let bytes = encode(&News::Status(status));
+pub fn encode_with_contention(status: Status, contention: Option<&Contention>) -> Vec<u8> {
+    let bytes = encode(&PeerMessage::Status(status));
     let Some(contention) = contention else {
         return bytes;
     };
@@ -227,7 +229,10 @@
 
 /// Returns what is to be told in parts that each fit a datagram, by the bytes that each
 /// piece takes.
-pub fn parts<T>(pieces: impl Iterator<Item = T>, bytes_of: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+pub fn split_by_size<T>(
+    pieces: impl Iterator<Item = T>,
+    bytes_of: impl Fn(&T) -> usize,
+) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
     let mut bytes = PART_BYTES_MAX;
     for piece in pieces {
@@ -249,19 +254,19 @@
 /// # Panics
 ///
 /// Never: the type holds nothing that the codec cannot represent.
-pub fn suspect_bytes(suspect: &Suspect) -> usize {
+pub fn suspect_encoded_len(suspect: &Suspect) -> usize {
     let bytes = postcard::to_stdvec(suspect);
     bytes.expect("Suspects are always representable.").len()
 }
 
 /// Decodes a datagram; returns nothing for anything else.
-pub fn decode(bytes: &[u8]) -> Option<News> {
-    decode_contended(bytes).map(|(news, _)| news)
+pub fn decode(bytes: &[u8]) -> Option<PeerMessage> {
+    decode_with_contention(bytes).map(|(news, _)| news)
 }
 
 /// Decodes a datagram, with what waits at the host that sent it if it tells. What stands
 /// behind the news and cannot be read was written by another version.
-pub fn decode_contended(bytes: &[u8]) -> Option<(News, Option<Contention>)> {
+pub fn decode_with_contention(bytes: &[u8]) -> Option<(PeerMessage, Option<Contention>)> {
     let (news, rest) = postcard::take_from_bytes(bytes).ok()?;
     let contention = (!rest.is_empty()).then(|| postcard::from_bytes(rest).ok());
     Some((news, contention.flatten()))
--- a/crates/proto/src/peer.rs
+++ b/crates/proto/src/peer.rs
@@ -51,7 +51,7 @@
 
 /// A request for items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Take {
+pub struct ItemRequest {
     /// The serving that a target is free for.
     pub serving: String,
     /// The greatest number of items.
@@ -64,7 +64,7 @@
 
 /// An item handed out, with its shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct AssignedItem {
     /// The shard.
     pub shard: ShardId,
     /// The item.
@@ -103,7 +103,7 @@
 
 /// The answer to a keyed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyedAnswer {
+pub struct KeyedResponse {
     /// The status.
     pub status: u16,
     /// Headers to pass on.
@@ -136,7 +136,7 @@
 
     /// Hands out items of any shard that the host holds.
     #[method(name = "take")]
-    async fn take(&self, asked: Take) -> RpcResult<Vec<Handed>>;
+    async fn take(&self, asked: ItemRequest) -> RpcResult<Vec<AssignedItem>>;
 
     /// Returns the bundle in force at the host.
     #[method(name = "bundle")]
@@ -152,5 +152,5 @@
 
     /// Runs a call with an idempotency key.
     #[method(name = "keyed_call")]
-    async fn keyed_call(&self, call: KeyedCall) -> RpcResult<Result<KeyedAnswer, KeyedError>>;
+    async fn keyed_call(&self, call: KeyedCall) -> RpcResult<Result<KeyedResponse, KeyedError>>;
 }
--- a/crates/quarantine/src/news.rs
+++ b/crates/quarantine/src/news.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use notchwharf_proto::news;
-use notchwharf_proto::news::Suspect;
+use notchwharf_proto::messages;
+use notchwharf_proto::messages::Suspect;
 use notchwharf_routing::quarantine::Told;
 use notchwharf_routing::quarantine::ToldCrash;
 
@@ -47,11 +47,11 @@
 /// Returns suspects in the form in which hosts are told, in parts that each fit a
 /// datagram.
 pub fn encode(told: &[Told]) -> Vec<Vec<Suspect>> {
-    news::parts(told.iter().map(encode_one), news::suspect_bytes)
+    messages::split_by_size(told.iter().map(encode_one), messages::suspect_encoded_len)
 }
 
 fn encode_one(told: &Told) -> Suspect {
-    let crashes = told.crashes.iter().map(|crash| news::Crash {
+    let crashes = told.crashes.iter().map(|crash| messages::Crash {
         life: crash.life,
         ran_ms: millis(crash.ran),
         age_ms: millis(crash.age),
--- a/crates/quarantine/tests/news.rs
+++ b/crates/quarantine/tests/news.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_proto::news::News;
-use notchwharf_proto::news::Suspects;
+use notchwharf_proto::messages::PeerMessage;
+use notchwharf_proto::messages::Suspects;
 use notchwharf_quarantine::gate::Gate;
 use notchwharf_quarantine::news::decode;
 use notchwharf_quarantine::news::encode;
@@ -54,7 +54,8 @@
     assert_eq!(parts.iter().flatten().count(), told.len());
     for suspects in parts {
         let host = "a-host-with-a-long-name".to_owned();
-        let bytes = notchwharf_proto::news::encode(&News::Suspects(Suspects { host, suspects }));
+        let bytes =
+            notchwharf_proto::messages::encode(&PeerMessage::Suspects(Suspects { host, suspects }));
         assert!(bytes.len() <= PACKET_BYTES, "{}", bytes.len());
     }
 }
--- a/crates/quota/benches/decide.rs
+++ b/crates/quota/benches/decide.rs
@@ -59,7 +59,7 @@
     let now = later + Duration::from_millis(500);
     let mut group = c.benchmark_group("decision at 16,000 workspaces");
     group.bench_function("whose key", |b| {
-        b.iter(|| workspaces.holder(black_box("key-of-12345-1-abcdef")));
+        b.iter(|| workspaces.by_key(black_box("key-of-12345-1-abcdef")));
     });
     group.bench_function("may it go", |b| {
         b.iter(|| {
--- a/crates/server/src/api/auth.rs
+++ b/crates/server/src/api/auth.rs
@@ -71,5 +71,5 @@
 fn bearer(headers: &HeaderMap) -> Option<&str> {
     let values = headers.get_all(AUTHORIZATION);
     // All that is wrong with a key has the same answer here.
-    access::key(SCHEME, values.iter().map(HeaderValue::as_bytes)).ok()
+    access::parse_key(SCHEME, values.iter().map(HeaderValue::as_bytes)).ok()
 }
--- a/crates/server/src/api/services.rs
+++ b/crates/server/src/api/services.rs
@@ -26,9 +26,9 @@
 use notchwharf_config::bundle::Class;
 use notchwharf_ledger::error::Refused;
 use notchwharf_proto::peer::Callee;
-use notchwharf_proto::peer::KeyedAnswer;
 use notchwharf_proto::peer::KeyedCall;
 use notchwharf_proto::peer::KeyedError;
+use notchwharf_proto::peer::KeyedResponse;
 use notchwharf_routing::budget;
 use notchwharf_routing::table::Refusal;
 
@@ -224,7 +224,7 @@
     }
 }
 
-fn keyed_answer(kept: &KeyedAnswer) -> Response {
+fn keyed_answer(kept: &KeyedResponse) -> Response {
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
     let bytes = BASE64_STANDARD
         .decode(&kept.body_base64)
--- a/crates/server/src/dispatch.rs
+++ b/crates/server/src/dispatch.rs
@@ -22,7 +22,7 @@
 use notchwharf_ledger::record::TargetId;
 use notchwharf_membership::fact;
 use notchwharf_membership::fact::Fact;
-use notchwharf_proto::peer::Handed;
+use notchwharf_proto::peer::AssignedItem;
 use notchwharf_routing::slots;
 use notchwharf_routing::slots::Slots;
 use notchwharf_routing::slots::StreamId;
@@ -57,7 +57,7 @@
 struct Tick;
 struct ReadStatus;
 struct Reported(Option<Status>);
-struct Pulled(String, Vec<Handed>);
+struct Pulled(String, Vec<AssignedItem>);
 struct Ran(StreamId, End);
 
 /// What this host does for one target.
@@ -80,7 +80,7 @@
 
 struct Running {
     cancel: Option<oneshot::Sender<()>>,
-    handed: Handed,
+    handed: AssignedItem,
 }
 
 impl Actor for Dispatcher {
@@ -382,7 +382,7 @@
     async fn handle(&mut self, to: Reannounce, _: &mut Context<Self>) {
         let running = self.running.values().map(|r| &r.handed);
         let ready = self.ready.iter().map(|i| &i.handed);
-        let handed: Vec<Handed> = running
+        let handed: Vec<AssignedItem> = running
             .chain(ready)
             .filter(|h| h.shard == to.0)
             .cloned()
--- a/crates/server/src/dispatch/pull.rs
+++ b/crates/server/src/dispatch/pull.rs
@@ -5,17 +5,22 @@
 use std::time::Duration;
 
 use notchwharf_ledger::owner::Command;
-use notchwharf_proto::peer::Handed;
+use notchwharf_proto::peer::AssignedItem;
+use notchwharf_proto::peer::ItemRequest;
 use notchwharf_proto::peer::PeerClient as _;
-use notchwharf_proto::peer::Take;
 
 use crate::context::Context as Shared;
 
 const PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Asks a host for items and confirms those that came.
-pub(super) async fn take(shared: &Arc<Shared>, host: &str, serving: &str, max: u32) -> Vec<Handed> {
-    let asked = Take {
+pub(super) async fn take(
+    shared: &Arc<Shared>,
+    host: &str,
+    serving: &str,
+    max: u32,
+) -> Vec<AssignedItem> {
+    let asked = ItemRequest {
         serving: serving.to_owned(),
         max,
         host: shared.host().clone(),
@@ -35,7 +40,7 @@
     handed
 }
 
-pub(super) async fn confirm(shared: &Arc<Shared>, handed: &[Handed]) {
+pub(super) async fn confirm(shared: &Arc<Shared>, handed: &[AssignedItem]) {
     let mut by_shard: HashMap<u32, Vec<_>> = HashMap::new();
     for one in handed {
         let key = (one.work.job.clone(), one.work.item);
--- a/crates/server/src/item.rs
+++ b/crates/server/src/item.rs
@@ -10,7 +10,7 @@
 use notchwharf_ledger::job::Failure;
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Verdict;
-use notchwharf_proto::peer::Handed;
+use notchwharf_proto::peer::AssignedItem;
 use notchwharf_routing::budget;
 use serde_json::Map;
 use serde_json::Value;
@@ -33,7 +33,7 @@
 /// An item at this host, with what of its answer is here.
 #[derive(Clone, Debug)]
 pub(crate) struct Item {
-    pub(crate) handed: Handed,
+    pub(crate) handed: AssignedItem,
     pub(crate) serving: String,
     pub(crate) payload: Option<Payload>,
     pub(crate) progress: Progress,
@@ -58,7 +58,7 @@
 }
 
 impl Item {
-    pub(crate) fn new(handed: Handed, serving: &str) -> Self {
+    pub(crate) fn new(handed: AssignedItem, serving: &str) -> Self {
         Self {
             handed,
             serving: serving.to_owned(),
@@ -181,7 +181,7 @@
     serde_json::to_vec(&line).unwrap_or_default()
 }
 
-async fn report_result(ctx: Arc<Context>, handed: Handed, line: Vec<u8>) {
+async fn report_result(ctx: Arc<Context>, handed: AssignedItem, line: Vec<u8>) {
     let Some(results) = ctx.results.get() else {
         return;
     };
@@ -192,7 +192,7 @@
 }
 
 /// Reports a verdict until the owner has taken it or it counts no more.
-async fn report(ctx: Arc<Context>, handed: Handed, verdict: Verdict) {
+async fn report(ctx: Arc<Context>, handed: AssignedItem, verdict: Verdict) {
     let label = match verdict {
         Verdict::Done(_) => "done",
         Verdict::Failed(_) => "failed",
--- a/crates/server/src/keyed.rs
+++ b/crates/server/src/keyed.rs
@@ -25,9 +25,9 @@
 use notchwharf_ledger::record::Place;
 use notchwharf_ledger::record::ShardId;
 use notchwharf_proto::peer::Callee;
-use notchwharf_proto::peer::KeyedAnswer;
 use notchwharf_proto::peer::KeyedCall;
 use notchwharf_proto::peer::KeyedError;
+use notchwharf_proto::peer::KeyedResponse;
 use notchwharf_proto::peer::PeerClient as _;
 use notchwharf_routing::budget;
 use sha2::Digest as _;
@@ -49,7 +49,7 @@
 pub(crate) const KEPT_HEADERS: [&str; 3] = ["content-type", "location", "etag"];
 
 /// Runs a call on the host that owns its key.
-pub(crate) async fn run(ctx: &Arc<Context>, call: KeyedCall) -> Result<KeyedAnswer, KeyedError> {
+pub(crate) async fn run(ctx: &Arc<Context>, call: KeyedCall) -> Result<KeyedResponse, KeyedError> {
     let shard = ledger::shard_of(ctx, &key_id(&call));
     let time = Duration::from_millis(call.timeout_ms).min(ledger::SEARCH_TIME);
     let deadline = Instant::now() + time;
@@ -68,7 +68,7 @@
     ctx: &Arc<Context>,
     shard: ShardId,
     call: KeyedCall,
-) -> Result<KeyedAnswer, KeyedError> {
+) -> Result<KeyedResponse, KeyedError> {
     let nobody = KeyedError::NotRun(Refused::NotOwner { holder: None });
     let Some(host) = ledger::holder(ctx, shard) else {
         return Err(nobody);
@@ -93,7 +93,7 @@
 pub(crate) async fn run_here(
     ctx: &Arc<Context>,
     call: KeyedCall,
-) -> Result<KeyedAnswer, KeyedError> {
+) -> Result<KeyedResponse, KeyedError> {
     // On a task of its own, so that a caller who goes away does not leave a
     // call half recorded.
     let ctx = Arc::clone(ctx);
@@ -101,7 +101,7 @@
     task.await.unwrap_or(Err(KeyedError::Unknown))
 }
 
-async fn run_owned(ctx: &Arc<Context>, call: KeyedCall) -> Result<KeyedAnswer, KeyedError> {
+async fn run_owned(ctx: &Arc<Context>, call: KeyedCall) -> Result<KeyedResponse, KeyedError> {
     let key = key_id(&call);
     let shard = ledger::shard_of(ctx, &key);
     let start = Command::KeyStart {
@@ -163,7 +163,7 @@
     ctx: &Arc<Context>,
     service: &str,
     call: &KeyedCall,
-) -> Result<KeyedAnswer, Sent> {
+) -> Result<KeyedResponse, Sent> {
     let fingerprint = service_fingerprint(service);
     let mut tried = Vec::new();
     loop {
@@ -183,7 +183,7 @@
                 let body = resp.into_body().collect();
                 let body = tokio::time::timeout(timeout, body).await;
                 let body = body.map_err(|_| Sent::Maybe)?.map_err(|_| Sent::Maybe)?;
-                return Ok(KeyedAnswer {
+                return Ok(KeyedResponse {
                     status,
                     headers,
                     body_base64: BASE64_STANDARD.encode(body.to_bytes()),
@@ -200,7 +200,7 @@
     }
 }
 
-async fn call_chat(ctx: &Arc<Context>, call: &KeyedCall) -> Result<KeyedAnswer, Sent> {
+async fn call_chat(ctx: &Arc<Context>, call: &KeyedCall) -> Result<KeyedResponse, Sent> {
     let body = BASE64_STANDARD.decode(&call.body_base64);
     let body = body.map_err(|_| Sent::No)?;
     let deadline = Instant::now() + Duration::from_millis(call.timeout_ms);
@@ -212,7 +212,7 @@
             let answer = chat::whole(&id, &serving, &progress);
             let text = serde_json::to_vec(&answer).unwrap_or_default();
             let json = ("content-type".to_owned(), "application/json".to_owned());
-            Ok(KeyedAnswer {
+            Ok(KeyedResponse {
                 status: 200,
                 headers: BTreeMap::from([json]),
                 body_base64: BASE64_STANDARD.encode(text),
@@ -246,7 +246,7 @@
 }
 
 /// Keeps an answer, however long the log is down.
-async fn keep(ctx: Arc<Context>, shard: ShardId, key: String, answer: KeyedAnswer) {
+async fn keep(ctx: Arc<Context>, shard: ShardId, key: String, answer: KeyedResponse) {
     let _unsettled = ctx.unsettled.enter();
     let Some(results) = ctx.results.get() else {
         return;
@@ -267,11 +267,11 @@
     }
 }
 
-async fn replay(ctx: &Context, place: Place) -> Result<KeyedAnswer, KeyedError> {
+async fn replay(ctx: &Context, place: Place) -> Result<KeyedResponse, KeyedError> {
     let bytes = ctx.blobs.part(place).await;
     let bytes = bytes.map_err(|_| KeyedError::NotRun(Refused::LogDown))?;
-    let answer: KeyedAnswer = serde_json::from_slice(&bytes).map_err(|_| KeyedError::Unknown)?;
-    Ok(KeyedAnswer {
+    let answer: KeyedResponse = serde_json::from_slice(&bytes).map_err(|_| KeyedError::Unknown)?;
+    Ok(KeyedResponse {
         replayed: true,
         ..answer
     })
--- a/crates/server/src/members.rs
+++ b/crates/server/src/members.rs
@@ -70,7 +70,7 @@
     type Return = ();
 
     async fn handle(&mut self, heard: Heard, _: &mut Context<Self>) {
-        self.step(Input::Heard(heard.0)).await;
+        self.step(Input::Fact(heard.0)).await;
     }
 }
 
@@ -101,7 +101,7 @@
 impl Members {
     async fn step(&mut self, input: Input) {
         let out = self.gossip.step(Instant::now(), input);
-        for fact in out.news {
+        for fact in out.changed {
             self.note(fact);
         }
         for (addr, bytes) in out.sends {
@@ -244,14 +244,14 @@
 ) -> Address<Members> {
     let s = &shared.settings;
     let cfg = Config {
-        probe: ms(s.membership.probe_ms),
-        suspect: ms(s.membership.suspect_ms),
+        probe_interval: ms(s.membership.probe_ms),
+        suspicion_timeout: ms(s.membership.suspect_ms),
         ..Config::new(shared.host())
     };
     let socket = Arc::new(socket);
     let now = Instant::now();
     let gossip = Gossip::new(cfg, shared.incarnation, addr, rand::random(), now);
-    let me = gossip.me();
+    let me = gossip.own_fact();
     let members = Members {
         shared: Arc::clone(shared),
         feed: Arc::clone(feed),
--- a/crates/server/src/peers.rs
+++ b/crates/server/src/peers.rs
@@ -11,14 +11,14 @@
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Reply;
 use notchwharf_ledger::record::ShardId;
+use notchwharf_proto::peer::AssignedItem;
 use notchwharf_proto::peer::BundleCopy;
-use notchwharf_proto::peer::Handed;
 use notchwharf_proto::peer::HostReport;
-use notchwharf_proto::peer::KeyedAnswer;
+use notchwharf_proto::peer::ItemRequest;
 use notchwharf_proto::peer::KeyedCall;
 use notchwharf_proto::peer::KeyedError;
+use notchwharf_proto::peer::KeyedResponse;
 use notchwharf_proto::peer::PeerServer;
-use notchwharf_proto::peer::Take;
 
 use crate::context::Context;
 use crate::context::lock;
@@ -39,7 +39,7 @@
         Ok(ledger::ask_here(&self.ctx, shard, command).await)
     }
 
-    async fn take(&self, asked: Take) -> RpcResult<Vec<Handed>> {
+    async fn take(&self, asked: ItemRequest) -> RpcResult<Vec<AssignedItem>> {
         Ok(take_here(&self.ctx, &asked).await)
     }
 
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    async fn keyed_call(&self, call: KeyedCall) -> RpcResult<Result<KeyedAnswer, KeyedError>> {
+    async fn keyed_call(&self, call: KeyedCall) -> RpcResult<Result<KeyedResponse, KeyedError>> {
         Ok(keyed::run_here(&self.ctx, call).await)
     }
 }
@@ -86,7 +86,7 @@
 }
 
 /// Hands out items of any shard that this host holds.
-pub(crate) async fn take_here(ctx: &Arc<Context>, asked: &Take) -> Vec<Handed> {
+pub(crate) async fn take_here(ctx: &Arc<Context>, asked: &ItemRequest) -> Vec<AssignedItem> {
     let mut handed = Vec::new();
     let mut shards = ctx.held_shards();
     if !shards.is_empty() {
@@ -106,7 +106,7 @@
             incarnation: asked.incarnation,
         };
         if let Ok(Reply::Work(works)) = ledger::ask_here(ctx, shard, take).await {
-            handed.extend(works.into_iter().map(|work| Handed { shard, work }));
+            handed.extend(works.into_iter().map(|work| AssignedItem { shard, work }));
         }
     }
     handed
--- a/crates/server/src/quarantine.rs
+++ b/crates/server/src/quarantine.rs
@@ -16,7 +16,7 @@
 use notchwharf_listen::Phase;
 use notchwharf_proto::datagram;
 use notchwharf_proto::datagram::Datagram;
-use notchwharf_proto::news;
+use notchwharf_proto::messages;
 use notchwharf_quarantine::gate::KeptBack;
 use notchwharf_quarantine::gate::Trial;
 use notchwharf_quarantine::news::RETELL_GAP;
@@ -128,7 +128,7 @@
 }
 
 /// Takes in what a host tells.
-pub(crate) fn take(ctx: &Context, told: &news::Suspects) {
+pub(crate) fn take(ctx: &Context, told: &messages::Suspects) {
     for suspect in &told.suspects {
         let told_one = decode(suspect);
         let change = ctx.suspects.take(&told.host, &told_one);
@@ -166,7 +166,7 @@
     };
     for suspects in encode(told) {
         let host = ctx.host().clone();
-        let told = Datagram::Suspects(news::Suspects { host, suspects });
+        let told = Datagram::Suspects(messages::Suspects { host, suspects });
         let bytes = datagram::encode(&told);
         for addr in &addrs {
             ctx.metrics
