--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -1,7 +1,7 @@
 //! Routes and targets as the store or a peer tells them.
 //!
 //! Every record has an offset, and nothing older than what is known counts,
-//! whoever tells it. What is believed of targets is [`belief`]'s to decide; here
+//! whoever tells it. Which targets exist is [`discovery`]'s to decide; here
 //! it is read, logged and put to use, one reading after the other: targets in
 //! use and what peers are told never tell of different readings.
 
@@ -19,15 +19,15 @@
 use bytes::Bytes;
 use notchwharf_config::gateway::Settings;
 use notchwharf_config::routes::Table;
-use notchwharf_routing::belief;
-use notchwharf_routing::belief::Answered;
-use notchwharf_routing::belief::Belief;
-use notchwharf_routing::belief::Bounds;
-use notchwharf_routing::belief::Change;
-use notchwharf_routing::belief::Evidence;
+use notchwharf_routing::discovery;
+use notchwharf_routing::discovery::Change;
+use notchwharf_routing::discovery::Evidence;
+use notchwharf_routing::discovery::ReadInfo;
+use notchwharf_routing::discovery::TargetView;
+use notchwharf_routing::discovery::Timeouts;
 use notchwharf_routing::places::Places;
 use notchwharf_routing::places::Spec;
-use notchwharf_startup::Need;
+use notchwharf_startup::Dependency;
 use notchwharf_startup::Startup;
 use tokio::sync::watch;
 
@@ -84,7 +84,7 @@
     config_as_of: Option<Instant>,
     removed: Removed,
     evacuated: Evacuated,
-    targets: Belief,
+    targets: TargetView,
     /// The evidence reported by the last reader followed, unless this host has read since.
     peer_evidence: Option<Evidence>,
 }
@@ -117,13 +117,13 @@
     pub(crate) targets: bool,
 }
 
-/// Returns the times on which the belief in targets depends.
-fn bounds(settings: &Settings) -> Bounds {
-    Bounds {
+/// Returns the times on which [`TargetView`] depends.
+fn bounds(settings: &Settings) -> Timeouts {
+    Timeouts {
         drain: ms(settings.targets.drain_ms),
         settle: ms(settings.targets.settle_ms),
-        lapse: LAPSE + TARGETS_GAP + NEWS,
-        in_flight: ms(settings.online.connect_timeout_ms) + SWEEP + STANDSTILL,
+        reregister: LAPSE + TARGETS_GAP + NEWS,
+        dispatch: ms(settings.online.connect_timeout_ms) + SWEEP + STANDSTILL,
     }
 }
 
@@ -135,7 +135,7 @@
             config_as_of: None,
             removed: Removed::default(),
             evacuated: Evacuated::default(),
-            targets: Belief::new(bounds(settings)),
+            targets: TargetView::new(bounds(settings)),
             peer_evidence: None,
         };
         Self {
@@ -152,32 +152,34 @@
         let evidence = self.uses.store.evidence();
         let mut known = lock(&self.known);
         // As of before this reading: what it tells is newer than that.
-        let none_before = known.targets.none_before();
+        let none_before = known.targets.complete_as_of();
         let changes = match seen {
             Ok(Seen::All { end, records }) => {
                 slog::info!(self.uses.logger, "targets listed"; "targets" => records.len(),
                     "offset" => end, "source" => "store");
                 let records = records.into_iter().map(record).collect();
-                let answered = Answered::whole(asked, now);
+                let answered = ReadInfo::at_end(asked, now);
                 known
                     .targets
-                    .list(&answered, &evidence, end, records, decode)
+                    .apply_listing(&answered, &evidence, end, records, decode)
             }
             Ok(Seen::More { records, is_whole }) => {
                 let records = records.into_iter().map(record).collect();
-                let answered = Answered {
-                    asked,
-                    at: now,
-                    is_whole,
+                let answered = ReadInfo {
+                    requested_at: asked,
+                    answered_at: now,
+                    is_at_end: is_whole,
                 };
-                known.targets.read(&answered, &evidence, records, decode)
+                known
+                    .targets
+                    .apply_records(&answered, &evidence, records, decode)
             }
             // The reader tries again; the store's wrapper knows of the failure.
             Err(_) => return News::default(),
         };
         known.peer_evidence = None;
         let targets = self.put_to_use(none_before, &evidence, changes, now);
-        self.uses.startup.note(Need::Targets, "store");
+        self.uses.startup.mark_ready(Dependency::Targets, "store");
         News {
             targets,
             ..News::default()
@@ -189,7 +191,7 @@
     fn sweep(&self, now: Instant) {
         lock(&self.uses.places).end_cold(now);
         let mut known = lock(&self.known);
-        if !known.targets.is_in_doubt() {
+        if !known.targets.has_missing_entries() {
             return;
         }
         let evidence = self.evidence(&known);
@@ -240,7 +242,7 @@
                         "was_known" => lock(&self.uses.places).spec(&id).is_some());
                     lock(&self.uses.places).remove(&id);
                 }
-                Change::Gone { id, offset } => {
+                Change::Removed { id, offset } => {
                     counts.gone += 1;
                     if is_each_logged {
                         slog::info!(self.uses.logger, "target's entry is gone";
@@ -249,7 +251,7 @@
                     }
                     self.take_out(&id);
                 }
-                Change::Kept { id, offset, until } => {
+                Change::Retained { id, offset, until } => {
                     counts.kept += 1;
                     self.uses.metrics.count(Counted::Changes, "target kept");
                     let ago = |at: Option<Instant>| at.map(|at| millis(now - at));
@@ -258,8 +260,8 @@
                             "offset" => offset, "kept_for_now" => true,
                             "kept_ms" => millis(until.saturating_duration_since(now)),
                             "none_before_ms_ago" => ago(none_before),
-                            "away_ms_ago" => ago(evidence.readings.away_at()),
-                            "back_ms_ago" => ago(evidence.readings.back_at()));
+                            "away_ms_ago" => ago(evidence.reads.outage_at()),
+                            "back_ms_ago" => ago(evidence.reads.recovered_at()));
                     }
                 }
             }
@@ -304,8 +306,8 @@
     }
 }
 
-fn record(stored: Stored) -> belief::Record<Bytes> {
-    belief::Record {
+fn record(stored: Stored) -> discovery::Record<Bytes> {
+    discovery::Record {
         id: stored.entry.key,
         offset: stored.offset,
         value: stored.entry.value,
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -11,7 +11,7 @@
 use notchwharf_config::access::Digest;
 use notchwharf_config::access::Workspaces;
 use notchwharf_config::routes::Table;
-use notchwharf_startup::Need;
+use notchwharf_startup::Dependency;
 
 use super::Catalog;
 use super::Config;
@@ -217,7 +217,7 @@
         let workspaces_before = before.as_ref().and_then(|t| t.workspaces());
         known.removed.note(workspaces_before, table.workspaces());
         drop(known);
-        self.uses.startup.note(Need::Routes, source);
+        self.uses.startup.mark_ready(Dependency::Routes, source);
         self.uses.metrics.count(Counted::Changes, "configuration");
         slog::info!(logger, "configuration in force"; "version" => version,
             "before" => before.map(|t| t.version()), "offset" => offset, "source" => source,
--- a/crates/gateway/src/catalog/records.rs
+++ b/crates/gateway/src/catalog/records.rs
@@ -4,15 +4,15 @@
 use std::time::Instant;
 
 use notchwharf_proto::records;
-use notchwharf_routing::belief::Answered;
-use notchwharf_routing::belief::Contact;
-use notchwharf_routing::belief::Difference;
-use notchwharf_routing::belief::Evidence;
-use notchwharf_routing::belief::Page;
-use notchwharf_routing::belief::Position;
-use notchwharf_routing::belief::Record;
+use notchwharf_routing::discovery::Availability;
+use notchwharf_routing::discovery::Difference;
+use notchwharf_routing::discovery::Evidence;
+use notchwharf_routing::discovery::Page;
+use notchwharf_routing::discovery::Position;
+use notchwharf_routing::discovery::ReadInfo;
+use notchwharf_routing::discovery::Record;
 use notchwharf_routing::places::Spec;
-use notchwharf_startup::Need;
+use notchwharf_startup::Dependency;
 
 use super::Catalog;
 use crate::sync::lock;
@@ -45,13 +45,13 @@
     pub(crate) fn from_peer(message: &records::Reading, delay: Duration, now: Instant) -> Self {
         let at = |ago: Option<u64>| ago.and_then(|ago| now.checked_sub(ms(ago) + delay));
         let contact = |message: &records::Contact| {
-            Contact::from_peer(at(message.away_ms_ago), at(message.back_ms_ago))
+            Availability::from_peer(at(message.away_ms_ago), at(message.back_ms_ago))
         };
         Self {
             asked: at(message.age_ms),
             config_as_of: at(message.config_age_ms),
             evidence: Evidence {
-                readings: contact(&message.targets),
+                reads: contact(&message.targets),
                 calls: contact(&message.calls),
             },
         }
@@ -59,8 +59,8 @@
 
     /// Returns whether the store answers readings, according to the reader.
     pub(crate) fn is_served(&self) -> bool {
-        let readings = &self.evidence.readings;
-        readings.away_at().is_none() || readings.back_at().is_some()
+        let readings = &self.evidence.reads;
+        readings.outage_at().is_none() || readings.recovered_at().is_some()
     }
 }
 
@@ -71,7 +71,7 @@
         let is_read = u64::from(known.targets.end() > 0);
         Versions {
             config: known.config_version(),
-            targets: known.targets.changed_end().max(is_read),
+            targets: known.targets.changes_end().max(is_read),
         }
     }
 
@@ -138,14 +138,14 @@
         let known = lock(&self.known);
         let evidence = self.evidence(&known);
         let ago = |at: Option<Instant>| at.map(|at| millis(now.saturating_duration_since(at)));
-        let contact = |contact: &Contact| records::Contact {
-            away_ms_ago: ago(contact.away_at()),
-            back_ms_ago: ago(contact.back_at()),
+        let contact = |contact: &Availability| records::Contact {
+            away_ms_ago: ago(contact.outage_at()),
+            back_ms_ago: ago(contact.recovered_at()),
         };
         records::Reading {
-            age_ms: ago(known.targets.none_before()),
+            age_ms: ago(known.targets.complete_as_of()),
             config_age_ms: ago(known.config_as_of),
-            targets: contact(&evidence.readings),
+            targets: contact(&evidence.reads),
             calls: contact(&evidence.calls),
         }
     }
@@ -162,20 +162,22 @@
         if known.targets.end() > to {
             return false;
         }
-        let none_before = known.targets.none_before();
-        let answered = Answered {
-            asked: read.asked.unwrap_or(now),
-            at: now,
-            is_whole: read.asked.is_some(),
+        let none_before = known.targets.complete_as_of();
+        let answered = ReadInfo {
+            requested_at: read.asked.unwrap_or(now),
+            answered_at: now,
+            is_at_end: read.asked.is_some(),
         };
         let difference = difference(message);
-        let changes = known.targets.apply(&answered, &read.evidence, difference);
+        let changes = known
+            .targets
+            .apply_difference(&answered, &read.evidence, difference);
         if known.targets.end() == to {
             known.peer_evidence = Some(read.evidence);
         }
         let is_any = self.put_to_use(none_before, &read.evidence, changes, now);
         if is_any || known.targets.end() > 0 {
-            self.uses.startup.note(Need::Targets, "peer");
+            self.uses.startup.mark_ready(Dependency::Targets, "peer");
         }
         is_any
     }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -10,7 +10,7 @@
 use notchwharf_routing::budget::Budget;
 use notchwharf_routing::places;
 use notchwharf_routing::places::Places;
-use notchwharf_startup::Need;
+use notchwharf_startup::Dependency;
 use notchwharf_startup::Startup;
 use notchwharf_telemetry::gauge::Gauge;
 use notchwharf_timer::Timer;
@@ -193,7 +193,9 @@
     /// Returns the routes in force. A host that has just started has them within some
     /// milliseconds; a request waits for them a moment, at most until its deadline.
     pub async fn routes_by(&self, deadline: Instant) -> Option<Arc<Table>> {
-        self.startup.wait_for(Need::Routes, deadline).await;
+        self.startup
+            .wait_ready_until(Dependency::Routes, deadline)
+            .await;
         self.table()
     }
 
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -3,7 +3,7 @@
 use notchwharf_routing::fingerprint;
 use notchwharf_routing::fingerprint::Content;
 use notchwharf_routing::fingerprint::Fingerprint;
-pub(crate) use notchwharf_routing::fingerprint::text;
+pub(crate) use notchwharf_routing::fingerprint::to_hex;
 
 use crate::ports::Decode;
 use crate::ports::Forward;
--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -21,14 +21,14 @@
 use notchwharf_ledger::jobs::Reason;
 use notchwharf_ledger::rendezvous::hash;
 use notchwharf_listen::Phase;
-use notchwharf_quarantine::gate::Trial;
+use notchwharf_quarantine::gate::RunGuard;
 use notchwharf_routing::items::queue;
 use notchwharf_routing::items::turn::Line;
 use notchwharf_routing::items::turn::Waiting;
 use notchwharf_routing::items::usual::Kinds;
 use notchwharf_routing::places::TargetId;
 use notchwharf_routing::places::Want;
-use notchwharf_startup::Need;
+use notchwharf_startup::Dependency;
 use notchwharf_telemetry::gauge::Gauge;
 use tokio::sync::Notify;
 
@@ -167,7 +167,7 @@
             }
         }
         // An item that is blamed may be the first that a host reads when it starts.
-        if ctx.startup.has(Need::Suspects) {
+        if ctx.startup.is_ready(Dependency::Suspects) {
             start_items(&ctx).await;
         }
     }
@@ -286,7 +286,7 @@
     route: Arc<Route>,
     target: TargetId,
     /// Its run, if it is a suspect.
-    trial: Option<Trial>,
+    trial: Option<RunGuard>,
 }
 
 fn next(ctx: &Context) -> Option<Next> {
--- a/crates/gateway/src/items/run.rs
+++ b/crates/gateway/src/items/run.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use notchwharf_config::routes::Route;
 use notchwharf_ledger::jobs::Reason;
-use notchwharf_quarantine::gate::Trial;
+use notchwharf_quarantine::gate::RunGuard;
 use notchwharf_routing::places::TargetId;
 
 use super::registry::Ticket;
@@ -60,7 +60,7 @@
     route: Arc<Route>,
     target: TargetId,
     ticket: Ticket,
-    trial: Option<Trial>,
+    trial: Option<RunGuard>,
 ) {
     let under_way = ctx.items.runs.enter();
     let started = Instant::now();
@@ -82,7 +82,7 @@
         "id" => item.forward.id.as_str(), "target" => target.as_str(), "ended" => label(ended),
         "from_event" => had, "last_event" => item.last_event, "failures" => item.failures,
         "took_ms" => millis(took),
-        "fingerprint" => fingerprint.map(fingerprint::text));
+        "fingerprint" => fingerprint.map(fingerprint::to_hex));
     note(&ctx, &target, ended);
     let events = item.events().saturating_sub(count(had));
     lock(&ctx.items.usual).of_mut(&item.route).ran(events, took);
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -32,7 +32,7 @@
 use notchwharf_quota::WorkspaceKey;
 use notchwharf_quota::host_key;
 use notchwharf_quota::workspace_key;
-use notchwharf_startup::Need;
+use notchwharf_startup::Dependency;
 use rand::RngExt as _;
 use tokio::sync::oneshot;
 
@@ -191,10 +191,10 @@
         let asked = lock(&ctx.limits.node).ask(key, patience, Instant::now());
         let (number, taken) = answer(ctx, asked).await;
         if taken != Taken::CannotTell {
-            ctx.startup.note(Need::Limits, "holder");
+            ctx.startup.mark_ready(Dependency::Limits, "holder");
         }
         let is_late = begun.elapsed() + AGAIN > patience;
-        let is_settled = ctx.startup.age() >= STARTING;
+        let is_settled = ctx.startup.uptime() >= STARTING;
         if taken != Taken::CannotTell || is_late || is_settled {
             return (number, taken);
         }
@@ -292,7 +292,7 @@
     let mut is_holding = false;
     let mut is_starting = true;
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
-        if is_starting && ctx.startup.age() >= STARTING {
+        if is_starting && ctx.startup.uptime() >= STARTING {
             is_starting = false;
             ticks = ctx.timer.subscribe(TICK);
         }
--- a/crates/gateway/src/online/sending.rs
+++ b/crates/gateway/src/online/sending.rs
@@ -8,12 +8,12 @@
 use hyper::StatusCode;
 use notchwharf_config::routes::Route;
 use notchwharf_ledger::rendezvous::hash;
-use notchwharf_quarantine::gate::KeptBack;
-use notchwharf_quarantine::gate::Trial;
+use notchwharf_quarantine::gate::Blocked;
+use notchwharf_quarantine::gate::RunGuard;
 use notchwharf_routing::fingerprint::Fingerprint;
 use notchwharf_routing::places::Choice;
 use notchwharf_routing::places::TargetId;
-use notchwharf_startup::Need;
+use notchwharf_startup::Dependency;
 
 use super::Answer;
 use super::Request;
@@ -69,7 +69,7 @@
     /// When the answer's head came.
     pub(super) begun: Instant,
     /// Its run, if it is a suspect.
-    pub(super) trial: Option<Trial>,
+    pub(super) trial: Option<RunGuard>,
 }
 
 impl Sending {
@@ -121,7 +121,7 @@
         let mut offers = 0;
         self.ctx
             .startup
-            .wait_for(Need::Targets, self.deadline)
+            .wait_ready_until(Dependency::Targets, self.deadline)
             .await;
         loop {
             let trial = self.admit().await?;
@@ -178,14 +178,14 @@
         if gate.is_empty() {
             return 0;
         }
-        gate.crashes(self.fingerprint())
+        gate.crash_count(self.fingerprint())
     }
 
     /// Waits until the request may be sent to a target, as far as targets crash under
     /// it. That is asked before each offer: news may come at any time.
-    async fn admit(&mut self) -> Result<Option<Trial>, Failure> {
+    async fn admit(&mut self) -> Result<Option<RunGuard>, Failure> {
         // A request that is blamed may be the first that comes to a host that starts.
-        let is_known = self.ctx.startup.until(Need::Suspects);
+        let is_known = self.ctx.startup.wait_ready(Dependency::Suspects);
         let until = self.deadline - LEFT_MIN;
         // Late, there is no time left either.
         let _ = tokio::time::timeout_at(until.into(), is_known).await;
@@ -196,15 +196,15 @@
         let fingerprint = self.fingerprint();
         let admitted = gate.admit(fingerprint, until);
         admitted.await.map_err(|kept_back| match kept_back {
-            KeptBack::Refused {
+            Blocked::Refused {
                 crashes,
                 retry_after,
             } if self.runs == 0 => Failure::Crashing {
                 crashes,
                 retry_after,
             },
-            KeptBack::Refused { .. } => self.given_up("targets crash under it"),
-            KeptBack::Waiting => self.given_up("others like it run"),
+            Blocked::Refused { .. } => self.given_up("targets crash under it"),
+            Blocked::Waiting => self.given_up("others like it run"),
         })
     }
 
--- a/crates/gateway/src/online/trace.rs
+++ b/crates/gateway/src/online/trace.rs
@@ -115,7 +115,7 @@
         slog::info!(told.ctx.logger, "offer failed"; "id" => told.id.as_str(),
             "target" => target.as_str(), "reason" => err.reason(),
             "may_have_run" => err.may_have_run(), "offers" => told.offers,
-            "fingerprint" => fingerprint.map(fingerprint::text),
+            "fingerprint" => fingerprint.map(fingerprint::to_hex),
             "after_ms" => millis(told.arrived.elapsed()));
     }
 
@@ -133,7 +133,7 @@
         slog::info!(told.ctx.logger, "stream broke off"; "id" => told.id.as_str(),
             "target" => target.as_str(), "reason" => reason, "last_event" => last,
             "resumable" => told.route.resumable, "after_ms" => millis(told.arrived.elapsed()),
-            "fingerprint" => fingerprint::text(fingerprint));
+            "fingerprint" => fingerprint::to_hex(fingerprint));
     }
 
     /// Returns when the request arrived; now if all was told.
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -83,7 +83,7 @@
 
     /// Returns the cells whose hosts are told what this one runs.
     pub(super) fn told(&self, now: Instant) -> Cells {
-        lock(&self.division).told(now)
+        lock(&self.division).broadcast_cells(now)
     }
 
     /// Returns whether nothing was heard of a cell for so long that all its hosts
@@ -104,7 +104,7 @@
 
 /// Returns the name of this host's cell.
 fn own_cell(ctx: &Context, cells: Cells) -> String {
-    cells.of((ctx.host(), &ctx.settings.host.data_centre))
+    cells.name_of((ctx.host(), &ctx.settings.host.data_centre))
 }
 
 /// Divides the fleet anew if its hosts call for it.
@@ -123,7 +123,7 @@
     let own_cell = own_cell(ctx, cells);
     let listed = known.iter().filter_map(|(host, peer)| {
         let data_centre = peer.data_centre.as_deref()?;
-        Some(cells.of((host, data_centre)))
+        Some(cells.name_of((host, data_centre)))
     });
     let others: Vec<String> = listed.filter(|cell| *cell != own_cell).collect();
     drop(known);
@@ -170,7 +170,7 @@
 pub(super) fn is_together(ctx: &Context, cells: Cells, host: &str, peer: &Peer) -> bool {
     let own = (ctx.host(), ctx.settings.host.data_centre.as_str());
     let data_centre = peer.data_centre.as_deref().unwrap_or_default();
-    cells.are_together(own, (host, data_centre))
+    cells.are_in_same_cell(own, (host, data_centre))
 }
 
 /// Returns whether this host looks after the jobs of another that may be gone: one
@@ -188,7 +188,7 @@
             let data_centre = peer.data_centre.as_deref().unwrap_or_default();
             (
                 is_together(ctx, cells, host, peer),
-                cells.of((host, data_centre)),
+                cells.name_of((host, data_centre)),
             )
         })
     };
@@ -216,8 +216,8 @@
     let own = (ctx.host(), ctx.settings.host.data_centre.as_str());
     let from = (told.host.as_str(), told.data_centre.as_str());
     // One that divides the fleet differently for a moment may be of this cell.
-    if cells.is_divided() && !cells.are_together(own, from) {
-        let cell = cells.of(from);
+    if cells.is_divided() && !cells.are_in_same_cell(own, from) {
+        let cell = cells.name_of(from);
         let loads = told.loads.iter().map(status::load).collect();
         lock(&ctx.places).cell_runs(&cell, loads, now);
         lock(&ctx.peers.neighbours.heard).insert(cell, now);
--- a/crates/gateway/src/peers/receivers.rs
+++ b/crates/gateway/src/peers/receivers.rs
@@ -1,14 +1,14 @@
-//! Where a host sends what it tells, by the decisions of [`telling`].
+//! Where a host sends what it tells, by the decisions of [`dissemination`].
 
 use std::net::SocketAddr;
 use std::time::Instant;
 
 use notchwharf_routing::cells::Cells;
+use notchwharf_routing::dissemination;
+use notchwharf_routing::dissemination::Due;
+use notchwharf_routing::dissemination::Pace;
+use notchwharf_routing::dissemination::Sender;
 use notchwharf_routing::places::HostId;
-use notchwharf_routing::telling;
-use notchwharf_routing::telling::Due;
-use notchwharf_routing::telling::Own;
-use notchwharf_routing::telling::Pace;
 
 use super::Peer;
 use crate::context::Context;
@@ -29,14 +29,14 @@
     let own = own(ctx, ctx.peers.neighbours.told(now));
     let mut known = lock(&ctx.peers.known);
     let told = {
-        let peers: Vec<telling::Peer<'_>> = known.iter().map(peer).collect();
-        telling::receivers(&own, &peers, due, now, &mut rand::rng())
+        let peers: Vec<dissemination::Peer<'_>> = known.iter().map(peer).collect();
+        dissemination::recipients(&own, &peers, due, now, &mut rand::rng())
     };
     let mut all: Vec<&mut Peer> = known.values_mut().collect();
-    for place in &told.near {
+    for place in &told.local {
         all[*place].told = Some(now);
     }
-    let addrs = told.near.iter().chain(&told.far);
+    let addrs = told.local.iter().chain(&told.remote);
     Receivers {
         addrs: addrs.map(|place| all[*place].addr).collect(),
         pace: told.pace,
@@ -47,25 +47,25 @@
 pub(super) fn passed_on_to(ctx: &Context) -> Vec<SocketAddr> {
     let own = own(ctx, ctx.peers.neighbours.cells());
     let known = lock(&ctx.peers.known);
-    let peers: Vec<telling::Peer<'_>> = known.iter().map(peer).collect();
-    let told = telling::passed_on_to(&own, &peers);
+    let peers: Vec<dissemination::Peer<'_>> = known.iter().map(peer).collect();
+    let told = dissemination::relay_recipients(&own, &peers);
     let all: Vec<&Peer> = known.values().collect();
     told.into_iter().map(|place| all[place].addr).collect()
 }
 
-fn own(ctx: &Context, cells: Cells) -> Own<'_> {
-    Own {
+fn own(ctx: &Context, cells: Cells) -> Sender<'_> {
+    Sender {
         host: ctx.host(),
         data_centre: &ctx.settings.host.data_centre,
         cells,
     }
 }
 
-fn peer<'a>((host, peer): (&'a HostId, &'a Peer)) -> telling::Peer<'a> {
-    telling::Peer {
+fn peer<'a>((host, peer): (&'a HostId, &'a Peer)) -> dissemination::Peer<'a> {
+    dissemination::Peer {
         host,
         data_centre: peer.data_centre.as_deref(),
         is_alive: peer.is_alive,
-        told: peer.told,
+        last_sent: peer.told,
     }
 }
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -1,9 +1,9 @@
 //! News of hosts in other data centres, passed on inside one's own.
 //!
-//! Who is told and who passes on is decided in [`telling`]; here it is noted and
+//! Who is told and who passes on is decided in [`dissemination`]; here it is noted and
 //! sent.
 //!
-//! [`telling`]: notchwharf_routing::telling
+//! [`dissemination`]: notchwharf_routing::dissemination
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 use notchwharf_proto::news;
 use notchwharf_proto::news::News;
 use notchwharf_proto::news::Status;
+use notchwharf_routing::dissemination::RELAY_INTERVAL;
 use notchwharf_routing::places::HostId;
-use notchwharf_routing::telling::PASSING_GAP;
 use tokio::net::UdpSocket;
 
 use super::Peer;
@@ -54,7 +54,7 @@
 
 /// Passes news on inside this host's data centre.
 pub(super) async fn run(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(PASSING_GAP);
+    let mut ticks = ctx.timer.subscribe(RELAY_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         let heard = ctx.peers.relay.take();
         if heard.is_empty() {
--- a/crates/gateway/src/peers/rpc.rs
+++ b/crates/gateway/src/peers/rpc.rs
@@ -20,7 +20,7 @@
 use hyper_util::rt::TokioIo;
 use notchwharf_proto::records::ChangesRequest;
 use notchwharf_proto::records::ChangesResponse;
-use notchwharf_routing::belief;
+use notchwharf_routing::discovery;
 use notchwharf_telemetry::gauge::Gauge;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
@@ -146,7 +146,7 @@
         return None;
     };
     *lock(under_way) = Some(ctx.peers.loading.begin_response()?);
-    let targets = belief::Position {
+    let targets = discovery::Position {
         from: request.targets_from,
         after: request.targets_after,
     };
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -12,12 +12,12 @@
 use notchwharf_proto::news::Cut;
 use notchwharf_proto::news::News;
 use notchwharf_proto::news::Status;
+use notchwharf_routing::dissemination::Due;
+use notchwharf_routing::dissemination::Pace;
+use notchwharf_routing::dissemination::Schedule;
 use notchwharf_routing::items::turn::Waiting;
 use notchwharf_routing::places::Load;
 use notchwharf_routing::places::TargetKey;
-use notchwharf_routing::telling::Due;
-use notchwharf_routing::telling::Pace;
-use notchwharf_routing::telling::Schedule;
 use tokio::net::UdpSocket;
 
 use super::Peer;
@@ -96,7 +96,7 @@
             tell(&ctx, number, due, socket)
         });
         if let Some(pace) = pace {
-            schedule.keep_pace(pace);
+            schedule.set_pace(pace);
         }
         tokio::time::sleep(gap).await;
     }
@@ -123,7 +123,7 @@
 /// than it last told them. Those whose places are shared by an order know of no others'
 /// requests there but by this: passed on, the news comes too late.
 fn changed_elsewhere(ctx: &Context, due: Due) -> Vec<SocketAddr> {
-    if !due.near || !ctx.waiting.is_on() {
+    if !due.local || !ctx.waiting.is_on() {
         return Vec::new();
     }
     let now = lock(&ctx.places).own_elsewhere(&ctx.settings.host.data_centre);
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -17,14 +17,14 @@
 use notchwharf_listen::Phase;
 use notchwharf_proto::news;
 use notchwharf_proto::news::News;
-use notchwharf_quarantine::news::RETELL_GAP;
-use notchwharf_quarantine::news::RETOLD_HOSTS;
-use notchwharf_quarantine::news::decode;
-use notchwharf_quarantine::news::encode;
-use notchwharf_quarantine::news::tell_changes;
+use notchwharf_quarantine::reports::REPORT_FANOUT;
+use notchwharf_quarantine::reports::REPORT_INTERVAL;
+use notchwharf_quarantine::reports::decode;
+use notchwharf_quarantine::reports::encode;
+use notchwharf_quarantine::reports::send_changes;
 use notchwharf_routing::places::HostId;
-use notchwharf_routing::quarantine::Told;
-use notchwharf_startup::Need;
+use notchwharf_routing::quarantine::Report;
+use notchwharf_startup::Dependency;
 use rand::seq::IteratorRandom as _;
 
 use super::loading;
@@ -46,10 +46,10 @@
 /// Tells all hosts what changes, until the host stops.
 pub(crate) async fn tell(ctx: Arc<Context>) {
     let gate = Arc::clone(&ctx.suspects.gate);
-    tell_changes(gate, move |told| tell_all(&ctx, told)).await;
+    send_changes(gate, move |told| tell_all(&ctx, told)).await;
 }
 
-fn tell_all(ctx: &Context, told: &Told) {
+fn tell_all(ctx: &Context, told: &Report) {
     let addrs: Vec<SocketAddr> = {
         let known = lock(&ctx.peers.known);
         known.values().map(|peer| peer.addr).collect()
@@ -59,29 +59,29 @@
 
 /// Tells a host that was not there before what is worth it.
 pub(super) fn tell_newcomer(ctx: &Context, addr: SocketAddr) {
-    send(ctx, &ctx.suspects.gate.retold(), &[addr]);
+    send(ctx, &ctx.suspects.gate.periodic_reports(), &[addr]);
 }
 
 /// Tells others again until the host stops.
 pub(super) async fn retell(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(RETELL_GAP);
+    let mut ticks = ctx.timer.subscribe(REPORT_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         let gate = &ctx.suspects.gate;
         if gate.is_empty() {
             continue;
         }
-        let told = gate.retold();
+        let told = gate.periodic_reports();
         ctx.metrics.set("suspects", gate.len());
         let addrs: Vec<SocketAddr> = {
             let known = lock(&ctx.peers.known);
             let addrs = known.values().map(|peer| peer.addr);
-            addrs.sample(&mut rand::rng(), RETOLD_HOSTS)
+            addrs.sample(&mut rand::rng(), REPORT_FANOUT)
         };
         send(&ctx, &told, &addrs);
     }
 }
 
-fn send(ctx: &Context, told: &[Told], addrs: &[SocketAddr]) {
+fn send(ctx: &Context, told: &[Report], addrs: &[SocketAddr]) {
     let Some(socket) = ctx.peers.socket.get() else {
         return;
     };
@@ -99,10 +99,10 @@
 /// Returns what is known here, for a host that starts; nothing if this one has just
 /// started itself.
 pub(super) fn handed_over(ctx: &Context) -> Option<Vec<u8>> {
-    if !ctx.startup.has(Need::Suspects) {
+    if !ctx.startup.is_ready(Dependency::Suspects) {
         return None;
     }
-    let told = ctx.suspects.gate.retold();
+    let told = ctx.suspects.gate.periodic_reports();
     let suspects: Vec<news::Suspect> = encode(&told).into_iter().flatten().collect();
     Some(postcard::to_stdvec(&suspects).expect("Suspects are representable."))
 }
@@ -110,11 +110,11 @@
 /// Asks peers until it is known, from them or from the store, what was blamed before this
 /// host started.
 pub(crate) async fn catch_up(ctx: Arc<Context>) {
-    while !ctx.startup.has(Need::Suspects) && ctx.phase() < Phase::Leaving {
-        if ctx.startup.age() > CATCH_UP_MAX {
+    while !ctx.startup.is_ready(Dependency::Suspects) && ctx.phase() < Phase::Leaving {
+        if ctx.startup.uptime() > CATCH_UP_MAX {
             // Nobody is there to tell: holding all requests back would be worse.
             slog::warn!(ctx.logger, "nobody could tell what was blamed");
-            return ctx.startup.note(Need::Suspects, "nobody");
+            return ctx.startup.mark_ready(Dependency::Suspects, "nobody");
         }
         // One without routes has just started itself.
         if let Some((host, addr)) = loading::peer(&ctx, |p| p.status.config > 0) {
@@ -137,7 +137,7 @@
             for suspect in &suspects {
                 quarantine::take(ctx, host, &decode(suspect));
             }
-            ctx.startup.note(Need::Suspects, host);
+            ctx.startup.mark_ready(Dependency::Suspects, host);
         }
         Err(err) => slog::error!(ctx.logger, "unreadable answer of a peer";
             "addr" => addr.to_string(), "error" => err.to_string()),
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -20,13 +20,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use notchwharf_quarantine::gate::Blocked;
 use notchwharf_quarantine::gate::Gate;
-use notchwharf_quarantine::gate::KeptBack;
-use notchwharf_quarantine::gate::Trial;
+use notchwharf_quarantine::gate::RunGuard;
 use notchwharf_routing::fingerprint::Fingerprint;
 use notchwharf_routing::places::HostId;
 use notchwharf_routing::quarantine::Change;
-use notchwharf_routing::quarantine::Told;
+use notchwharf_routing::quarantine::Report;
 
 use self::look::Looks;
 pub(crate) use self::look::Run;
@@ -69,12 +69,12 @@
 /// # Errors
 ///
 /// Returns why it must not.
-pub(crate) fn try_admit(ctx: &Context, item: &Item) -> Result<Option<Trial>, KeptBack> {
+pub(crate) fn try_admit(ctx: &Context, item: &Item) -> Result<Option<RunGuard>, Blocked> {
     let gate = &ctx.suspects.gate;
     if gate.is_empty() {
         return Ok(None);
     }
-    gate.try_admit_owed(item.fingerprint(&ctx.decode))
+    gate.try_admit_item(item.fingerprint(&ctx.decode))
 }
 
 /// Notes that a request has ended well, so that it is no suspect any more. What names
@@ -85,7 +85,7 @@
         return;
     }
     let fingerprint = fingerprint();
-    if let Some(crashes) = gate.ended_well(fingerprint) {
+    if let Some(crashes) = gate.record_success(fingerprint) {
         note_cleared(ctx, fingerprint, crashes);
     }
 }
@@ -98,26 +98,26 @@
         return;
     }
     let fingerprint = item.fingerprint(&ctx.decode);
-    if let Some(crashes) = gate.outlasted(fingerprint, ran) {
+    if let Some(crashes) = gate.record_survival(fingerprint, ran) {
         note_cleared(ctx, fingerprint, crashes);
     }
 }
 
 fn note_cleared(ctx: &Arc<Context>, fingerprint: Fingerprint, crashes: u32) {
     slog::info!(ctx.logger, "request cleared"; "crashes" => crashes,
-        "fingerprint" => fingerprint::text(fingerprint));
+        "fingerprint" => fingerprint::to_hex(fingerprint));
     ctx.metrics.count(Counted::Changes, "request cleared");
     saved::drop_cleared(ctx, fingerprint, crashes);
 }
 
 /// Takes in what a host tells of a suspect.
-pub(crate) fn take(ctx: &Arc<Context>, host: &HostId, told: &Told) {
-    let Change::Blamed { crashes } = ctx.suspects.gate.take(host, told) else {
+pub(crate) fn take(ctx: &Arc<Context>, host: &HostId, told: &Report) {
+    let Change::Blamed { crashes } = ctx.suspects.gate.merge_report(host, told) else {
         return;
     };
     note_blamed(ctx, told.fingerprint, crashes, host);
     // The host that saw the last crash may have died since.
-    let task = fingerprint::text(told.fingerprint);
+    let task = fingerprint::to_hex(told.fingerprint);
     if peers::is_for_cell(ctx, &task) && ctx.peers.is_successor(ctx.host(), &task) {
         saved::save(ctx, told.fingerprint);
     }
@@ -125,14 +125,14 @@
 
 /// Tells operators on which evidence a request is blamed.
 fn note_blamed(ctx: &Context, fingerprint: Fingerprint, crashes: u32, by: &str) {
-    let told = ctx.suspects.gate.told(fingerprint);
+    let told = ctx.suspects.gate.report(fingerprint);
     let ran_ms: Vec<String> = told
         .iter()
         .flat_map(|told| &told.crashes)
-        .map(|crash| millis(crash.ran).to_string())
+        .map(|crash| millis(crash.run_time).to_string())
         .collect();
     slog::warn!(ctx.logger, "request blamed for crashes"; "crashes" => crashes,
-        "fingerprint" => fingerprint::text(fingerprint), "told_by" => by,
+        "fingerprint" => fingerprint::to_hex(fingerprint), "told_by" => by,
         "ran_ms" => ran_ms.join(","));
     ctx.metrics.count(Counted::Changes, "request blamed");
 }
--- a/crates/gateway/src/quarantine/look.rs
+++ b/crates/gateway/src/quarantine/look.rs
@@ -11,7 +11,7 @@
 use notchwharf_routing::places::TargetId;
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Crash;
-use notchwharf_routing::quarantine::LifeId;
+use notchwharf_routing::quarantine::IncarnationId;
 use tokio::sync::oneshot;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -107,7 +107,7 @@
     }
 }
 
-fn note_crash(ctx: &Arc<Context>, broken: &Broken, life: LifeId) {
+fn note_crash(ctx: &Arc<Context>, broken: &Broken, life: IncarnationId) {
     let Run {
         fingerprint,
         ran,
@@ -118,15 +118,17 @@
     let crash = Crash {
         // The list of targets may be old here: one that answered after the life that it
         // names had ended has started anew.
-        life: answered_from.map_or(life, |from| gate.life_met(fingerprint, life, from)),
-        ran,
-        at: broken.at,
+        incarnation: answered_from.map_or(life, |from| {
+            gate.incarnation_of_run(fingerprint, life, from)
+        }),
+        run_time: ran,
+        detected_at: broken.at,
     };
-    let change = ctx.suspects.gate.crashed(fingerprint, crash);
+    let change = ctx.suspects.gate.record_crash(fingerprint, crash);
     slog::info!(ctx.logger, "target crashed under a request"; "id" => broken.run.id.as_str(),
         "target" => broken.run.target.as_str(), "ran_ms" => millis(ran),
-        "crashes" => ctx.suspects.gate.crashes(fingerprint),
-        "fingerprint" => fingerprint::text(fingerprint));
+        "crashes" => ctx.suspects.gate.crash_count(fingerprint),
+        "fingerprint" => fingerprint::to_hex(fingerprint));
     if let Change::Blamed { crashes } = change {
         note_blamed(ctx, fingerprint, crashes, ctx.host());
         saved::save(ctx, fingerprint);
@@ -135,7 +137,7 @@
 
 /// Returns what names the present life of a target, to all hosts alike: a target may
 /// start again under its name.
-fn life_of(ctx: &Context, target: &str) -> LifeId {
+fn life_of(ctx: &Context, target: &str) -> IncarnationId {
     let places = lock(&ctx.places);
     let born = places.spec(target).and_then(|spec| spec.born_unix_ms);
     xxh3_64(format!("{target}/{}", born.unwrap_or_default()).as_bytes())
--- a/crates/gateway/src/quarantine/saved.rs
+++ b/crates/gateway/src/quarantine/saved.rs
@@ -12,9 +12,9 @@
 use notchwharf_ledger::jobs::HostId;
 use notchwharf_listen::Phase;
 use notchwharf_routing::fingerprint::Fingerprint;
-use notchwharf_routing::quarantine::Told;
-use notchwharf_routing::quarantine::ToldCrash;
-use notchwharf_startup::Need;
+use notchwharf_routing::quarantine::CrashReport;
+use notchwharf_routing::quarantine::Report;
+use notchwharf_startup::Dependency;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -57,13 +57,13 @@
 
 /// Writes a request down, on its own: until that is done if the store is away.
 pub(super) fn save(ctx: &Arc<Context>, fingerprint: Fingerprint) {
-    let Some(told) = ctx.suspects.gate.told(fingerprint) else {
+    let Some(told) = ctx.suspects.gate.report(fingerprint) else {
         return;
     };
     let now_unix_ms = unix_ms();
     let crashes = told.crashes.iter().map(|crash| Crash {
-        life: crash.life,
-        ran_ms: millis(crash.ran),
+        life: crash.incarnation,
+        ran_ms: millis(crash.run_time),
         at_unix_ms: now_unix_ms.saturating_sub(millis(crash.age)),
     });
     let saved = Saved {
@@ -72,7 +72,7 @@
     };
     let value = postcard::to_stdvec(&saved).expect("Records are representable.");
     let entry = Entry {
-        key: fingerprint::text(fingerprint),
+        key: fingerprint::to_hex(fingerprint),
         value: Some(value.into()),
     };
     tokio::spawn(write(Arc::clone(ctx), entry));
@@ -81,7 +81,7 @@
 /// Drops the record of a request that was cleared, if it may have one.
 pub(super) fn drop_cleared(ctx: &Arc<Context>, fingerprint: Fingerprint, crashes: u32) {
     if crashes >= CRASHES_SAVED {
-        let entry = Entry::tombstone(fingerprint::text(fingerprint));
+        let entry = Entry::tombstone(fingerprint::to_hex(fingerprint));
         tokio::spawn(write(Arc::clone(ctx), entry));
     }
 }
@@ -108,7 +108,7 @@
                 for record in listing.records {
                     take(&ctx, &record.entry);
                 }
-                ctx.startup.note(Need::Suspects, STORE);
+                ctx.startup.mark_ready(Dependency::Suspects, STORE);
                 return;
             }
             Err(_) => tokio::time::sleep(PAUSE).await,
@@ -125,16 +125,16 @@
         return;
     };
     let now_unix_ms = unix_ms();
-    let crashes = saved.crashes.iter().map(|crash| ToldCrash {
-        life: crash.life,
-        ran: ms(crash.ran_ms),
+    let crashes = saved.crashes.iter().map(|crash| CrashReport {
+        incarnation: crash.life,
+        run_time: ms(crash.ran_ms),
         age: ms(now_unix_ms.saturating_sub(crash.at_unix_ms)),
     });
-    let told = Told {
+    let told = Report {
         fingerprint,
         clearances: saved.clearances,
         crashes: crashes.collect(),
-        runs_since: None,
+        running_for: None,
     };
     super::take(ctx, &HostId::from(STORE), &told);
 }
--- a/crates/gateway/src/spread/announcing.rs
+++ b/crates/gateway/src/spread/announcing.rs
@@ -5,7 +5,7 @@
 
 use notchwharf_proto::records;
 use notchwharf_proto::records::Announcement;
-use notchwharf_routing::belief::Position;
+use notchwharf_routing::discovery::Position;
 use rand::seq::SliceRandom as _;
 
 use super::Distributor;
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_routing::belief::Contact;
-use notchwharf_routing::belief::Evidence;
-use notchwharf_routing::belief::Failure;
+use notchwharf_routing::discovery::Availability;
+use notchwharf_routing::discovery::Evidence;
+use notchwharf_routing::discovery::Failure;
 
 use crate::metrics::Counted;
 use crate::metrics::Metrics;
@@ -44,9 +44,9 @@
     lost_since: Option<Instant>,
     regained_at: Option<Instant>,
     /// How all calls have gone.
-    calls: Contact,
+    calls: Availability,
     /// How those have that read the entries of targets.
-    readings: Contact,
+    readings: Availability,
 }
 
 /// The newest record of each key.
@@ -93,7 +93,7 @@
     pub(crate) fn evidence(&self) -> Evidence {
         let health = lock(&self.health);
         Evidence {
-            readings: health.readings,
+            reads: health.readings,
             calls: health.calls,
         }
     }
@@ -178,9 +178,9 @@
     fn answered(&self, topic: Topic, now: Instant) {
         let mut health = lock(&self.health);
         health.failures = 0;
-        health.calls.answered(now);
+        health.calls.record_response(now);
         if topic == Topic::Targets {
-            health.readings.answered(now);
+            health.readings.record_response(now);
         }
         if let Some(since) = health.lost_since.take() {
             health.regained_at = Some(now);
@@ -191,11 +191,11 @@
 
     fn failed(&self, topic: Topic, begun: Instant, now: Instant, failure: Failure) {
         let mut health = lock(&self.health);
-        let is_late = health.calls.is_late(begun, failure);
-        let last_answer = health.calls.last_answer();
-        health.calls.failed(begun, now, failure);
+        let is_late = health.calls.is_stale(begun, failure);
+        let last_answer = health.calls.last_response();
+        health.calls.record_failure(begun, now, failure);
         if topic == Topic::Targets {
-            health.readings.failed(begun, now, failure);
+            health.readings.record_failure(begun, now, failure);
         }
         if is_late {
             return;
--- a/crates/quarantine/src/gate.rs
+++ b/crates/quarantine/src/gate.rs
@@ -15,10 +15,10 @@
 use notchwharf_routing::places::HostId;
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Crash;
-use notchwharf_routing::quarantine::LifeId;
+use notchwharf_routing::quarantine::Decision;
+use notchwharf_routing::quarantine::IncarnationId;
 use notchwharf_routing::quarantine::Quarantine;
-use notchwharf_routing::quarantine::Told;
-use notchwharf_routing::quarantine::Verdict;
+use notchwharf_routing::quarantine::Report;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
@@ -37,7 +37,7 @@
 
 /// Why a request must not be sent to a target now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeptBack {
+pub enum Blocked {
     /// Others with the same content run.
     Waiting,
     /// Targets crash under it.
@@ -63,14 +63,14 @@
 
 /// The run of a suspect; the next one may begin when it is dropped.
 #[derive(Debug)]
-pub struct Trial {
+pub struct RunGuard {
     gate: Arc<Gate>,
     fingerprint: Fingerprint,
 }
 
-impl Drop for Trial {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.gate.table().ended(self.fingerprint, &self.gate.host);
+        self.gate.table().end_run(self.fingerprint, &self.gate.host);
         self.gate.tell(self.fingerprint, false);
         self.gate.changed.send_replace(());
     }
@@ -107,14 +107,20 @@
     }
 
     /// Returns how many crashes under a request count.
-    pub fn crashes(&self, fingerprint: Fingerprint) -> u32 {
-        self.table().crashes(fingerprint)
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> u32 {
+        self.table().crash_count(fingerprint)
     }
 
     /// Returns the life of a target that a request met which was sent at a moment and
     /// answered.
-    pub fn life_met(&self, fingerprint: Fingerprint, life: LifeId, sent: Instant) -> LifeId {
-        self.table().life_met(fingerprint, life, sent)
+    pub fn incarnation_of_run(
+        &self,
+        fingerprint: Fingerprint,
+        incarnation: IncarnationId,
+        sent: Instant,
+    ) -> IncarnationId {
+        self.table()
+            .incarnation_of_run(fingerprint, incarnation, sent)
     }
 
     /// Decides whether a request may be sent to a target now. A suspect's run lasts
@@ -126,7 +132,7 @@
     pub fn try_admit(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
-    ) -> Result<Option<Trial>, KeptBack> {
+    ) -> Result<Option<RunGuard>, Blocked> {
         let verdict = self.table().admit(fingerprint, &self.host, Instant::now());
         self.admitted(fingerprint, verdict)
     }
@@ -136,33 +142,33 @@
     /// # Errors
     ///
     /// Returns why it must not be sent.
-    pub fn try_admit_owed(
+    pub fn try_admit_item(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
-    ) -> Result<Option<Trial>, KeptBack> {
+    ) -> Result<Option<RunGuard>, Blocked> {
         let verdict = self
             .table()
-            .admit_owed(fingerprint, &self.host, Instant::now());
+            .admit_item(fingerprint, &self.host, Instant::now());
         self.admitted(fingerprint, verdict)
     }
 
     fn admitted(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
-        verdict: Verdict,
-    ) -> Result<Option<Trial>, KeptBack> {
+        verdict: Decision,
+    ) -> Result<Option<RunGuard>, Blocked> {
         match verdict {
-            Verdict::Free if self.crashes(fingerprint) == 0 => Ok(None),
-            Verdict::Free => {
+            Decision::Admit if self.crash_count(fingerprint) == 0 => Ok(None),
+            Decision::Admit => {
                 self.tell(fingerprint, false);
                 let gate = Arc::clone(self);
-                Ok(Some(Trial { gate, fingerprint }))
+                Ok(Some(RunGuard { gate, fingerprint }))
             }
-            Verdict::Wait => Err(KeptBack::Waiting),
-            Verdict::Refused {
+            Decision::Wait => Err(Blocked::Waiting),
+            Decision::Refuse {
                 crashes,
                 retry_after,
-            } => Err(KeptBack::Refused {
+            } => Err(Blocked::Refused {
                 crashes,
                 retry_after,
             }),
@@ -178,11 +184,11 @@
         self: &Arc<Self>,
         fingerprint: Fingerprint,
         until: Instant,
-    ) -> Result<Option<Trial>, KeptBack> {
+    ) -> Result<Option<RunGuard>, Blocked> {
         let mut changed = self.changed.subscribe();
         loop {
             let admitted = self.try_admit(fingerprint);
-            if !matches!(admitted, Err(KeptBack::Waiting)) || Instant::now() >= until {
+            if !matches!(admitted, Err(Blocked::Waiting)) || Instant::now() >= until {
                 return admitted;
             }
             let gap = until.min(Instant::now() + LOOK_GAP);
@@ -192,8 +198,8 @@
     }
 
     /// Notes that a target crashed under a request.
-    pub fn crashed(&self, fingerprint: Fingerprint, crash: Crash) -> Change {
-        let change = self.table().crashed(fingerprint, crash);
+    pub fn record_crash(&self, fingerprint: Fingerprint, crash: Crash) -> Change {
+        let change = self.table().record_crash(fingerprint, crash);
         if change != Change::None {
             self.tell(fingerprint, true);
         }
@@ -202,17 +208,17 @@
 
     /// Notes that a request ended well, so that it is no suspect any more; returns how
     /// many crashes do not count any more, if it was one.
-    pub fn ended_well(&self, fingerprint: Fingerprint) -> Option<u32> {
+    pub fn record_success(&self, fingerprint: Fingerprint) -> Option<u32> {
         self.cleared(fingerprint, |table| {
-            table.ended_well(fingerprint, Instant::now())
+            table.record_success(fingerprint, Instant::now())
         })
     }
 
     /// Notes that a run went on for a time and was ended here, the target being well;
     /// returns how many crashes do not count any more, if that clears a suspect.
-    pub fn outlasted(&self, fingerprint: Fingerprint, ran: Duration) -> Option<u32> {
+    pub fn record_survival(&self, fingerprint: Fingerprint, run_time: Duration) -> Option<u32> {
         self.cleared(fingerprint, |table| {
-            table.outlasted(fingerprint, ran, Instant::now())
+            table.record_survival(fingerprint, run_time, Instant::now())
         })
     }
 
@@ -223,7 +229,7 @@
     ) -> Option<u32> {
         let crashes = {
             let mut table = self.table();
-            let crashes = table.crashes(fingerprint);
+            let crashes = table.crash_count(fingerprint);
             clear(&mut table).then_some(crashes)?
         };
         self.tell(fingerprint, false);
@@ -232,8 +238,8 @@
     }
 
     /// Takes in what another host tells of a suspect.
-    pub fn take(&self, host: &HostId, told: &Told) -> Change {
-        let change = self.table().take(host, told, Instant::now());
+    pub fn merge_report(&self, host: &HostId, told: &Report) -> Change {
+        let change = self.table().merge_report(host, told, Instant::now());
         if change != Change::None {
             self.changed.send_replace(());
         }
@@ -241,16 +247,16 @@
     }
 
     /// Returns what to tell other hosts of a request; nothing if it is not remembered.
-    pub fn told(&self, fingerprint: Fingerprint) -> Option<Told> {
-        self.table().told(fingerprint, &self.host, Instant::now())
+    pub fn report(&self, fingerprint: Fingerprint) -> Option<Report> {
+        self.table().report(fingerprint, &self.host, Instant::now())
     }
 
     /// Forgets what is old, and returns what to tell hosts that may have missed it.
-    pub fn retold(&self) -> Vec<Told> {
+    pub fn periodic_reports(&self) -> Vec<Report> {
         let now = Instant::now();
         let mut table = self.table();
-        table.forget_old(now);
-        table.retold(&self.host, now)
+        table.evict_expired(now);
+        table.periodic_reports(&self.host, now)
     }
 
     fn tell(&self, fingerprint: Fingerprint, is_crash: bool) {
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -7,17 +7,17 @@
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use notchwharf_quarantine::gate::{Gate, KeptBack};
+//! use notchwharf_quarantine::gate::{Gate, Blocked};
 //! use notchwharf_routing::quarantine::Crash;
 //!
 //! let gate = Gate::new("a1".into());
-//! for life in 0..3 {
-//!     let ran = Duration::from_millis(50);
-//!     gate.crashed(7, Crash { life, ran, at: Instant::now() });
+//! for incarnation in 0..3 {
+//!     let run_time = Duration::from_millis(50);
+//!     gate.record_crash(7, Crash { incarnation, run_time, detected_at: Instant::now() });
 //! }
-//! assert!(matches!(gate.try_admit(7), Err(KeptBack::Refused { crashes: 3, .. })));
+//! assert!(matches!(gate.try_admit(7), Err(Blocked::Refused { crashes: 3, .. })));
 //! assert!(gate.try_admit(8).is_ok());
 //! ```
 
 pub mod gate;
-pub mod news;
+pub mod reports;
--- a/crates/quarantine/tests/news.rs
+++ b/crates/quarantine/tests/reports.rs
@@ -7,19 +7,19 @@
 use notchwharf_proto::news::News;
 use notchwharf_proto::news::Suspects;
 use notchwharf_quarantine::gate::Gate;
-use notchwharf_quarantine::news::decode;
-use notchwharf_quarantine::news::encode;
+use notchwharf_quarantine::reports::decode;
+use notchwharf_quarantine::reports::encode;
 use notchwharf_routing::quarantine::Crash;
 use rstest::rstest;
 
 /// What a link carries in one packet, with its own headers.
 const PACKET_BYTES: usize = 1_280;
 
-fn crash(life: u64) -> Crash {
+fn crash(incarnation: u64) -> Crash {
     Crash {
-        life,
-        ran: Duration::from_millis(80),
-        at: Instant::now(),
+        incarnation,
+        run_time: Duration::from_millis(80),
+        detected_at: Instant::now(),
     }
 }
 
@@ -29,14 +29,14 @@
 #[tokio::test]
 async fn a_host_that_is_told_decides_alike(#[case] crashes: u64) {
     let there = Gate::new("a1".into());
-    for life in 0..crashes {
-        there.crashed(7, crash(life));
+    for incarnation in 0..crashes {
+        there.record_crash(7, crash(incarnation));
     }
     let here = Gate::new("b1".into());
-    for suspect in encode(&there.retold()).iter().flatten() {
-        here.take(&"a1".into(), &decode(suspect));
+    for suspect in encode(&there.periodic_reports()).iter().flatten() {
+        here.merge_report(&"a1".into(), &decode(suspect));
     }
-    assert_eq!(here.crashes(7), there.crashes(7));
+    assert_eq!(here.crash_count(7), there.crash_count(7));
     assert_eq!(here.try_admit(7).is_err(), crashes == 3);
     assert_eq!(there.try_admit(7).is_err(), crashes == 3);
 }
@@ -45,11 +45,11 @@
 async fn many_suspects_are_told_in_datagrams_that_fit_a_packet() {
     let gate = Gate::new("a1".into());
     for request in 0..500 {
-        for life in 0..8 {
-            gate.crashed(request, crash(life));
+        for incarnation in 0..8 {
+            gate.record_crash(request, crash(incarnation));
         }
     }
-    let told = gate.retold();
+    let told = gate.periodic_reports();
     let parts = encode(&told);
     assert_eq!(parts.iter().flatten().count(), told.len());
     for suspects in parts {
--- a/crates/routing/benches/quarantine.rs
+++ b/crates/routing/benches/quarantine.rs
@@ -25,11 +25,11 @@
     let mut quarantine = Quarantine::default();
     for number in 0..SUSPECTS {
         let crash = Crash {
-            life: 1,
-            ran: Duration::from_millis(100),
-            at: now,
+            incarnation: 1,
+            run_time: Duration::from_millis(100),
+            detected_at: now,
         };
-        quarantine.crashed(number, crash);
+        quarantine.record_crash(number, crash);
     }
     quarantine
 }
--- a/crates/routing/src/cells.rs
+++ b/crates/routing/src/cells.rs
@@ -11,11 +11,11 @@
 //! ```
 //! use notchwharf_routing::cells::Cells;
 //!
-//! let of = |hosts: &[usize]| Cells::of_fleet(hosts.iter().copied(), 96);
-//! assert!(of(&[30, 30, 30]).are_together(("a1", "d1"), ("b1", "d2")));
+//! let of = |hosts: &[usize]| Cells::for_fleet(hosts.iter().copied(), 96);
+//! assert!(of(&[30, 30, 30]).are_in_same_cell(("a1", "d1"), ("b1", "d2")));
 //! let cells = of(&[60, 60]);
-//! assert!(cells.are_together(("a1", "d1"), ("a2", "d1")));
-//! assert!(!cells.are_together(("a1", "d1"), ("b1", "d2")));
+//! assert!(cells.are_in_same_cell(("a1", "d1"), ("a2", "d1")));
+//! assert!(!cells.are_in_same_cell(("a1", "d1"), ("b1", "d2")));
 //! ```
 //!
 //! Rejected were: cells across data centres, drawn by hash, each with a share of all
@@ -39,7 +39,7 @@
 const SEED: u64 = 0x6365_6c6c;
 
 /// A host's name and its data centre.
-pub type HostAt<'a> = (&'a str, &'a str);
+pub type HostLocation<'a> = (&'a str, &'a str);
 
 /// How a fleet is divided. The lesser of two has the larger cells.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,7 +52,7 @@
 impl Cells {
     /// Returns how a fleet is divided whose data centres have so many hosts each, if
     /// a cell has so many at most.
-    pub fn of_fleet(hosts: impl IntoIterator<Item = usize>, cell_hosts_max: usize) -> Self {
+    pub fn for_fleet(hosts: impl IntoIterator<Item = usize>, cell_hosts_max: usize) -> Self {
         let most = cell_hosts_max.max(1);
         let (mut all, mut largest) = (0, 0);
         for hosts in hosts {
@@ -75,7 +75,7 @@
     }
 
     /// Returns a name of a host's cell.
-    pub fn of(self, (host, data_centre): HostAt<'_>) -> String {
+    pub fn name_of(self, (host, data_centre): HostLocation<'_>) -> String {
         match (self.is_divided, self.bits) {
             (false, _) => String::new(),
             (true, 0) => data_centre.to_owned(),
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether two hosts are in the same cell.
-    pub fn are_together(self, one: HostAt<'_>, other: HostAt<'_>) -> bool {
+    pub fn are_in_same_cell(self, one: HostLocation<'_>, other: HostLocation<'_>) -> bool {
         if !self.is_divided {
             return true;
         }
@@ -121,7 +121,7 @@
     /// Takes in how many hosts the data centres have; returns whether that changes
     /// the cells.
     pub fn note_hosts(&mut self, hosts: impl IntoIterator<Item = usize>, now: Instant) -> bool {
-        let cells = Cells::of_fleet(hosts, self.cell_hosts_max);
+        let cells = Cells::for_fleet(hosts, self.cell_hosts_max);
         let had_noted_hosts = std::mem::replace(&mut self.has_noted_hosts, true);
         if cells == self.now {
             return false;
@@ -139,7 +139,7 @@
 
     /// Returns the cells whose hosts are told all: just after a change the larger of
     /// those before and now.
-    pub fn told(&self, now: Instant) -> Cells {
+    pub fn broadcast_cells(&self, now: Instant) -> Cells {
         let before = self
             .before
             .filter(|(_, at)| now.duration_since(*at) < SETTLE);
--- a/crates/routing/src/belief.rs
+++ b/crates/routing/src/discovery.rs
@@ -8,30 +8,30 @@
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use notchwharf_routing::belief::{Answered, Belief, Bounds, Change, Evidence, Record};
+//! use notchwharf_routing::discovery::{ReadInfo, TargetView, Timeouts, Change, Evidence, Record};
 //! use notchwharf_routing::places::Spec;
 //!
 //! let start = Instant::now();
 //! let at = |ms| start + Duration::from_millis(ms);
 //! let decode = |_: &u8| Ok::<_, ()>(Spec::default());
 //! let evidence = Evidence::default();
-//! let mut belief = Belief::new(Bounds::default());
+//! let mut view = TargetView::new(Timeouts::default());
 //! let entry = Record { id: "t1".into(), offset: 0, value: Some(1) };
-//! belief.list(&Answered::whole(at(0), at(5)), &evidence, 1, vec![entry], decode);
+//! view.apply_listing(&ReadInfo::at_end(at(0), at(5)), &evidence, 1, vec![entry], decode);
 //!
 //! // No call of the store has failed, so an entry that goes is gone.
 //! let gone = Record { id: "t1".into(), offset: 1, value: None };
-//! let changes = belief.read(&Answered::whole(at(10), at(800)), &evidence, vec![gone], decode);
-//! assert!(matches!(&changes[..], [Change::Gone { .. }]));
+//! let changes = view.apply_records(&ReadInfo::at_end(at(10), at(800)), &evidence, vec![gone], decode);
+//! assert!(matches!(&changes[..], [Change::Removed { .. }]));
 //! ```
 //!
 //! A fixed time after any failed call was rejected: such a call may be about
 //! something else, or be evidence of a fault long past. Asking a target whether
 //! it lives was rejected too: one that leaves answers as well as any.
 
-mod contact;
+mod availability;
 mod difference;
-mod entry;
+mod record;
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -40,16 +40,16 @@
 
 use notchwharf_spread::changes::Changes;
 
-pub use self::contact::Contact;
-pub use self::contact::Evidence;
-pub use self::contact::Failure;
+pub use self::availability::Availability;
+pub use self::availability::Evidence;
+pub use self::availability::Failure;
 pub use self::difference::Difference;
 pub use self::difference::Page;
 use self::difference::PartialListing;
 pub use self::difference::Position;
-pub use self::entry::Answered;
-pub use self::entry::Change;
-pub use self::entry::Record;
+pub use self::record::Change;
+pub use self::record::ReadInfo;
+pub use self::record::Record;
 use crate::places::Spec;
 use crate::places::TargetId;
 
@@ -59,7 +59,7 @@
 
 /// Times on which a belief depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Timeouts {
     /// Time after the store's acknowledgement that an entry is gone within
     /// which requests may still reach its target. 2 s by default, from the
     /// platform's settings.
@@ -71,20 +71,20 @@
     /// Time after the store's return within which the entries of living targets
     /// are back and known here: the platform names about two seconds, and news
     /// waits for 0.3 s between two readings. 2.35 s by default.
-    pub lapse: Duration,
+    pub reregister: Duration,
     /// The longest time from the choice of a target to the moment at which the
     /// request reaches it. 400 ms by default: 250 to connect, 50 between two
     /// looks at overdue entries, 100 for a processor that must wait its turn.
-    pub in_flight: Duration,
+    pub dispatch: Duration,
 }
 
-impl Default for Bounds {
+impl Default for Timeouts {
     fn default() -> Self {
         Self {
             drain: Duration::from_secs(2),
             settle: Duration::from_secs(3),
-            lapse: Duration::from_millis(2_350),
-            in_flight: Duration::from_millis(400),
+            reregister: Duration::from_millis(2_350),
+            dispatch: Duration::from_millis(400),
         }
     }
 }
@@ -95,9 +95,9 @@
     /// When it was missed.
     missed: Instant,
     /// Whether another host said so, which then reached the store.
-    is_told: bool,
+    is_from_peer: bool,
     /// The time before which the store had not acknowledged that it is gone.
-    none_before: Option<Instant>,
+    complete_as_of: Option<Instant>,
 }
 
 /// A target's newest entry.
@@ -113,11 +113,11 @@
 /// All changes of one reading are made in one call, so what [`Belief::entries`]
 /// and [`Belief::end`] tell others belongs together.
 #[derive(Clone, Debug)]
-pub struct Belief {
-    bounds: Bounds,
+pub struct TargetView {
+    timeouts: Timeouts,
     /// When the newest complete reading was asked for: the store had
     /// acknowledged nothing before that is not known.
-    none_before: Option<Instant>,
+    complete_as_of: Option<Instant>,
     known: HashMap<TargetId, Known>,
     doubts: HashMap<TargetId, Doubt>,
     changes: Changes<TargetId>,
@@ -130,27 +130,27 @@
 #[derive(Clone, Copy, Debug)]
 struct Source<'a> {
     at: Instant,
-    is_told: bool,
+    is_from_peer: bool,
     evidence: &'a Evidence,
 }
 
 impl<'a> Source<'a> {
     /// Returns what a reading of this host is.
-    fn reading(answered: &Answered, evidence: &'a Evidence) -> Self {
+    fn reading(read: &ReadInfo, evidence: &'a Evidence) -> Self {
         Self {
-            at: answered.at,
-            is_told: false,
+            at: read.answered_at,
+            is_from_peer: false,
             evidence,
         }
     }
 }
 
-impl Belief {
+impl TargetView {
     /// Returns a belief without targets.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(timeouts: Timeouts) -> Self {
         Self {
-            bounds,
-            none_before: None,
+            timeouts,
+            complete_as_of: None,
             known: HashMap::new(),
             doubts: HashMap::new(),
             changes: Changes::new(CHANGES_RETAINED),
@@ -166,8 +166,8 @@
 
     /// Returns the time before which the store had acknowledged nothing that is
     /// not known: when the newest complete reading was asked for.
-    pub fn none_before(&self) -> Option<Instant> {
-        self.none_before
+    pub fn complete_as_of(&self) -> Option<Instant> {
+        self.complete_as_of
     }
 
     /// Returns the entries for another host. Those that are missing are left
@@ -179,39 +179,39 @@
     }
 
     /// Returns the offset that follows the newest effective change.
-    pub fn changed_end(&self) -> u64 {
+    pub fn changes_end(&self) -> u64 {
         self.changes.end()
     }
 
     /// Takes in a listing of all entries as of an offset. Pages of a listing are
     /// read one after the other, so some entries may be newer than it.
-    pub fn list<V, E>(
+    pub fn apply_listing<V, E>(
         &mut self,
-        answered: &Answered,
+        read: &ReadInfo,
         evidence: &Evidence,
         end: u64,
         records: Vec<Record<V>>,
         decode: impl Fn(&V) -> Result<Spec, E>,
     ) -> Vec<Change<E>> {
-        let source = Source::reading(answered, evidence);
+        let source = Source::reading(read, evidence);
         let is_new = end >= self.end;
         let changes = self.take_all(source, end, records, decode);
         if is_new {
             self.changes.skip_to(end);
         }
-        self.advance(answered);
+        self.advance(read);
         changes
     }
 
     /// Takes in records that follow those before.
-    pub fn read<V, E>(
+    pub fn apply_records<V, E>(
         &mut self,
-        answered: &Answered,
+        read: &ReadInfo,
         evidence: &Evidence,
         records: Vec<Record<V>>,
         decode: impl Fn(&V) -> Result<Spec, E>,
     ) -> Vec<Change<E>> {
-        let source = Source::reading(answered, evidence);
+        let source = Source::reading(read, evidence);
         let mut changes = Vec::new();
         for record in records {
             if record.offset < self.end {
@@ -220,13 +220,13 @@
             self.end = record.offset + 1;
             changes.extend(self.take(source, record, &decode));
         }
-        self.advance(answered);
+        self.advance(read);
         changes
     }
 
     /// Takes in what another host lists; nothing if it knows no more than this
     /// one.
-    pub fn told<V, E>(
+    pub fn apply_peer_listing<V, E>(
         &mut self,
         at: Instant,
         evidence: &Evidence,
@@ -239,7 +239,7 @@
         }
         let source = Source {
             at,
-            is_told: true,
+            is_from_peer: true,
             evidence,
         };
         let changes = self.take_all(source, end, records, decode);
@@ -248,7 +248,7 @@
     }
 
     /// Returns whether any entry is missing that may only have lapsed.
-    pub fn is_in_doubt(&self) -> bool {
+    pub fn has_missing_entries(&self) -> bool {
         !self.doubts.is_empty()
     }
 
@@ -348,8 +348,8 @@
         }
         let fresh = Doubt {
             missed: source.at,
-            is_told: source.is_told,
-            none_before: self.none_before,
+            is_from_peer: source.is_from_peer,
+            complete_as_of: self.complete_as_of,
         };
         let existing = self.doubts.get(&id);
         let is_new_doubt = existing.is_none();
@@ -362,15 +362,15 @@
         if until <= source.at {
             self.doubts.remove(&id);
             self.known.remove(&id);
-            return Some(Change::Gone { id, offset });
+            return Some(Change::Removed { id, offset });
         }
         self.doubts.insert(id.clone(), doubt);
-        Some(Change::Kept { id, offset, until })
+        Some(Change::Retained { id, offset, until })
     }
 
-    fn advance(&mut self, answered: &Answered) {
-        if answered.is_whole {
-            self.none_before = self.none_before.max(Some(answered.asked));
+    fn advance(&mut self, read: &ReadInfo) {
+        if read.is_at_end {
+            self.complete_as_of = self.complete_as_of.max(Some(read.requested_at));
         }
     }
 
@@ -384,21 +384,21 @@
     /// as long as its entry may yet come back: for some time from the store's
     /// return, and all the while it is away.
     fn until(&self, doubt: &Doubt, evidence: &Evidence) -> Instant {
-        let bounds = &self.bounds;
+        let timeouts = &self.timeouts;
         if !evidence.is_any_fault() {
             // The store served all the while: the entry cannot have lapsed.
             return doubt.missed;
         }
-        let drain = bounds.drain.saturating_sub(bounds.in_flight);
-        let settle = bounds.settle.saturating_sub(bounds.in_flight);
-        let by_entry = doubt.none_before.map(|at| at + drain);
-        let by_fault = evidence.readings.away_at().map(|at| at + settle);
+        let drain = timeouts.drain.saturating_sub(timeouts.dispatch);
+        let settle = timeouts.settle.saturating_sub(timeouts.dispatch);
+        let by_entry = doubt.complete_as_of.map(|at| at + drain);
+        let by_fault = evidence.reads.outage_at().map(|at| at + settle);
         let safe = by_entry.max(by_fault).unwrap_or(doubt.missed);
-        match evidence.back_at() {
-            Some(back) if doubt.missed >= back + bounds.lapse => doubt.missed,
-            Some(back) => safe.min(back + bounds.lapse),
+        match evidence.recovered_at() {
+            Some(back) if doubt.missed >= back + timeouts.reregister => doubt.missed,
+            Some(back) => safe.min(back + timeouts.reregister),
             // Whoever told it had the store back by then.
-            None if doubt.is_told => safe.min(doubt.missed + bounds.lapse),
+            None if doubt.is_from_peer => safe.min(doubt.missed + timeouts.reregister),
             None => safe,
         }
     }
--- a/crates/routing/src/belief/contact.rs
+++ b/crates/routing/src/discovery/availability.rs
@@ -20,59 +20,59 @@
 
 /// How calls of one kind, or all, have gone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Contact {
-    last_answer: Option<Instant>,
+pub struct Availability {
+    last_response: Option<Instant>,
     /// When a call was lost, if none was answered since.
     lost_at: Option<Instant>,
-    away_at: Option<Instant>,
-    back_at: Option<Instant>,
+    outage_at: Option<Instant>,
+    recovered_at: Option<Instant>,
 }
 
-impl Contact {
+impl Availability {
     /// Returns the contact reported by another host.
-    pub fn from_peer(away_at: Option<Instant>, back_at: Option<Instant>) -> Self {
+    pub fn from_peer(outage_at: Option<Instant>, recovered_at: Option<Instant>) -> Self {
         Self {
-            away_at,
-            back_at,
+            outage_at,
+            recovered_at,
             ..Self::default()
         }
     }
 
     /// Returns the latest time at which, or later, there was a fault; nothing
     /// if none was proved.
-    pub fn away_at(&self) -> Option<Instant> {
-        self.away_at
+    pub fn outage_at(&self) -> Option<Instant> {
+        self.outage_at
     }
 
     /// Returns when calls were answered again after the last fault; nothing
     /// before that.
-    pub fn back_at(&self) -> Option<Instant> {
-        self.back_at
+    pub fn recovered_at(&self) -> Option<Instant> {
+        self.recovered_at
     }
 
     /// Returns when the last answer came.
-    pub fn last_answer(&self) -> Option<Instant> {
-        self.last_answer
+    pub fn last_response(&self) -> Option<Instant> {
+        self.last_response
     }
 
     /// Returns whether a failure tells nothing of the store now: the call was
     /// lost, and another has been answered since it was begun.
-    pub fn is_late(&self, begun: Instant, failure: Failure) -> bool {
-        let is_answered_since = self.last_answer.is_some_and(|at| at >= begun);
+    pub fn is_stale(&self, begun: Instant, failure: Failure) -> bool {
+        let is_answered_since = self.last_response.is_some_and(|at| at >= begun);
         failure == Failure::Lost && is_answered_since
     }
 
     /// Returns whether calls have failed and none was answered since.
     fn is_away(&self) -> bool {
-        self.away_at.is_some() && self.back_at.is_none()
+        self.outage_at.is_some() && self.recovered_at.is_none()
     }
 
     /// Notes an answer.
-    pub fn answered(&mut self, at: Instant) {
-        self.last_answer = Some(at);
+    pub fn record_response(&mut self, at: Instant) {
+        self.last_response = Some(at);
         self.lost_at = None;
         if self.is_away() {
-            self.back_at = Some(at);
+            self.recovered_at = Some(at);
         }
     }
 
@@ -82,8 +82,8 @@
     /// one alone is none either: its connection may have been silent for long.
     /// The next one is. The caller gives up all idle connections when a call
     /// fails, so none that is used then has been idle since before.
-    pub fn failed(&mut self, begun: Instant, noticed: Instant, failure: Failure) {
-        if self.is_late(begun, failure) {
+    pub fn record_failure(&mut self, begun: Instant, noticed: Instant, failure: Failure) {
+        if self.is_stale(begun, failure) {
             return;
         }
         let fault = match failure {
@@ -94,8 +94,8 @@
                 _ => return,
             },
         };
-        self.away_at = self.away_at.max(Some(fault));
-        self.back_at = None;
+        self.outage_at = self.outage_at.max(Some(fault));
+        self.recovered_at = None;
     }
 }
 
@@ -104,23 +104,23 @@
 pub struct Evidence {
     /// How the readings of targets' entries have gone. The store may lose a
     /// part of its topics only.
-    pub readings: Contact,
+    pub reads: Availability,
     /// How all calls of the store have gone. A pause between two readings may
     /// hide an outage from them.
-    pub calls: Contact,
+    pub calls: Availability,
 }
 
 impl Evidence {
     /// Returns whether the store may have been away: any calls have failed.
     pub(super) fn is_any_fault(&self) -> bool {
-        self.readings.away_at.is_some() || self.calls.away_at.is_some()
+        self.reads.outage_at.is_some() || self.calls.outage_at.is_some()
     }
 
     /// Returns when the store was back; nothing while it is away.
-    pub(super) fn back_at(&self) -> Option<Instant> {
-        if self.readings.is_away() || self.calls.is_away() {
+    pub(super) fn recovered_at(&self) -> Option<Instant> {
+        if self.reads.is_away() || self.calls.is_away() {
             return None;
         }
-        self.readings.back_at.max(self.calls.back_at)
+        self.reads.recovered_at.max(self.calls.recovered_at)
     }
 }
--- a/crates/routing/src/belief/difference.rs
+++ b/crates/routing/src/discovery/difference.rs
@@ -11,12 +11,12 @@
 
 use std::convert::Infallible;
 
-use super::Answered;
-use super::Belief;
 use super::Change;
 use super::Evidence;
+use super::ReadInfo;
 use super::Record;
 use super::Source;
+use super::TargetView;
 use crate::places::Spec;
 use crate::places::TargetId;
 
@@ -77,7 +77,7 @@
     }
 }
 
-impl Belief {
+impl TargetView {
     /// Returns the position from which to request entries or changes.
     pub fn position(&self) -> Position {
         Position {
@@ -117,22 +117,22 @@
     }
 
     /// Applies records sent by another host; does nothing if earlier changes are missing.
-    pub fn apply(
+    pub fn apply_difference(
         &mut self,
-        answered: &Answered,
+        read: &ReadInfo,
         evidence: &Evidence,
         difference: Difference,
     ) -> Vec<Change<Infallible>> {
-        let source = Source::reading(answered, evidence);
+        let source = Source::reading(read, evidence);
         if let Some(page) = difference.page {
             return self.apply_page(source, page, difference.end, difference.records);
         }
         let decode = |spec: &Spec| Ok(spec.clone());
         if difference.is_complete {
-            let (at, end) = (answered.at, difference.to);
-            let changes = self.told(at, evidence, end, difference.records, decode);
+            let (at, end) = (read.answered_at, difference.to);
+            let changes = self.apply_peer_listing(at, evidence, end, difference.records, decode);
             if self.end == end {
-                self.advance(answered);
+                self.advance(read);
             }
             return changes;
         }
@@ -147,7 +147,7 @@
             }
         }
         if difference.to >= difference.end {
-            self.advance(answered);
+            self.advance(read);
         }
         changes
     }
--- a/crates/routing/src/belief/entry.rs
+++ b/crates/routing/src/discovery/record.rs
@@ -18,22 +18,22 @@
 
 /// When a reading of entries was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct ReadInfo {
     /// When it was asked for.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// When its answer came.
-    pub at: Instant,
+    pub answered_at: Instant,
     /// Whether it went to the newest record there was.
-    pub is_whole: bool,
+    pub is_at_end: bool,
 }
 
-impl Answered {
+impl ReadInfo {
     /// Returns a reading that went to the newest record.
-    pub fn whole(asked: Instant, at: Instant) -> Self {
+    pub fn at_end(requested_at: Instant, answered_at: Instant) -> Self {
         Self {
-            asked,
-            at,
-            is_whole: true,
+            requested_at,
+            answered_at,
+            is_at_end: true,
         }
     }
 }
@@ -62,14 +62,14 @@
         error: E,
     },
     /// An entry is gone and its target with it.
-    Gone {
+    Removed {
         /// The target.
         id: TargetId,
         /// Up to where the store's order was known.
         offset: u64,
     },
     /// An entry is gone that may only have lapsed; its target stays for now.
-    Kept {
+    Retained {
         /// The target.
         id: TargetId,
         /// Up to where the store's order was known.
--- a/crates/routing/src/telling.rs
+++ b/crates/routing/src/dissemination.rs
@@ -45,11 +45,11 @@
 /// Time between two tellings of data centres in which news is passed on, and
 /// between two passings: together a quarter of the time after which a silent
 /// host counts as down.
-pub const PASSING_GAP: Duration = Duration::from_millis(100);
+pub const RELAY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The host that tells.
 #[derive(Clone, Copy, Debug)]
-pub struct Own<'a> {
+pub struct Sender<'a> {
     /// Its name.
     pub host: &'a str,
     /// Where it stands.
@@ -68,13 +68,13 @@
     /// Whether it is heard.
     pub is_alive: bool,
     /// When it was last told.
-    pub told: Option<Instant>,
+    pub last_sent: Option<Instant>,
 }
 
-impl Own<'_> {
+impl Sender<'_> {
     /// Returns whether a peer is in the same cell and stands in the same data
     /// centre: one that is told at each change.
-    pub fn is_near(&self, peer: &Peer<'_>) -> bool {
+    pub fn is_local(&self, peer: &Peer<'_>) -> bool {
         self.is_together(peer) && peer.data_centre == Some(self.data_centre)
     }
 
@@ -83,17 +83,17 @@
     fn is_together(&self, peer: &Peer<'_>) -> bool {
         let own = (self.host, self.data_centre);
         let data_centre = peer.data_centre.unwrap_or_default();
-        self.cells.are_together(own, (peer.host, data_centre))
+        self.cells.are_in_same_cell(own, (peer.host, data_centre))
     }
 }
 
 /// Whom to tell, by their places among the peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Receivers {
+pub struct Recipients {
     /// Peers in the same data centre, and some that are down.
-    pub near: Vec<usize>,
+    pub local: Vec<usize>,
     /// Peers in other data centres.
-    pub far: Vec<usize>,
+    pub remote: Vec<usize>,
     /// How peers in other data centres are told, if they are now.
     pub pace: Option<Pace>,
 }
@@ -120,7 +120,7 @@
     /// Adds one data centre of which so many hosts are told themselves.
     fn add(&mut self, told: usize, is_passed_on: bool) {
         if is_passed_on {
-            self.gap = self.gap.max(PASSING_GAP);
+            self.gap = self.gap.max(RELAY_INTERVAL);
             self.is_passed_on = true;
         } else {
             self.gap += FAR_GAP_PER_HOST * u32::try_from(told).unwrap_or(u32::MAX);
@@ -132,9 +132,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Due {
     /// Hosts in the same data centre.
-    pub near: bool,
+    pub local: bool,
     /// Hosts in other data centres.
-    pub far: bool,
+    pub remote: bool,
 }
 
 /// When a host tells others how it is.
@@ -174,13 +174,13 @@
     pub fn due(&mut self, is_news: bool, now: Instant) -> Due {
         self.is_far_behind |= is_news;
         let due = Due {
-            near: is_news || now.duration_since(self.near_told) >= self.beat,
-            far: now.duration_since(self.far_told) >= self.far_gap(),
+            local: is_news || now.duration_since(self.near_told) >= self.beat,
+            remote: now.duration_since(self.far_told) >= self.far_gap(),
         };
-        if due.near {
+        if due.local {
             self.near_told = now;
         }
-        if due.far {
+        if due.remote {
             self.far_told = now;
             self.is_far_behind = false;
         }
@@ -188,7 +188,7 @@
     }
 
     /// Takes in how those far away were told.
-    pub fn keep_pace(&mut self, pace: Pace) {
+    pub fn set_pace(&mut self, pace: Pace) {
         self.pace = pace;
     }
 
@@ -201,29 +201,29 @@
 }
 
 /// Returns whom to tell: peers of the cell that live, and now and then the others.
-pub fn receivers(
-    own: &Own<'_>,
+pub fn recipients(
+    own: &Sender<'_>,
     peers: &[Peer<'_>],
     due: Due,
     now: Instant,
     rng: &mut impl Rng,
-) -> Receivers {
-    let mut receivers = Receivers::default();
+) -> Recipients {
+    let mut recipients = Recipients::default();
     let mut far: HashMap<Option<&str>, Vec<usize>> = HashMap::new();
     for (place, peer) in peers.iter().enumerate() {
         if !own.is_together(peer) {
             continue;
         }
         let is_far = peer.data_centre != Some(own.data_centre);
-        let told = peer.told.map(|at| now.duration_since(at));
+        let told = peer.last_sent.map(|at| now.duration_since(at));
         if peer.is_alive && is_far {
             far.entry(peer.data_centre).or_default().push(place);
-        } else if due.near && (peer.is_alive || told.is_none_or(|ago| ago >= DOWN_BEAT)) {
-            receivers.near.push(place);
+        } else if due.local && (peer.is_alive || told.is_none_or(|ago| ago >= DOWN_BEAT)) {
+            recipients.local.push(place);
         }
     }
-    if !due.far {
-        return receivers;
+    if !due.remote {
+        return recipients;
     }
     let mut pace = Pace::default();
     for hosts in far.values() {
@@ -233,17 +233,17 @@
             false => hosts.clone(),
         };
         pace.add(told.len(), is_passed_on);
-        receivers.far.extend(told);
+        recipients.remote.extend(told);
     }
-    receivers.pace = Some(pace);
-    receivers
+    recipients.pace = Some(pace);
+    recipients
 }
 
 /// Returns to whom a host passes on what it was told by hosts far away: all near
 /// it, or nobody where they are told themselves.
-pub fn passed_on_to(own: &Own<'_>, peers: &[Peer<'_>]) -> Vec<usize> {
+pub fn relay_recipients(own: &Sender<'_>, peers: &[Peer<'_>]) -> Vec<usize> {
     let near = peers.iter().enumerate();
-    let near = near.filter(|(_, peer)| peer.is_alive && own.is_near(peer));
+    let near = near.filter(|(_, peer)| peer.is_alive && own.is_local(peer));
     let near: Vec<usize> = near.map(|(place, _)| place).collect();
     if near.len() + 1 < HOSTS_MIN_INSIDE {
         return Vec::new();
--- a/crates/routing/src/fingerprint.rs
+++ b/crates/routing/src/fingerprint.rs
@@ -55,6 +55,6 @@
 }
 
 /// Returns a fingerprint as log lines and records have it.
-pub fn text(fingerprint: Fingerprint) -> String {
+pub fn to_hex(fingerprint: Fingerprint) -> String {
     format!("{fingerprint:032x}")
 }
--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -14,16 +14,16 @@
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use notchwharf_routing::quarantine::{Crash, Quarantine, Verdict};
+//! use notchwharf_routing::quarantine::{Crash, Quarantine, Decision};
 //!
 //! let now = Instant::now();
 //! let mut quarantine = Quarantine::default();
-//! assert_eq!(quarantine.admit(7, "a1", now), Verdict::Free);
-//! for life in 0..3 {
-//!     let ran = Duration::from_millis(50);
-//!     quarantine.crashed(7, Crash { life, ran, at: now });
+//! assert_eq!(quarantine.admit(7, "a1", now), Decision::Admit);
+//! for incarnation in 0..3 {
+//!     let run_time = Duration::from_millis(50);
+//!     quarantine.record_crash(7, Crash { incarnation, run_time, detected_at: now });
 //! }
-//! assert!(matches!(quarantine.admit(7, "a1", now), Verdict::Refused { crashes: 3, .. }));
+//! assert!(matches!(quarantine.admit(7, "a1", now), Decision::Refuse { crashes: 3, .. }));
 //! ```
 //!
 //! # Blame
@@ -66,7 +66,7 @@
 use self::suspect::Suspect;
 
 /// The name of one life of a target, from a start to its end.
-pub type LifeId = u64;
+pub type IncarnationId = u64;
 
 /// Time for which a suspect is remembered after its last crash. A caller's repeats come
 /// within seconds or minutes; each crash leaves about eight suspects, most of which
@@ -82,22 +82,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
     /// The life of the target that ended.
-    pub life: LifeId,
+    pub incarnation: IncarnationId,
     /// How long the request had run there.
-    pub ran: Duration,
+    pub run_time: Duration,
     /// When it was noticed.
-    pub at: Instant,
+    pub detected_at: Instant,
 }
 
 /// Whether a request may be sent to a target now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// It may. If it is a suspect, its run is noted until [`Quarantine::ended`].
-    Free,
+    Admit,
     /// Others with the same content run now; it may when one of them has ended.
     Wait,
     /// Targets crash under it.
-    Refused {
+    Refuse {
         /// How many were seen to.
         crashes: u32,
         /// Time until it may be tried once more.
@@ -107,24 +107,24 @@
 
 /// What one host tells others of a suspect. Times are relative, as hosts' clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct Report {
     /// The request.
     pub fingerprint: Fingerprint,
     /// How often it was cleared: crashes from before a clearance do not count.
     pub clearances: u32,
     /// The crashes since.
-    pub crashes: Vec<ToldCrash>,
+    pub crashes: Vec<CrashReport>,
     /// How long ago the telling host began to run it, if it runs there.
-    pub runs_since: Option<Duration>,
+    pub running_for: Option<Duration>,
 }
 
 /// A crash as one host tells another of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldCrash {
+pub struct CrashReport {
     /// The life of the target that ended.
-    pub life: LifeId,
+    pub incarnation: IncarnationId,
     /// How long the request had run there.
-    pub ran: Duration,
+    pub run_time: Duration,
     /// How long ago it was noticed.
     pub age: Duration,
 }
@@ -135,7 +135,7 @@
     /// Nothing that was not known.
     None,
     /// Another crash or clearance, or a run began or ended.
-    News,
+    Updated,
     /// It is refused from now on, or for longer than before.
     Blamed {
         /// How many targets crashed under it.
@@ -161,7 +161,7 @@
     }
 
     /// Returns how many crashes under a request count.
-    pub fn crashes(&self, fingerprint: Fingerprint) -> u32 {
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> u32 {
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(0, Suspect::crash_count)
     }
@@ -173,38 +173,45 @@
     /// crash for the one before, and the request would end more targets than it may.
     /// Crashes that others tell are not judged so: a host that stood still takes an old
     /// word for a new one, and one crash would count as often as it was told.
-    pub fn life_met(&self, fingerprint: Fingerprint, life: LifeId, sent: Instant) -> LifeId {
+    pub fn incarnation_of_run(
+        &self,
+        fingerprint: Fingerprint,
+        incarnation: IncarnationId,
+        sent: Instant,
+    ) -> IncarnationId {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.map_or(life, |suspect| suspect.life_met(life, sent))
+        suspect.map_or(incarnation, |suspect| {
+            suspect.incarnation_of_run(incarnation, sent)
+        })
     }
 
     /// Decides whether a host may send a request now, and notes the run of a suspect.
-    pub fn admit(&mut self, fingerprint: Fingerprint, host: &str, now: Instant) -> Verdict {
+    pub fn admit(&mut self, fingerprint: Fingerprint, host: &str, now: Instant) -> Decision {
         match self.suspects.get_mut(&fingerprint) {
             Some(suspect) => suspect.admit(host, false, now),
-            None => Verdict::Free,
+            None => Decision::Admit,
         }
     }
 
     /// Decides the same of a request of which a result is owed, an item of a job: nobody
     /// sends it again, and blamed by mistake it would be lost.
-    pub fn admit_owed(&mut self, fingerprint: Fingerprint, host: &str, now: Instant) -> Verdict {
+    pub fn admit_item(&mut self, fingerprint: Fingerprint, host: &str, now: Instant) -> Decision {
         match self.suspects.get_mut(&fingerprint) {
             Some(suspect) => suspect.admit(host, true, now),
-            None => Verdict::Free,
+            None => Decision::Admit,
         }
     }
 
     /// Notes that a host's run of a request has ended.
-    pub fn ended(&mut self, fingerprint: Fingerprint, host: &str) {
+    pub fn end_run(&mut self, fingerprint: Fingerprint, host: &str) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.ended(host);
+            suspect.end_run(host);
         }
     }
 
     /// Notes that a target crashed under a request.
-    pub fn crashed(&mut self, fingerprint: Fingerprint, crash: Crash) -> Change {
-        let now = crash.at;
+    pub fn record_crash(&mut self, fingerprint: Fingerprint, crash: Crash) -> Change {
+        let now = crash.detected_at;
         self.make_room(now);
         let suspect = self.suspects.entry(fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
@@ -213,20 +220,25 @@
 
     /// Notes that a request ended well at a target; returns whether that clears a
     /// suspect.
-    pub fn ended_well(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
+    pub fn record_success(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
         suspect.is_some_and(|suspect| suspect.clear(now))
     }
 
     /// Notes that a run went on for a time and was ended by its host, the target being
     /// well; returns whether that clears a suspect.
-    pub fn outlasted(&mut self, fingerprint: Fingerprint, ran: Duration, now: Instant) -> bool {
+    pub fn record_survival(
+        &mut self,
+        fingerprint: Fingerprint,
+        run_time: Duration,
+        now: Instant,
+    ) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
-        suspect.is_some_and(|suspect| suspect.outlasted(ran, now))
+        suspect.is_some_and(|suspect| suspect.record_survival(run_time, now))
     }
 
     /// Takes in what another host tells of a suspect.
-    pub fn take(&mut self, host: &HostId, told: &Told, now: Instant) -> Change {
+    pub fn merge_report(&mut self, host: &HostId, told: &Report, now: Instant) -> Change {
         self.make_room(now);
         let suspect = match self.suspects.entry(told.fingerprint) {
             Entry::Occupied(known) => known.into_mut(),
@@ -238,22 +250,22 @@
     }
 
     /// Returns what a host tells of a request; nothing if it is not remembered.
-    pub fn told(&self, fingerprint: Fingerprint, host: &str, now: Instant) -> Option<Told> {
+    pub fn report(&self, fingerprint: Fingerprint, host: &str, now: Instant) -> Option<Report> {
         let suspect = self.suspects.get(&fingerprint)?;
-        Some(suspect.told(fingerprint, host, now))
+        Some(suspect.report(fingerprint, host, now))
     }
 
     /// Returns what a host tells now and then, for those that missed it: the suspects
     /// that came more than once, and what has changed lately.
-    pub fn retold(&self, host: &str, now: Instant) -> Vec<Told> {
+    pub fn periodic_reports(&self, host: &str, now: Instant) -> Vec<Report> {
         let worth = self.suspects.iter().filter(|(_, s)| s.is_retold(now));
         worth
-            .map(|(fingerprint, suspect)| suspect.told(*fingerprint, host, now))
+            .map(|(fingerprint, suspect)| suspect.report(*fingerprint, host, now))
             .collect()
     }
 
     /// Forgets suspects that have not been to blame for long.
-    pub fn forget_old(&mut self, now: Instant) {
+    pub fn evict_expired(&mut self, now: Instant) {
         self.suspects
             .retain(|_, suspect| !suspect.is_forgotten(now));
     }
@@ -263,7 +275,7 @@
         if self.suspects.len() < SUSPECTS_MAX {
             return;
         }
-        self.forget_old(now);
+        self.evict_expired(now);
         let mut by_weight: Vec<_> = self
             .suspects
             .iter()
--- a/crates/routing/src/quarantine/suspect.rs
+++ b/crates/routing/src/quarantine/suspect.rs
@@ -12,11 +12,11 @@
 
 use super::Change;
 use super::Crash;
-use super::LifeId;
+use super::CrashReport;
+use super::Decision;
+use super::IncarnationId;
 use super::REMEMBERED;
-use super::Told;
-use super::ToldCrash;
-use super::Verdict;
+use super::Report;
 use crate::fingerprint::Fingerprint;
 use crate::places::HostId;
 
@@ -98,28 +98,28 @@
         u32::try_from(self.crashes.len()).unwrap_or(u32::MAX)
     }
 
-    pub(super) fn admit(&mut self, host: &str, is_owed: bool, now: Instant) -> Verdict {
+    pub(super) fn admit(&mut self, host: &str, is_owed: bool, now: Instant) -> Decision {
         if let Some(retry_after) = self.kept_away(is_owed, now) {
-            return Verdict::Refused {
+            return Decision::Refuse {
                 crashes: self.crash_count(),
                 retry_after,
             };
         }
         if self.crashes.is_empty() {
-            return Verdict::Free;
+            return Decision::Admit;
         }
         self.runs
             .retain(|_, since| is_within(*since, RUN_WATCHED, now));
         // A run for each target that it may still end; a blamed one is tried alone.
         let at_once = CRASHES_ALLOWED.saturating_sub(self.crash_count()).max(1);
         if self.runs.len() >= at_once as usize || self.runs.contains_key(host) {
-            return Verdict::Wait;
+            return Decision::Wait;
         }
         self.runs.insert(host.to_owned(), now);
-        Verdict::Free
+        Decision::Admit
     }
 
-    pub(super) fn ended(&mut self, host: &str) {
+    pub(super) fn end_run(&mut self, host: &str) {
         self.runs.remove(host);
     }
 
@@ -140,14 +140,22 @@
             let crashes = self.crash_count();
             return Change::Blamed { crashes };
         }
-        Change::News
+        Change::Updated
     }
 
     /// Returns the first life from the given one on that is not known to have ended
     /// before a moment.
-    pub(super) fn life_met(&self, life: LifeId, at: Instant) -> LifeId {
-        let has_ended = |life| self.crashes.iter().any(|c| c.life == life && c.at < at);
-        let mut met = life;
+    pub(super) fn incarnation_of_run(
+        &self,
+        incarnation: IncarnationId,
+        at: Instant,
+    ) -> IncarnationId {
+        let has_ended = |incarnation| {
+            self.crashes
+                .iter()
+                .any(|c| c.incarnation == incarnation && c.detected_at < at)
+        };
+        let mut met = incarnation;
         while has_ended(met) {
             met = next_life(met);
         }
@@ -156,7 +164,11 @@
 
     /// Adds a crash; returns whether it was not known.
     pub(super) fn add(&mut self, crash: Crash) -> bool {
-        if self.crashes.iter().any(|known| known.life == crash.life) {
+        if self
+            .crashes
+            .iter()
+            .any(|known| known.incarnation == crash.incarnation)
+        {
             return false;
         }
         if self.crashes.len() < CRASHES_KEPT {
@@ -164,8 +176,11 @@
             return true;
         }
         // The newest says until when it is kept away, so the oldest makes room for it.
-        let oldest = self.crashes.iter_mut().min_by_key(|known| known.at);
-        let Some(oldest) = oldest.filter(|oldest| oldest.at < crash.at) else {
+        let oldest = self
+            .crashes
+            .iter_mut()
+            .min_by_key(|known| known.detected_at);
+        let Some(oldest) = oldest.filter(|oldest| oldest.detected_at < crash.detected_at) else {
             return false;
         };
         *oldest = crash;
@@ -185,15 +200,15 @@
 
     /// Forgets all crashes if a run that lasted for so long shows that targets bear it;
     /// returns whether it does.
-    pub(super) fn outlasted(&mut self, ran: Duration, now: Instant) -> bool {
-        let longest = self.crashes.iter().map(|crash| crash.ran).max();
-        let least = longest.map(|ran| (ran * OUTLASTS).max(OUTLASTS_MIN));
-        least.is_some_and(|least| ran >= least) && self.clear(now)
+    pub(super) fn record_survival(&mut self, run_time: Duration, now: Instant) -> bool {
+        let longest = self.crashes.iter().map(|crash| crash.run_time).max();
+        let least = longest.map(|run_time| (run_time * OUTLASTS).max(OUTLASTS_MIN));
+        least.is_some_and(|least| run_time >= least) && self.clear(now)
     }
 
     /// Merges what a host tells; returns whether anything was new.
-    pub(super) fn merge(&mut self, host: &HostId, told: &Told, now: Instant) -> bool {
-        let since = told.runs_since.and_then(|age| now.checked_sub(age));
+    pub(super) fn merge(&mut self, host: &HostId, told: &Report, now: Instant) -> bool {
+        let since = told.running_for.and_then(|age| now.checked_sub(age));
         let before = match since {
             Some(since) => self.runs.insert(host.clone(), since).is_some(),
             None => self.runs.remove(host).is_some(),
@@ -209,25 +224,34 @@
             self.crashes.clear();
         }
         let mut is_news = is_cleared || is_run_news;
-        for ToldCrash { life, ran, age } in told.crashes.iter().copied() {
-            let at = now.checked_sub(age).unwrap_or(now);
-            is_news |= self.add(Crash { life, ran, at });
+        for CrashReport {
+            incarnation,
+            run_time,
+            age,
+        } in told.crashes.iter().copied()
+        {
+            let detected_at = now.checked_sub(age).unwrap_or(now);
+            is_news |= self.add(Crash {
+                incarnation,
+                run_time,
+                detected_at,
+            });
         }
         is_news
     }
 
-    pub(super) fn told(&self, fingerprint: Fingerprint, host: &str, now: Instant) -> Told {
+    pub(super) fn report(&self, fingerprint: Fingerprint, host: &str, now: Instant) -> Report {
         let age = |at: Instant| now.saturating_duration_since(at);
-        let crashes = self.crashes.iter().map(|crash| ToldCrash {
-            life: crash.life,
-            ran: crash.ran,
-            age: age(crash.at),
+        let crashes = self.crashes.iter().map(|crash| CrashReport {
+            incarnation: crash.incarnation,
+            run_time: crash.run_time,
+            age: age(crash.detected_at),
         });
-        Told {
+        Report {
             fingerprint,
             clearances: self.clearances,
             crashes: crashes.collect(),
-            runs_since: self.runs.get(host).map(|since| age(*since)),
+            running_for: self.runs.get(host).map(|since| age(*since)),
         }
     }
 
@@ -250,7 +274,7 @@
     }
 
     fn newest(&self) -> Instant {
-        let newest = self.crashes.iter().map(|crash| crash.at).max();
+        let newest = self.crashes.iter().map(|crash| crash.detected_at).max();
         newest.unwrap_or(self.changed_at)
     }
 
@@ -286,14 +310,14 @@
     /// began to run.
     fn chance_if_healthy(&self) -> f64 {
         let met = self.crashes.iter();
-        met.map(|crash| (CRASH_RATE_MAX * crash.ran.max(RAN_MIN).as_secs_f64()).min(1.0))
+        met.map(|crash| (CRASH_RATE_MAX * crash.run_time.max(RAN_MIN).as_secs_f64()).min(1.0))
             .product()
     }
 }
 
 /// Returns a name for the life that follows one, the same at all hosts.
-fn next_life(life: LifeId) -> LifeId {
-    xxh3_64(&life.to_le_bytes())
+fn next_life(incarnation: IncarnationId) -> IncarnationId {
+    xxh3_64(&incarnation.to_le_bytes())
 }
 
 fn is_within(at: Instant, time: Duration, now: Instant) -> bool {
--- a/crates/routing/tests/cells.rs
+++ b/crates/routing/tests/cells.rs
@@ -12,7 +12,7 @@
 const CELL_HOSTS_MAX: usize = 96;
 
 fn of(hosts: &[usize]) -> Cells {
-    Cells::of_fleet(hosts.iter().copied(), CELL_HOSTS_MAX)
+    Cells::for_fleet(hosts.iter().copied(), CELL_HOSTS_MAX)
 }
 
 /// Returns the names of the cells of a fleet.
@@ -21,7 +21,9 @@
     let mut names = BTreeSet::new();
     for (number, hosts) in hosts.iter().enumerate() {
         let data_centre = format!("d{number}");
-        names.extend((0..*hosts).map(|host| cells.of((&format!("{number}-{host}"), &data_centre))));
+        names.extend(
+            (0..*hosts).map(|host| cells.name_of((&format!("{number}-{host}"), &data_centre))),
+        );
     }
     names
 }
@@ -49,9 +51,9 @@
         .collect();
     for (one, one_at) in &hosts {
         for (other, other_at) in &hosts {
-            let are_together = cells.are_together((one, one_at), (other, other_at));
-            let have_one_name = cells.of((one, one_at)) == cells.of((other, other_at));
-            assert_eq!(are_together, have_one_name);
+            let are_in_same_cell = cells.are_in_same_cell((one, one_at), (other, other_at));
+            let have_one_name = cells.name_of((one, one_at)) == cells.name_of((other, other_at));
+            assert_eq!(are_in_same_cell, have_one_name);
         }
     }
 }
@@ -62,7 +64,7 @@
     let names: Vec<String> = (0..200).map(|number| format!("h{number}")).collect();
     for one in &names {
         for other in &names {
-            let together = |cells: Cells| cells.are_together((one, "d"), (other, "d"));
+            let together = |cells: Cells| cells.are_in_same_cell((one, "d"), (other, "d"));
             assert!(!together(many) || together(few));
         }
     }
@@ -76,11 +78,11 @@
     assert!(!division.note_hosts([45, 45], at(0)));
     assert!(division.note_hosts([50, 50], at(1)));
     assert!(division.cells().is_divided());
-    assert!(!division.told(at(2)).is_divided());
-    assert!(division.told(at(7)).is_divided());
+    assert!(!division.broadcast_cells(at(2)).is_divided());
+    assert!(division.broadcast_cells(at(7)).is_divided());
     // Fewer hosts: those of the cell that is now one were told apart.
     assert!(division.note_hosts([40, 40], at(8)));
-    assert!(!division.told(at(9)).is_divided());
+    assert!(!division.broadcast_cells(at(9)).is_divided());
 }
 
 /// Guards against a starting host sending its state to every host of a divided fleet.
@@ -89,7 +91,7 @@
     let now = Instant::now();
     let mut division = Division::new(CELL_HOSTS_MAX);
     assert!(division.note_hosts([50, 50], now));
-    assert!(division.told(now).is_divided());
+    assert!(division.broadcast_cells(now).is_divided());
     assert!(!division.note_hosts([50, 51], now));
-    assert!(division.told(now).is_divided());
+    assert!(division.broadcast_cells(now).is_divided());
 }
--- a/crates/routing/tests/difference.rs
+++ b/crates/routing/tests/difference.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_routing::belief::Answered;
-use notchwharf_routing::belief::Belief;
-use notchwharf_routing::belief::Bounds;
-use notchwharf_routing::belief::Difference;
-use notchwharf_routing::belief::Evidence;
-use notchwharf_routing::belief::Position;
-use notchwharf_routing::belief::Record;
+use notchwharf_routing::discovery::Difference;
+use notchwharf_routing::discovery::Evidence;
+use notchwharf_routing::discovery::Position;
+use notchwharf_routing::discovery::ReadInfo;
+use notchwharf_routing::discovery::Record;
+use notchwharf_routing::discovery::TargetView;
+use notchwharf_routing::discovery::Timeouts;
 use notchwharf_routing::places::Spec;
 use proptest::prelude::*;
 
@@ -35,7 +35,7 @@
 struct World {
     start: Instant,
     log: Vec<Entry>,
-    hosts: Vec<Belief>,
+    hosts: Vec<TargetView>,
 }
 
 impl World {
@@ -43,13 +43,15 @@
         Self {
             start: Instant::now() + Duration::from_secs(60),
             log: Vec::new(),
-            hosts: (0..hosts).map(|_| Belief::new(Bounds::default())).collect(),
+            hosts: (0..hosts)
+                .map(|_| TargetView::new(Timeouts::default()))
+                .collect(),
         }
     }
 
-    fn answered(&self) -> Answered {
+    fn read_info(&self) -> ReadInfo {
         let now = self.start + Duration::from_millis(self.log.len() as u64);
-        Answered::whole(now, now)
+        ReadInfo::at_end(now, now)
     }
 
     fn records(&self, from: usize) -> Vec<Record<u8>> {
@@ -65,8 +67,8 @@
     /// Reads the records that follow on a host.
     fn read(&mut self, host: usize) {
         let from = usize::try_from(self.hosts[host].end()).unwrap();
-        let (answered, records) = (self.answered(), self.records(from));
-        self.hosts[host].read(&answered, &Evidence::default(), records, decode);
+        let (read, records) = (self.read_info(), self.records(from));
+        self.hosts[host].apply_records(&read, &Evidence::default(), records, decode);
     }
 
     /// Lists all entries on a host.
@@ -76,16 +78,16 @@
             newest.insert(record.id.clone(), record);
         }
         let listed = newest.into_values().filter(|r| r.value.is_some());
-        let (end, answered) = (self.log.len() as u64, self.answered());
+        let (end, read) = (self.log.len() as u64, self.read_info());
         let listed = listed.collect();
-        self.hosts[host].list(&answered, &Evidence::default(), end, listed, decode);
+        self.hosts[host].apply_listing(&read, &Evidence::default(), end, listed, decode);
     }
 
     /// Requests records of another host once; returns what was sent.
     fn request(&mut self, host: usize, of: usize, limit: usize) -> Difference {
         let difference = self.hosts[of].since(&self.hosts[host].position(), limit);
-        let answered = self.answered();
-        self.hosts[host].apply(&answered, &Evidence::default(), difference.clone());
+        let read = self.read_info();
+        self.hosts[host].apply_difference(&read, &Evidence::default(), difference.clone());
         difference
     }
 
@@ -216,7 +218,7 @@
     let first = world.request(1, 0, 10);
     let second = world.request(1, 0, 10);
     let known = world.known(1);
-    let answered = world.answered();
+    let read = world.read_info();
     let gap = Difference {
         from: 25,
         to: 30,
@@ -229,7 +231,7 @@
         ..Difference::default()
     };
     for page in [second, first, gap] {
-        let changes = world.hosts[1].apply(&answered, &Evidence::default(), page);
+        let changes = world.hosts[1].apply_difference(&read, &Evidence::default(), page);
         assert!(changes.is_empty());
     }
     assert_eq!(world.known(1), known);
--- a/crates/routing/tests/belief.rs
+++ b/crates/routing/tests/discovery.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_routing::belief::Answered;
-use notchwharf_routing::belief::Belief;
-use notchwharf_routing::belief::Bounds;
-use notchwharf_routing::belief::Change;
-use notchwharf_routing::belief::Evidence;
-use notchwharf_routing::belief::Failure;
-use notchwharf_routing::belief::Record;
+use notchwharf_routing::discovery::Change;
+use notchwharf_routing::discovery::Evidence;
+use notchwharf_routing::discovery::Failure;
+use notchwharf_routing::discovery::ReadInfo;
+use notchwharf_routing::discovery::Record;
+use notchwharf_routing::discovery::TargetView;
+use notchwharf_routing::discovery::Timeouts;
 use notchwharf_routing::places::Spec;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -19,7 +19,7 @@
 struct Host {
     start: Instant,
     evidence: Evidence,
-    belief: Belief,
+    view: TargetView,
 }
 
 impl Host {
@@ -28,7 +28,7 @@
         let mut host = Self {
             start: Instant::now() + Duration::from_secs(60),
             evidence: Evidence::default(),
-            belief: Belief::new(Bounds::default()),
+            view: TargetView::new(Timeouts::default()),
         };
         host.list(0, targets);
         host
@@ -39,33 +39,34 @@
     }
 
     fn list(&mut self, ms: u64, targets: &[&str]) -> Vec<Change<()>> {
-        let end = self.belief.end() + 10;
+        let end = self.view.end() + 10;
         let records = targets.iter().map(|id| put(id, end - 1)).collect();
-        let answered = Answered::whole(self.at(ms), self.at(ms));
-        self.evidence.readings.answered(answered.at);
-        self.evidence.calls.answered(answered.at);
-        self.belief
-            .list(&answered, &self.evidence, end, records, decode)
+        let read = ReadInfo::at_end(self.at(ms), self.at(ms));
+        self.evidence.reads.record_response(read.answered_at);
+        self.evidence.calls.record_response(read.answered_at);
+        self.view
+            .apply_listing(&read, &self.evidence, end, records, decode)
     }
 
     /// Reads a record that was asked for and answered at these times.
     fn read(&mut self, asked: u64, at: u64, record: Option<Record<u8>>) -> Vec<Change<()>> {
-        let answered = Answered::whole(self.at(asked), self.at(at));
-        self.evidence.readings.answered(answered.at);
-        self.evidence.calls.answered(answered.at);
+        let read = ReadInfo::at_end(self.at(asked), self.at(at));
+        self.evidence.reads.record_response(read.answered_at);
+        self.evidence.calls.record_response(read.answered_at);
         let records = record.into_iter().collect();
-        self.belief.read(&answered, &self.evidence, records, decode)
+        self.view
+            .apply_records(&read, &self.evidence, records, decode)
     }
 
     fn reads_that_it_is_gone(&mut self, asked: u64, at: u64, id: &str) -> Vec<Change<()>> {
-        let record = gone(id, self.belief.end());
+        let record = gone(id, self.view.end());
         self.read(asked, at, Some(record))
     }
 
     fn fails(&mut self, begun: u64, noticed: u64, failure: Failure) {
         let (begun, noticed) = (self.at(begun), self.at(noticed));
-        self.evidence.readings.failed(begun, noticed, failure);
-        self.evidence.calls.failed(begun, noticed, failure);
+        self.evidence.reads.record_failure(begun, noticed, failure);
+        self.evidence.calls.record_failure(begun, noticed, failure);
     }
 
     /// The store refuses calls from one time to another.
@@ -77,11 +78,11 @@
 
     fn expire(&mut self, ms: u64) -> Vec<String> {
         let now = self.at(ms);
-        self.belief.expire(now, &self.evidence)
+        self.view.expire(now, &self.evidence)
     }
 
     fn known(&self) -> Vec<&String> {
-        let mut ids: Vec<&String> = self.belief.entries().map(|(id, _, _)| id).collect();
+        let mut ids: Vec<&String> = self.view.entries().map(|(id, _, _)| id).collect();
         ids.sort();
         ids
     }
@@ -110,11 +111,11 @@
 }
 
 fn is_gone(changes: &[Change<()>]) -> bool {
-    matches!(changes, [Change::Gone { .. }])
+    matches!(changes, [Change::Removed { .. }])
 }
 
 fn is_kept(changes: &[Change<()>]) -> bool {
-    matches!(changes, [Change::Kept { .. }])
+    matches!(changes, [Change::Retained { .. }])
 }
 
 /// What was lost may have been lost with a connection that was silent long
@@ -146,7 +147,7 @@
     host.fails(1_000, 1_500, Failure::Lost);
     host.read(1_600, 1_610, None);
     host.fails(1_000, 1_700, Failure::Lost);
-    assert_eq!(host.evidence.readings.away_at(), None);
+    assert_eq!(host.evidence.reads.outage_at(), None);
 }
 
 #[rstest]
@@ -161,7 +162,7 @@
     assert!(is_kept(&host.reads_that_it_is_gone(5_300, 5_310, "t2")));
     assert!(host.known().is_empty(), "Peers are told of none in doubt.");
     assert!(host.expire(7_000).is_empty());
-    let back = put("t1", host.belief.end());
+    let back = put("t1", host.view.end());
     host.read(7_000, 7_010, Some(back));
     assert_eq!(host.expire(7_400), ["t2"]);
     assert_eq!(host.known(), ["t1"]);
@@ -174,7 +175,9 @@
     let mut host = Host::new(&["t1", "t2"]);
     host.read(4_000, 5_000, None);
     let begun = host.at(5_050);
-    host.evidence.calls.failed(begun, begun, Failure::Refused);
+    host.evidence
+        .calls
+        .record_failure(begun, begun, Failure::Refused);
     assert!(is_kept(&host.reads_that_it_is_gone(5_000, 5_100, "t1")));
     assert!(host.expire(5_550).is_empty());
     assert_eq!(host.expire(5_600), ["t1"]);
@@ -185,9 +188,11 @@
 fn an_outage_that_no_reading_met_keeps_what_lapsed_in_it() {
     let mut host = Host::new(&["t1"]);
     let begun = host.at(100);
-    host.evidence.calls.failed(begun, begun, Failure::Refused);
+    host.evidence
+        .calls
+        .record_failure(begun, begun, Failure::Refused);
     assert!(is_kept(&host.reads_that_it_is_gone(300, 310, "t1")));
-    let back = put("t1", host.belief.end());
+    let back = put("t1", host.view.end());
     host.read(600, 610, Some(back));
     assert!(host.expire(5_000).is_empty());
 }
@@ -210,11 +215,13 @@
 fn a_host_that_stays_cut_drops_what_a_peer_says_is_gone() {
     let mut host = Host::new(&["t1", "t2"]);
     host.refused(1_000, 5_000);
-    let end = host.belief.end() + 5;
+    let end = host.view.end() + 5;
     let now = host.at(5_000);
     let records = vec![put("t2", end - 1)];
-    let changes = host.belief.told(now, &host.evidence, end, records, decode);
-    assert!(changes.iter().any(|c| matches!(c, Change::Kept { .. })));
+    let changes = host
+        .view
+        .apply_peer_listing(now, &host.evidence, end, records, decode);
+    assert!(changes.iter().any(|c| matches!(c, Change::Retained { .. })));
     host.refused(5_000, 9_000);
     assert!(host.expire(7_300).is_empty());
     assert_eq!(host.expire(7_400), ["t1"]);
@@ -223,8 +230,10 @@
 #[test]
 fn what_a_peer_knows_counts_only_if_it_is_newer() {
     let mut host = Host::new(&["t1"]);
-    let (now, end) = (host.at(100), host.belief.end());
-    let changes = host.belief.told(now, &host.evidence, end, vec![], decode);
+    let (now, end) = (host.at(100), host.view.end());
+    let changes = host
+        .view
+        .apply_peer_listing(now, &host.evidence, end, vec![], decode);
     assert!(changes.is_empty());
     assert_eq!(host.known(), ["t1"]);
 }
@@ -234,9 +243,9 @@
 #[test]
 fn entries_and_their_end_belong_together() {
     let mut host = Host::new(&["t1"]);
-    let end = host.belief.end();
+    let end = host.view.end();
     host.read(10, 20, Some(put("t2", end)));
-    assert_eq!(host.belief.end(), end + 1);
+    assert_eq!(host.view.end(), end + 1);
     assert_eq!(host.known(), ["t1", "t2"]);
 }
 
@@ -245,18 +254,18 @@
 #[test]
 fn an_entry_that_is_newer_than_its_listing_is_there() {
     let mut host = Host::new(&["t1", "t2"]);
-    let end = host.belief.end() + 5;
-    let answered = Answered::whole(host.at(100), host.at(120));
+    let end = host.view.end() + 5;
+    let read = ReadInfo::at_end(host.at(100), host.at(120));
     let records = vec![put("t1", end - 1), put("t2", end + 2)];
-    host.belief
-        .list(&answered, &host.evidence, end, records, decode);
+    host.view
+        .apply_listing(&read, &host.evidence, end, records, decode);
     assert_eq!(host.known(), ["t1", "t2"]);
     let older = gone("t2", end + 1);
     assert!(host.read(130, 140, Some(older)).is_empty());
     let now = host.at(150);
     let of_peer = vec![put("t1", end - 1)];
-    host.belief
-        .told(now, &host.evidence, end + 2, of_peer, decode);
+    host.view
+        .apply_peer_listing(now, &host.evidence, end + 2, of_peer, decode);
     assert_eq!(host.known(), ["t1", "t2"]);
 }
 
@@ -267,12 +276,12 @@
     let mut host = Host::new(&["t1", "t2"]);
     let record = Record {
         value: Some(0),
-        ..put("t1", host.belief.end())
+        ..put("t1", host.view.end())
     };
     let changes = host.read(10, 20, Some(record));
     assert!(matches!(&changes[..], [Change::Unreadable { .. }]));
     assert_eq!(host.known(), ["t2"]);
-    let again = put("t1", host.belief.end());
+    let again = put("t1", host.view.end());
     let changes = host.read(30, 40, Some(again));
     assert!(matches!(&changes[..], [Change::Put { .. }]));
     assert_eq!(host.known(), ["t1", "t2"]);
@@ -283,26 +292,26 @@
     let mut host = Host::new(&["t1", "t2"]);
     host.refused(100, 1_000);
     let changes = host.reads_that_it_is_gone(1_050, 1_100, "t1");
-    assert!(matches!(&changes[..], [Change::Kept { .. }]));
+    assert!(matches!(&changes[..], [Change::Retained { .. }]));
     let record = Record {
         value: Some(0),
-        ..put("t1", host.belief.end())
+        ..put("t1", host.view.end())
     };
     host.read(1_150, 1_200, Some(record));
     assert_eq!(host.known(), ["t2"]);
-    assert!(!host.belief.is_in_doubt());
+    assert!(!host.view.has_missing_entries());
 }
 
 /// What happens to a reading.
 #[derive(Clone, Copy, Debug)]
 enum Outcome {
-    Answered,
+    ReadInfo,
     Failed(Failure),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
-        3 => Just(Outcome::Answered),
+        3 => Just(Outcome::ReadInfo),
         2 => Just(Outcome::Failed(Failure::Refused)),
         2 => Just(Outcome::Failed(Failure::Lost)),
         1 => Just(Outcome::Failed(Failure::Throttled)),
@@ -321,39 +330,39 @@
     /// end, or of a fault as early as the failures allow it to have been.
     #[test]
     fn a_target_that_is_gone_gets_nothing_beyond_its_time(
-        readings in proptest::collection::vec((0u64..400, 1u64..1_700, outcome()), 1..30),
+        reads in proptest::collection::vec((0u64..400, 1u64..1_700, outcome()), 1..30),
         gone_ms in 0u64..15_000,
     ) {
-        let bounds = Bounds::default();
+        let timeouts = Timeouts::default();
         let mut host = Host::new(&["t1"]);
         let mut faults: Vec<Instant> = Vec::new();
         let mut lost_ms = None;
-        let mut is_told = false;
+        let mut is_from_peer = false;
         let mut ms = 0;
-        for (gap, took, outcome) in readings {
+        for (gap, took, outcome) in reads {
             let begun = ms + gap;
             let until = begun + took;
             // Until the reading ends the host uses what it keeps.
             while ms < until {
-                if is_told {
+                if is_from_peer {
                     host.expire(ms);
                 }
-                if host.belief.is_in_doubt() {
-                    let reaches = host.at(ms) + bounds.in_flight;
-                    let allowed = host.at(gone_ms) + bounds.drain;
-                    let is_settling = faults.iter().any(|f| reaches <= *f + bounds.settle);
+                if host.view.has_missing_entries() {
+                    let reaches = host.at(ms) + timeouts.dispatch;
+                    let allowed = host.at(gone_ms) + timeouts.drain;
+                    let is_settling = faults.iter().any(|f| reaches <= *f + timeouts.settle);
                     prop_assert!(reaches <= allowed || is_settling);
                 }
                 ms += LOOK_MS;
             }
             ms = until;
             match outcome {
-                Outcome::Answered if gone_ms < ms && !is_told => {
-                    is_told = true;
+                Outcome::ReadInfo if gone_ms < ms && !is_from_peer => {
+                    is_from_peer = true;
                     lost_ms = None;
                     host.reads_that_it_is_gone(begun, ms, "t1");
                 }
-                Outcome::Answered => {
+                Outcome::ReadInfo => {
                     lost_ms = None;
                     host.read(begun, ms, None);
                 }
--- a/crates/routing/tests/telling.rs
+++ b/crates/routing/tests/dissemination.rs
@@ -8,11 +8,11 @@
 use std::time::Instant;
 
 use notchwharf_routing::cells::Cells;
-use notchwharf_routing::telling;
-use notchwharf_routing::telling::Own;
-use notchwharf_routing::telling::PASSING_GAP;
-use notchwharf_routing::telling::Peer;
-use notchwharf_routing::telling::Schedule;
+use notchwharf_routing::dissemination;
+use notchwharf_routing::dissemination::Peer;
+use notchwharf_routing::dissemination::RELAY_INTERVAL;
+use notchwharf_routing::dissemination::Schedule;
+use notchwharf_routing::dissemination::Sender;
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -114,7 +114,7 @@
             start,
             now: Duration::ZERO,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            cells: Cells::of_fleet(sizes(count), cell_hosts_max),
+            cells: Cells::for_fleet(sizes(count), cell_hosts_max),
             hosts: (0..count).map(host).collect(),
             events: BinaryHeap::new(),
             scheduled: 0,
@@ -180,8 +180,8 @@
         heard.at.is_some_and(|at| self.now - at < DOWN)
     }
 
-    fn own(&self, host: usize) -> Own<'_> {
-        Own {
+    fn own(&self, host: usize) -> Sender<'_> {
+        Sender {
             host: &self.hosts[host].name,
             data_centre: &self.hosts[host].data_centre,
             cells: self.cells,
@@ -195,7 +195,7 @@
             data_centre: Some(&self.hosts[number].data_centre),
             // A host is no peer of its own.
             is_alive: number != host && self.is_alive(heard),
-            told: match number == host {
+            last_sent: match number == host {
                 true => Some(self.start + self.now),
                 false => heard.told.map(|at| self.start + at),
             },
@@ -219,19 +219,20 @@
         let is_news = std::mem::take(&mut self.hosts[host].is_news);
         let due = self.hosts[host].schedule.due(is_news, now);
         let mut rng = self.rng.clone();
-        let told = telling::receivers(&self.own(host), &self.peers(host), due, now, &mut rng);
+        let told =
+            dissemination::recipients(&self.own(host), &self.peers(host), due, now, &mut rng);
         self.rng = rng;
         let changes = self.hosts[host].changed_at.len();
-        for to in told.near.iter().chain(&told.far) {
+        for to in told.local.iter().chain(&told.remote) {
             self.send(host, *to, host, changes, true);
         }
         let at = self.now;
         let speaker = &mut self.hosts[host];
-        for to in &told.near {
+        for to in &told.local {
             speaker.peers[*to].told = Some(at);
         }
         if let Some(pace) = told.pace {
-            speaker.schedule.keep_pace(pace);
+            speaker.schedule.set_pace(pace);
         }
         speaker.spoke = at;
         let wait = speaker.schedule.wait(now).max(NEWS_GAP);
@@ -240,12 +241,12 @@
     }
 
     fn pass(&mut self, host: usize) {
-        self.schedule(PASSING_GAP, Event::Pass { host });
+        self.schedule(RELAY_INTERVAL, Event::Pass { host });
         let heard = std::mem::take(&mut self.hosts[host].to_pass_on);
         if !self.hosts[host].is_up || heard.is_empty() {
             return;
         }
-        for to in telling::passed_on_to(&self.own(host), &self.peers(host)) {
+        for to in dissemination::relay_recipients(&self.own(host), &self.peers(host)) {
             // One datagram carries them all.
             self.hosts[host].sent += 1;
             for of in &heard {
@@ -261,8 +262,8 @@
     }
 
     fn deliver(&mut self, from: usize, to: usize, of: usize, changes: usize, is_direct: bool) {
-        let is_near = self.hosts[from].data_centre == self.hosts[to].data_centre;
-        let way = if is_near { NEAR_WAY } else { FAR_WAY };
+        let is_local = self.hosts[from].data_centre == self.hosts[to].data_centre;
+        let way = if is_local { NEAR_WAY } else { FAR_WAY };
         self.schedule(
             way,
             Event::Arrive {
@@ -279,13 +280,13 @@
             return;
         }
         let now = self.now;
-        let is_near = self.hosts[of].data_centre == self.hosts[to].data_centre;
+        let is_local = self.hosts[of].data_centre == self.hosts[to].data_centre;
         let known = self.hosts[to].peers[of].changes;
         if changes > known {
             let changed_at = &self.hosts[of].changed_at[known..changes];
             let delays = changed_at.iter().filter(|at| **at >= self.measure_from);
             let delays = delays.map(|at| now - *at);
-            match is_near {
+            match is_local {
                 true => self.near_delays.extend(delays),
                 false => self.far_delays.extend(delays),
             }
@@ -294,7 +295,7 @@
         let heard = &mut self.hosts[to].peers[of];
         heard.at = Some(now);
         heard.changes = heard.changes.max(changes);
-        if is_direct && !is_near {
+        if is_direct && !is_local {
             self.hosts[to].to_pass_on.insert(of);
         }
     }
@@ -367,7 +368,7 @@
     if !fleet.cells.is_divided() {
         let far = percentile_95(&mut fleet.far_delays);
         // Told once in a passing gap, passed on in the next.
-        let most = 2 * PASSING_GAP + Duration::from_millis(10);
+        let most = 2 * RELAY_INTERVAL + Duration::from_millis(10);
         assert!(far <= most, "{far:?}");
     }
 }
@@ -397,7 +398,7 @@
         for (number, peer) in fleet.peers(host).iter().enumerate() {
             let own_at = (own.host, own.data_centre);
             let peer_at = (peer.host, peer.data_centre.unwrap());
-            let is_together = own.cells.are_together(own_at, peer_at) && number != host;
+            let is_together = own.cells.are_in_same_cell(own_at, peer_at) && number != host;
             let is_up = fleet.hosts[number].is_up;
             assert!(!is_together || peer.is_alive == is_up, "{host} of {number}");
         }
--- a/crates/routing/tests/played/mod.rs
+++ b/crates/routing/tests/played/mod.rs
@@ -8,10 +8,10 @@
 use std::time::Instant;
 
 use notchwharf_routing::quarantine::Crash;
-use notchwharf_routing::quarantine::LifeId;
+use notchwharf_routing::quarantine::Decision;
+use notchwharf_routing::quarantine::IncarnationId;
 use notchwharf_routing::quarantine::Quarantine;
-use notchwharf_routing::quarantine::Told;
-use notchwharf_routing::quarantine::Verdict;
+use notchwharf_routing::quarantine::Report;
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -23,7 +23,7 @@
 const WAY_MS: std::ops::Range<f64> = 0.5..2.5;
 /// Time after which a crash is told once more, and what is worth it is told again.
 const TELL_GAP: Duration = Duration::from_millis(50);
-const RETELL_GAP: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which a request that waits asks again.
 const WAIT: Duration = Duration::from_millis(20);
 /// Time for which callers wait.
@@ -97,7 +97,7 @@
     Hear {
         to: usize,
         from: usize,
-        told: Box<Told>,
+        told: Box<Report>,
     },
     /// A host tells of a request once more.
     Tell {
@@ -122,8 +122,8 @@
     hosts: Vec<Host>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, Event>,
-    lives: LifeId,
-    saved: Option<Told>,
+    lives: IncarnationId,
+    saved: Option<Report>,
 }
 
 impl Fleet {
@@ -143,7 +143,7 @@
             lives: 0,
             saved: None,
         };
-        fleet.at(RETELL_GAP, Event::Retell);
+        fleet.at(REPORT_INTERVAL, Event::Retell);
         let first = match trouble {
             Trouble::PowerLoss => PLAYED / 2,
             _ => TROUBLE_GAP,
@@ -183,7 +183,7 @@
     fn tell(&mut self, from: usize, name: u128) {
         let told = self.hosts[from]
             .quarantine
-            .told(name, &from.to_string(), self.instant());
+            .report(name, &from.to_string(), self.instant());
         let Some(told) = told else {
             return;
         };
@@ -192,7 +192,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, told: &Told) {
+    fn send(&mut self, from: usize, to: usize, told: &Report) {
         let is_lost = self.trouble == Trouble::Loss && self.rng.random_bool(0.1);
         if to == from || is_lost || self.hosts[from].is_cut || self.hosts[to].is_cut {
             return;
@@ -206,7 +206,7 @@
         for from in 0..self.hosts.len() {
             let told = self.hosts[from]
                 .quarantine
-                .retold(&from.to_string(), self.instant());
+                .periodic_reports(&from.to_string(), self.instant());
             for _ in 0..2 {
                 let to = self.rng.random_range(0..self.hosts.len());
                 for told in &told {
@@ -214,7 +214,7 @@
                 }
             }
         }
-        self.at(self.now + RETELL_GAP, Event::Retell);
+        self.at(self.now + REPORT_INTERVAL, Event::Retell);
     }
 
     fn trouble(&mut self) {
@@ -225,7 +225,7 @@
                 self.hosts[host].quarantine = Quarantine::default();
                 for by in 0..self.hosts.len() {
                     let quarantine = &self.hosts[by].quarantine;
-                    for told in quarantine.retold(&by.to_string(), self.instant()) {
+                    for told in quarantine.periodic_reports(&by.to_string(), self.instant()) {
                         self.send(by, host, &told);
                     }
                 }
@@ -235,7 +235,8 @@
                 for host in &mut self.hosts {
                     host.quarantine = Quarantine::default();
                     if let Some(saved) = &self.saved {
-                        host.quarantine.take(&"store".to_owned(), saved, now);
+                        host.quarantine
+                            .merge_report(&"store".to_owned(), saved, now);
                     }
                 }
                 return;
@@ -255,7 +256,7 @@
                 let now = self.instant();
                 self.hosts[to]
                     .quarantine
-                    .take(&from.to_string(), &told, now);
+                    .merge_report(&from.to_string(), &told, now);
             }
             Event::Tell { from, name } => self.tell(from, name),
             Event::Retell => self.retell(),
@@ -266,29 +267,36 @@
         None
     }
 
-    fn admit(&mut self, request: &Request) -> Verdict {
+    fn admit(&mut self, request: &Request) -> Decision {
         let (host, now) = (request.host, self.instant());
         let quarantine = &mut self.hosts[host].quarantine;
         let verdict = match request.is_item {
-            true => quarantine.admit_owed(request.name, &host.to_string(), now),
+            true => quarantine.admit_item(request.name, &host.to_string(), now),
             false => quarantine.admit(request.name, &host.to_string(), now),
         };
-        if verdict == Verdict::Free {
+        if verdict == Decision::Admit {
             self.tell(host, request.name);
         }
         verdict
     }
 
     /// Notes a crash at the host of a request, and tells it.
-    fn crashed(&mut self, request: &Request, ran: Duration) {
+    fn record_crash(&mut self, request: &Request, run_time: Duration) {
         self.lives += 1;
         let at = self.instant();
-        let life = self.lives;
+        let incarnation = self.lives;
         let quarantine = &mut self.hosts[request.host].quarantine;
-        quarantine.crashed(request.name, Crash { life, ran, at });
-        quarantine.ended(request.name, &request.host.to_string());
-        if quarantine.crashes(request.name) >= 3 {
-            self.saved = quarantine.told(request.name, "store", at);
+        quarantine.record_crash(
+            request.name,
+            Crash {
+                incarnation,
+                run_time,
+                detected_at: at,
+            },
+        );
+        quarantine.end_run(request.name, &request.host.to_string());
+        if quarantine.crash_count(request.name) >= 3 {
+            self.saved = quarantine.report(request.name, "store", at);
         }
         self.tell(request.host, request.name);
         let (from, name) = (request.host, request.name);
@@ -318,24 +326,24 @@
             }
             match self.common(event) {
                 Some(Event::Arrive(request)) => match self.admit(&request) {
-                    Verdict::Free => {
+                    Decision::Admit => {
                         if let Some(third) = crashed_at.get(2) {
                             latest = latest.max(self.now.saturating_sub(*third));
                         }
                         let began = self.now;
-                        let ran = Duration::from_millis(self.rng.random_range(40..150));
+                        let run_time = Duration::from_millis(self.rng.random_range(40..150));
                         let event = Event::Breaks { request, began };
-                        self.at(self.now + ran, event);
-                        crashed_at.push(began + ran);
+                        self.at(self.now + run_time, event);
+                        crashed_at.push(began + run_time);
                         crashed_at.sort();
                     }
-                    Verdict::Wait => self.again(request),
-                    Verdict::Refused { .. } => {}
+                    Decision::Wait => self.again(request),
+                    Decision::Refuse { .. } => {}
                 },
                 Some(Event::Breaks { request, began }) => {
-                    let ran = self.now - began;
+                    let run_time = self.now - began;
                     self.now += LOOK;
-                    self.crashed(&request, ran);
+                    self.record_crash(&request, run_time);
                 }
                 _ => {}
             }
@@ -380,8 +388,8 @@
                 Some(Event::EndsWell { request }) => {
                     let now = self.instant();
                     let quarantine = &mut self.hosts[request.host].quarantine;
-                    quarantine.ended(request.name, &request.host.to_string());
-                    if quarantine.ended_well(request.name, now) {
+                    quarantine.end_run(request.name, &request.host.to_string());
+                    if quarantine.record_success(request.name, now) {
                         self.tell(request.host, request.name);
                     }
                 }
@@ -393,23 +401,23 @@
 
     fn run_healthy(&mut self, request: Request, share: f64, played: &mut Healthy) {
         match self.admit(&request) {
-            Verdict::Wait => return self.again(request),
-            Verdict::Refused { retry_after, .. } if request.is_item => {
+            Decision::Wait => return self.again(request),
+            Decision::Refuse { retry_after, .. } if request.is_item => {
                 played.delayed_items += 1;
                 return self.at(self.now + retry_after, Event::Arrive(request));
             }
-            Verdict::Refused { .. } => {
+            Decision::Refuse { .. } => {
                 played.refused += 1;
                 return;
             }
-            Verdict::Free => {}
+            Decision::Admit => {}
         }
         let began = self.now;
         let rate = share / CRASH_GAP.as_secs_f64();
         let crash = -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
-        let ran = Duration::from_secs_f64(crash);
-        if ran < request.left {
-            self.at(began + ran, Event::Breaks { request, began });
+        let run_time = Duration::from_secs_f64(crash);
+        if run_time < request.left {
+            self.at(began + run_time, Event::Breaks { request, began });
         } else {
             self.at(began + request.left, Event::EndsWell { request });
         }
@@ -418,11 +426,11 @@
     /// Items go on behind what is there; streams go on elsewhere, then their callers come
     /// again.
     fn break_healthy(&mut self, mut request: Request, began: Duration) {
-        let ran = self.now - began;
-        self.crashed(&request, ran);
+        let run_time = self.now - began;
+        self.record_crash(&request, run_time);
         request.runs += 1;
         if request.is_item {
-            request.left = request.left.saturating_sub(ran);
+            request.left = request.left.saturating_sub(run_time);
         } else if request.runs == RUNS_MAX {
             request.runs = 0;
             request.calls += 1;
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -9,10 +9,10 @@
 
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Crash;
-use notchwharf_routing::quarantine::LifeId;
+use notchwharf_routing::quarantine::Decision;
+use notchwharf_routing::quarantine::IncarnationId;
 use notchwharf_routing::quarantine::Quarantine;
-use notchwharf_routing::quarantine::Told;
-use notchwharf_routing::quarantine::Verdict;
+use notchwharf_routing::quarantine::Report;
 use played::Fleet;
 use played::Trouble;
 use proptest::prelude::*;
@@ -22,22 +22,26 @@
 const SOON: Duration = Duration::from_millis(80);
 const MINUTE: Duration = Duration::from_secs(60);
 
-fn crash(life: LifeId, ran: Duration, at: Instant) -> Crash {
-    Crash { life, ran, at }
+fn crash(incarnation: IncarnationId, run_time: Duration, detected_at: Instant) -> Crash {
+    Crash {
+        incarnation,
+        run_time,
+        detected_at,
+    }
 }
 
 /// Returns a quarantine in which targets crashed under a request after these times.
 fn after(ran_ms: &[u64], now: Instant) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for (life, ran_ms) in (0..).zip(ran_ms) {
-        let ran = Duration::from_millis(*ran_ms);
-        quarantine.crashed(REQUEST, crash(life, ran, now));
+    for (incarnation, ran_ms) in (0..).zip(ran_ms) {
+        let run_time = Duration::from_millis(*ran_ms);
+        quarantine.record_crash(REQUEST, crash(incarnation, run_time, now));
     }
     quarantine
 }
 
-fn is_refused(verdict: Verdict) -> bool {
-    matches!(verdict, Verdict::Refused { .. })
+fn is_refused(verdict: Decision) -> bool {
+    matches!(verdict, Decision::Refuse { .. })
 }
 
 #[rstest]
@@ -57,7 +61,7 @@
     let now = Instant::now();
     let mut quarantine = after(ran_ms, now);
     assert_eq!(is_refused(quarantine.admit(REQUEST, "a", now)), is_blamed);
-    assert_eq!(quarantine.admit(REQUEST + 1, "a", now), Verdict::Free);
+    assert_eq!(quarantine.admit(REQUEST + 1, "a", now), Decision::Admit);
 }
 
 #[test]
@@ -65,16 +69,16 @@
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
     assert_eq!(
-        quarantine.crashed(REQUEST, crash(1, SOON, now)),
-        Change::News
+        quarantine.record_crash(REQUEST, crash(1, SOON, now)),
+        Change::Updated
     );
     for _ in 0..5 {
         assert_eq!(
-            quarantine.crashed(REQUEST, crash(1, SOON, now)),
+            quarantine.record_crash(REQUEST, crash(1, SOON, now)),
             Change::None
         );
     }
-    assert_eq!(quarantine.crashes(REQUEST), 1);
+    assert_eq!(quarantine.crash_count(REQUEST), 1);
 }
 
 /// What users would see: eight targets crash under one request, where six may. A host
@@ -93,13 +97,13 @@
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut quarantine = Quarantine::default();
-    quarantine.crashed(REQUEST, crash(1, SOON, at(20)));
-    quarantine.crashed(REQUEST, crash(2, SOON, at(20)));
+    quarantine.record_crash(REQUEST, crash(1, SOON, at(20)));
+    quarantine.record_crash(REQUEST, crash(2, SOON, at(20)));
     for _ in 0..2 {
-        let life = quarantine.life_met(REQUEST, 1, at(sent_ms));
-        quarantine.crashed(REQUEST, crash(life, SOON, at(50)));
+        let incarnation = quarantine.incarnation_of_run(REQUEST, 1, at(sent_ms));
+        quarantine.record_crash(REQUEST, crash(incarnation, SOON, at(50)));
     }
-    assert_eq!(quarantine.crashes(REQUEST), crashes);
+    assert_eq!(quarantine.crash_count(REQUEST), crashes);
     let is_blamed = crashes == 3;
     assert_eq!(
         is_refused(quarantine.admit(REQUEST, "a", at(60))),
@@ -119,14 +123,14 @@
     let mut quarantine = after(ran_ms, now);
     let hosts = ["a", "b", "c", "d"];
     let verdicts = hosts.map(|host| quarantine.admit(REQUEST, host, now));
-    let free = verdicts.iter().filter(|v| **v == Verdict::Free).count();
+    let free = verdicts.iter().filter(|v| **v == Decision::Admit).count();
     assert_eq!(free, at_once);
-    quarantine.ended(REQUEST, "a");
-    assert_eq!(quarantine.admit(REQUEST, "d", now), Verdict::Free);
-    assert_eq!(quarantine.admit(REQUEST, "e", now), Verdict::Wait);
+    quarantine.end_run(REQUEST, "a");
+    assert_eq!(quarantine.admit(REQUEST, "d", now), Decision::Admit);
+    assert_eq!(quarantine.admit(REQUEST, "e", now), Decision::Wait);
     // The host may have died, and a run that lasts is not one that crashes at once.
     let later = now + Duration::from_secs(2);
-    assert_eq!(quarantine.admit(REQUEST, "e", later), Verdict::Free);
+    assert_eq!(quarantine.admit(REQUEST, "e", later), Decision::Admit);
 }
 
 #[test]
@@ -134,18 +138,18 @@
     let now = Instant::now();
     let mut there = after(&[80, 80, 80], now);
     let mut here = there.clone();
-    let told_before = there.told(REQUEST, "b", now).unwrap();
-    assert!(here.ended_well(REQUEST, now));
-    assert_eq!(here.admit(REQUEST, "a", now), Verdict::Free);
+    let told_before = there.report(REQUEST, "b", now).unwrap();
+    assert!(here.record_success(REQUEST, now));
+    assert_eq!(here.admit(REQUEST, "a", now), Decision::Admit);
     // A host that has not heard of it tells its crashes once more.
-    here.take(&"b".to_owned(), &told_before, now);
-    assert_eq!(here.admit(REQUEST, "a", now), Verdict::Free);
-    let told = here.told(REQUEST, "a", now).unwrap();
-    there.take(&"a".to_owned(), &told, now);
-    assert_eq!(there.admit(REQUEST, "b", now), Verdict::Free);
+    here.merge_report(&"b".to_owned(), &told_before, now);
+    assert_eq!(here.admit(REQUEST, "a", now), Decision::Admit);
+    let told = here.report(REQUEST, "a", now).unwrap();
+    there.merge_report(&"a".to_owned(), &told, now);
+    assert_eq!(there.admit(REQUEST, "b", now), Decision::Admit);
     // Crashes from then on count anew.
-    here.crashed(REQUEST, crash(9, SOON, now));
-    assert_eq!(here.crashes(REQUEST), 1);
+    here.record_crash(REQUEST, crash(9, SOON, now));
+    assert_eq!(here.crash_count(REQUEST), 1);
 }
 
 /// Long runs that its host ends show that targets bear it, as an item's do that is cut
@@ -162,17 +166,20 @@
 ) {
     let now = Instant::now();
     let mut quarantine = after(ran_ms, now);
-    let ran = Duration::from_millis(outlasted_ms);
-    assert_eq!(quarantine.outlasted(REQUEST, ran, now), is_cleared);
-    assert_eq!(quarantine.crashes(REQUEST) == 0, is_cleared);
+    let run_time = Duration::from_millis(outlasted_ms);
+    assert_eq!(
+        quarantine.record_survival(REQUEST, run_time, now),
+        is_cleared
+    );
+    assert_eq!(quarantine.crash_count(REQUEST) == 0, is_cleared);
 }
 
 #[test]
 fn what_is_owed_is_tried_again_soon_as_long_as_it_may_end_targets() {
     let mut now = Instant::now();
     let mut quarantine = after(&[80, 80, 80], now);
-    for (life, tries) in (100..).zip(0..3) {
-        let Verdict::Refused { retry_after, .. } = quarantine.admit_owed(REQUEST, "a", now) else {
+    for (incarnation, tries) in (100..).zip(0..3) {
+        let Decision::Refuse { retry_after, .. } = quarantine.admit_item(REQUEST, "a", now) else {
             panic!("not refused after {tries} tries");
         };
         assert!(retry_after <= MINUTE, "{retry_after:?}");
@@ -181,11 +188,11 @@
             is_refused(quarantine.admit(REQUEST, "a", now)),
             "nobody owes it"
         );
-        assert_eq!(quarantine.admit_owed(REQUEST, "a", now), Verdict::Free);
-        quarantine.crashed(REQUEST, crash(life, SOON, now));
-        quarantine.ended(REQUEST, "a");
+        assert_eq!(quarantine.admit_item(REQUEST, "a", now), Decision::Admit);
+        quarantine.record_crash(REQUEST, crash(incarnation, SOON, now));
+        quarantine.end_run(REQUEST, "a");
     }
-    assert!(is_refused(quarantine.admit_owed(
+    assert!(is_refused(quarantine.admit_item(
         REQUEST,
         "a",
         now + 10 * MINUTE
@@ -196,15 +203,15 @@
 fn a_blamed_request_is_tried_alone_after_long_and_then_kept_away_for_longer() {
     let begun = Instant::now();
     let mut quarantine = after(&[80, 80, 80], begun);
-    let Verdict::Refused { retry_after, .. } = quarantine.admit(REQUEST, "a", begun) else {
+    let Decision::Refuse { retry_after, .. } = quarantine.admit(REQUEST, "a", begun) else {
         panic!("not refused");
     };
     let then = begun + retry_after;
     assert!(is_refused(quarantine.admit(REQUEST, "a", then - SOON)));
-    quarantine.forget_old(then);
-    assert_eq!(quarantine.admit(REQUEST, "a", then), Verdict::Free);
-    assert_eq!(quarantine.admit(REQUEST, "b", then), Verdict::Wait);
-    quarantine.crashed(REQUEST, crash(9, SOON, then));
+    quarantine.evict_expired(then);
+    assert_eq!(quarantine.admit(REQUEST, "a", then), Decision::Admit);
+    assert_eq!(quarantine.admit(REQUEST, "b", then), Decision::Wait);
+    quarantine.record_crash(REQUEST, crash(9, SOON, then));
     let verdict = quarantine.admit(REQUEST, "b", then + retry_after);
     assert!(is_refused(verdict), "{verdict:?}");
 }
@@ -213,16 +220,16 @@
 fn however_often_it_is_tried_it_is_kept_away_again() {
     let mut now = Instant::now();
     let mut quarantine = after(&[80, 80, 80], now);
-    for life in 100..120 {
-        let Verdict::Refused { retry_after, .. } = quarantine.admit(REQUEST, "a", now) else {
-            panic!("not refused after {} tries", life - 100);
+    for incarnation in 100..120 {
+        let Decision::Refuse { retry_after, .. } = quarantine.admit(REQUEST, "a", now) else {
+            panic!("not refused after {} tries", incarnation - 100);
         };
         now += retry_after;
-        assert_eq!(quarantine.admit(REQUEST, "a", now), Verdict::Free);
-        let change = quarantine.crashed(REQUEST, crash(life, SOON, now));
+        assert_eq!(quarantine.admit(REQUEST, "a", now), Decision::Admit);
+        let change = quarantine.record_crash(REQUEST, crash(incarnation, SOON, now));
         assert!(matches!(change, Change::Blamed { .. }), "{change:?}");
-        quarantine.ended(REQUEST, "a");
-        quarantine.forget_old(now);
+        quarantine.end_run(REQUEST, "a");
+        quarantine.evict_expired(now);
     }
 }
 
@@ -230,9 +237,9 @@
 fn suspects_that_never_come_again_are_forgotten() {
     let now = Instant::now();
     let mut quarantine = after(&[80], now);
-    quarantine.forget_old(now + MINUTE);
+    quarantine.evict_expired(now + MINUTE);
     assert_eq!(quarantine.len(), 1);
-    quarantine.forget_old(now + 10 * MINUTE);
+    quarantine.evict_expired(now + 10 * MINUTE);
     assert!(quarantine.is_empty());
 }
 
@@ -241,7 +248,7 @@
     let now = Instant::now();
     let mut quarantine = after(&[80, 80, 80], now);
     for number in 0..100_000 {
-        quarantine.crashed(1_000 + number, crash(1, SOON, now + MINUTE));
+        quarantine.record_crash(1_000 + number, crash(1, SOON, now + MINUTE));
     }
     assert!(quarantine.len() < 20_000, "{}", quarantine.len());
     assert!(is_refused(quarantine.admit(REQUEST, "a", now + MINUTE)));
@@ -249,23 +256,31 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Crash { host: usize, life: LifeId },
-    EndsWell { host: usize },
-    Tell { from: usize, to: usize },
+    Crash {
+        host: usize,
+        incarnation: IncarnationId,
+    },
+    EndsWell {
+        host: usize,
+    },
+    Tell {
+        from: usize,
+        to: usize,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..3usize, 0..6u64).prop_map(|(host, life)| Step::Crash { host, life }),
+        4 => (0..3usize, 0..6u64).prop_map(|(host, incarnation)| Step::Crash { host, incarnation }),
         1 => (0..3usize).prop_map(|host| Step::EndsWell { host }),
         4 => (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Tell { from, to }),
     ]
 }
 
 fn tell(hosts: &mut [Quarantine], from: usize, to: usize, now: Instant) {
-    let told: Option<Told> = hosts[from].told(REQUEST, &from.to_string(), now);
+    let told: Option<Report> = hosts[from].report(REQUEST, &from.to_string(), now);
     if let Some(told) = told {
-        hosts[to].take(&from.to_string(), &told, now);
+        hosts[to].merge_report(&from.to_string(), &told, now);
     }
 }
 
@@ -278,11 +293,11 @@
         let mut hosts = vec![Quarantine::default(); 3];
         for step in steps {
             match step {
-                Step::Crash { host, life } => {
-                    hosts[host].crashed(REQUEST, crash(life, SOON, now));
+                Step::Crash { host, incarnation } => {
+                    hosts[host].record_crash(REQUEST, crash(incarnation, SOON, now));
                 }
                 Step::EndsWell { host } => {
-                    hosts[host].ended_well(REQUEST, now);
+                    hosts[host].record_success(REQUEST, now);
                 }
                 Step::Tell { from, to } => tell(&mut hosts, from, to, now),
             }
@@ -292,7 +307,7 @@
                 tell(&mut hosts, from, to, now);
             }
         }
-        let crashes: Vec<u32> = hosts.iter().map(|host| host.crashes(REQUEST)).collect();
+        let crashes: Vec<u32> = hosts.iter().map(|host| host.crash_count(REQUEST)).collect();
         prop_assert!(crashes.iter().all(|c| *c == crashes[0]), "{:?}", crashes);
         let refused = hosts.iter_mut().map(|host| is_refused(host.admit(REQUEST, "x", now)));
         let refused: Vec<bool> = refused.collect();
--- a/crates/server/src/quarantine.rs
+++ b/crates/server/src/quarantine.rs
@@ -17,20 +17,20 @@
 use notchwharf_proto::datagram;
 use notchwharf_proto::datagram::Datagram;
 use notchwharf_proto::news;
-use notchwharf_quarantine::gate::KeptBack;
-use notchwharf_quarantine::gate::Trial;
-use notchwharf_quarantine::news::RETELL_GAP;
-use notchwharf_quarantine::news::RETOLD_HOSTS;
-use notchwharf_quarantine::news::decode;
-use notchwharf_quarantine::news::encode;
-use notchwharf_quarantine::news::tell_changes;
+use notchwharf_quarantine::gate::Blocked;
+use notchwharf_quarantine::gate::RunGuard;
+use notchwharf_quarantine::reports::REPORT_FANOUT;
+use notchwharf_quarantine::reports::REPORT_INTERVAL;
+use notchwharf_quarantine::reports::decode;
+use notchwharf_quarantine::reports::encode;
+use notchwharf_quarantine::reports::send_changes;
 use notchwharf_routing::fingerprint;
 use notchwharf_routing::fingerprint::Content;
 use notchwharf_routing::fingerprint::Fingerprint;
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Crash;
-use notchwharf_routing::quarantine::LifeId;
-use notchwharf_routing::quarantine::Told;
+use notchwharf_routing::quarantine::IncarnationId;
+use notchwharf_routing::quarantine::Report;
 use notchwharf_routing::table::Refusal;
 use rand::seq::IteratorRandom as _;
 use xxhash_rust::xxh3::xxh3_64;
@@ -46,8 +46,8 @@
 /// Starts to tell other hosts of suspects.
 pub(crate) fn start(ctx: &Arc<Context>) {
     let told_by = Arc::clone(ctx);
-    let tell = move |told: &Told| send(&told_by, std::slice::from_ref(told), usize::MAX);
-    tokio::spawn(tell_changes(Arc::clone(&ctx.suspects), tell));
+    let tell = move |told: &Report| send(&told_by, std::slice::from_ref(told), usize::MAX);
+    tokio::spawn(send_changes(Arc::clone(&ctx.suspects), tell));
     tokio::spawn(retell(Arc::clone(ctx)));
 }
 
@@ -57,15 +57,15 @@
 /// # Errors
 ///
 /// Returns why it must not; nothing ran by this try.
-pub(crate) async fn admit(ctx: &Context, req: &Request) -> Result<Option<Trial>, Failure> {
+pub(crate) async fn admit(ctx: &Context, req: &Request) -> Result<Option<RunGuard>, Failure> {
     let gate = &ctx.suspects;
     if gate.is_empty() {
         return Ok(None);
     }
     let admitted = gate.admit(fingerprint_of(req), req.deadline).await;
     admitted.map_err(|kept_back| match kept_back {
-        KeptBack::Refused { retry_after, .. } => Failure::Crashing { retry_after },
-        KeptBack::Waiting => Failure::NotRun(Refusal::Full {
+        Blocked::Refused { retry_after, .. } => Failure::Crashing { retry_after },
+        Blocked::Waiting => Failure::NotRun(Refusal::Full {
             retry_after: RETRY_AFTER,
         }),
     })
@@ -78,19 +78,19 @@
         return;
     }
     let fingerprint = fingerprint_of(req);
-    if let Some(crashes) = gate.ended_well(fingerprint) {
+    if let Some(crashes) = gate.record_success(fingerprint) {
         slog::info!(ctx.logger, "request cleared"; "crashes" => crashes,
-            "fingerprint" => fingerprint::text(fingerprint));
+            "fingerprint" => fingerprint::to_hex(fingerprint));
     }
 }
 
 /// Returns what names the present life of a target, to all hosts alike.
-pub(crate) fn life_of(ctx: &Context, target: &str) -> Option<LifeId> {
+pub(crate) fn life_of(ctx: &Context, target: &str) -> Option<IncarnationId> {
     let incarnation = ctx.view().targets.get(target)?.incarnation;
     Some(life(target, incarnation))
 }
 
-fn life(target: &str, incarnation: u64) -> LifeId {
+fn life(target: &str, incarnation: u64) -> IncarnationId {
     xxh3_64(format!("{target}/{incarnation}").as_bytes())
 }
 
@@ -99,7 +99,7 @@
     ctx: &Context,
     req: &Request,
     target: &str,
-    before: Option<LifeId>,
+    before: Option<IncarnationId>,
     ran: Duration,
 ) {
     let at = Instant::now();
@@ -115,15 +115,15 @@
     }
     let fingerprint = fingerprint_of(req);
     let crash = Crash {
-        life: before,
-        ran,
-        at,
+        incarnation: before,
+        run_time: ran,
+        detected_at: at,
     };
-    let change = ctx.suspects.crashed(fingerprint, crash);
+    let change = ctx.suspects.record_crash(fingerprint, crash);
     slog::info!(ctx.logger, "target crashed under a request"; "target" => target,
         "id" => req.question.request_id.as_str(), "ran_ms" => ran.as_millis(),
-        "crashes" => ctx.suspects.crashes(fingerprint),
-        "fingerprint" => fingerprint::text(fingerprint));
+        "crashes" => ctx.suspects.crash_count(fingerprint),
+        "fingerprint" => fingerprint::to_hex(fingerprint));
     note_blamed(ctx, fingerprint, change, ctx.host());
 }
 
@@ -131,7 +131,7 @@
 pub(crate) fn take(ctx: &Context, told: &news::Suspects) {
     for suspect in &told.suspects {
         let told_one = decode(suspect);
-        let change = ctx.suspects.take(&told.host, &told_one);
+        let change = ctx.suspects.merge_report(&told.host, &told_one);
         note_blamed(ctx, told_one.fingerprint, change, &told.host);
     }
 }
@@ -139,22 +139,22 @@
 fn note_blamed(ctx: &Context, fingerprint: Fingerprint, change: Change, by: &str) {
     if let Change::Blamed { crashes } = change {
         slog::warn!(ctx.logger, "request blamed for crashes"; "crashes" => crashes,
-            "fingerprint" => fingerprint::text(fingerprint), "told_by" => by);
+            "fingerprint" => fingerprint::to_hex(fingerprint), "told_by" => by);
     }
 }
 
 /// Tells others again until the host stops.
 async fn retell(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(RETELL_GAP);
+    let mut ticks = ctx.timer.subscribe(REPORT_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         if !ctx.suspects.is_empty() {
-            send(&ctx, &ctx.suspects.retold(), RETOLD_HOSTS);
+            send(&ctx, &ctx.suspects.periodic_reports(), REPORT_FANOUT);
         }
     }
 }
 
 /// Sends what is known of suspects to so many other hosts, drawn at random.
-fn send(ctx: &Context, told: &[Told], hosts: usize) {
+fn send(ctx: &Context, told: &[Report], hosts: usize) {
     let Some(socket) = ctx.notices.get() else {
         return;
     };
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -5,15 +5,15 @@
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use notchwharf_startup::{Need, Startup};
+//! use notchwharf_startup::{Dependency, Startup};
 //!
 //! # tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap().block_on(async {
 //! let logger = slog::Logger::root(slog::Discard, slog::o!());
 //! let startup = Startup::new(Duration::from_millis(5), logger);
 //! let deadline = Instant::now() + Duration::from_secs(1);
-//! assert!(!startup.wait_for(Need::Routes, deadline).await);
-//! startup.note(Need::Routes, "store");
-//! assert!(startup.wait_for(Need::Routes, deadline).await);
+//! assert!(!startup.wait_ready_until(Dependency::Routes, deadline).await);
+//! startup.mark_ready(Dependency::Routes, "store");
+//! assert!(startup.wait_ready_until(Dependency::Routes, deadline).await);
 //! # });
 //! ```
 //!
@@ -29,7 +29,7 @@
 
 /// Something that a request needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Dependency {
     /// The configuration.
     Routes,
     /// The list of targets.
@@ -40,7 +40,7 @@
     Limits,
 }
 
-impl Need {
+impl Dependency {
     const COUNT: usize = 4;
 
     /// Returns the name by which logs call it.
@@ -60,7 +60,7 @@
     started: Instant,
     logger: slog::Logger,
     wait: Duration,
-    had: [watch::Sender<bool>; Need::COUNT],
+    had: [watch::Sender<bool>; Dependency::COUNT],
 }
 
 impl Startup {
@@ -77,41 +77,41 @@
 
     /// Notes that something is there, and from where it came; what comes later says
     /// nothing new.
-    pub fn note(&self, need: Need, source: &str) {
+    pub fn mark_ready(&self, dependency: Dependency, source: &str) {
         // Asked first: some note what they have with each request.
-        if self.has(need) || self.had[need as usize].send_replace(true) {
+        if self.is_ready(dependency) || self.had[dependency as usize].send_replace(true) {
             return;
         }
-        let took_ms = u64::try_from(self.age().as_millis()).unwrap_or(u64::MAX);
-        slog::info!(self.logger, "need of the start met"; "need" => need.label(),
+        let took_ms = u64::try_from(self.uptime().as_millis()).unwrap_or(u64::MAX);
+        slog::info!(self.logger, "need of the start met"; "need" => dependency.label(),
             "source" => source, "took_ms" => took_ms);
     }
 
     /// Returns whether something is there.
-    pub fn has(&self, need: Need) -> bool {
-        *self.had[need as usize].borrow()
+    pub fn is_ready(&self, dependency: Dependency) -> bool {
+        *self.had[dependency as usize].borrow()
     }
 
     /// Returns the time since the host started.
-    pub fn age(&self) -> Duration {
+    pub fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
 
     /// Waits until something is there, as long as that takes.
-    pub async fn until(&self, need: Need) {
-        if self.has(need) {
+    pub async fn wait_ready(&self, dependency: Dependency) {
+        if self.is_ready(dependency) {
             return;
         }
-        let mut had = self.had[need as usize].subscribe();
+        let mut had = self.had[dependency as usize].subscribe();
         // The sender lives as long as this does.
         let _ = had.wait_for(|had| *had).await;
     }
 
     /// Waits for something as long as a request may, at most until its deadline; returns
     /// whether it is there.
-    pub async fn wait_for(&self, need: Need, deadline: Instant) -> bool {
+    pub async fn wait_ready_until(&self, dependency: Dependency, deadline: Instant) -> bool {
         let until = deadline.min(Instant::now() + self.wait);
-        let waited = tokio::time::timeout_at(until.into(), self.until(need));
+        let waited = tokio::time::timeout_at(until.into(), self.wait_ready(dependency));
         waited.await.is_ok()
     }
 }
--- a/crates/startup/tests/startup.rs
+++ b/crates/startup/tests/startup.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_startup::Need;
+use notchwharf_startup::Dependency;
 use notchwharf_startup::Startup;
 use rstest::rstest;
 
@@ -15,15 +15,15 @@
 }
 
 #[rstest]
-#[case(Need::Routes)]
-#[case(Need::Targets)]
-#[case(Need::Suspects)]
-#[case(Need::Limits)]
+#[case(Dependency::Routes)]
+#[case(Dependency::Targets)]
+#[case(Dependency::Suspects)]
+#[case(Dependency::Limits)]
 #[tokio::test]
-async fn whoever_waits_goes_on_when_it_is_there(#[case] need: Need) {
+async fn whoever_waits_goes_on_when_it_is_there(#[case] dependency: Dependency) {
     let startup = startup(LONG);
-    let waits = startup.wait_for(need, Instant::now() + LONG);
-    let gets = async { startup.note(need, "store") };
+    let waits = startup.wait_ready_until(dependency, Instant::now() + LONG);
+    let gets = async { startup.mark_ready(dependency, "store") };
     let (is_there, ()) = tokio::join!(waits, gets);
     assert!(is_there);
 }
@@ -34,15 +34,23 @@
 #[tokio::test]
 async fn it_waits(#[case] wait: Duration, #[case] left: Duration) {
     let startup = startup(wait);
-    startup.note(Need::Targets, "store");
-    assert!(!startup.wait_for(Need::Routes, Instant::now() + left).await);
+    startup.mark_ready(Dependency::Targets, "store");
+    assert!(
+        !startup
+            .wait_ready_until(Dependency::Routes, Instant::now() + left)
+            .await
+    );
 }
 
 #[tokio::test]
 async fn what_is_there_stays_there_and_needs_no_time() {
     let startup = startup(Duration::ZERO);
-    startup.note(Need::Routes, "store");
-    startup.note(Need::Routes, "peer");
-    assert!(startup.has(Need::Routes));
-    assert!(startup.wait_for(Need::Routes, Instant::now()).await);
+    startup.mark_ready(Dependency::Routes, "store");
+    startup.mark_ready(Dependency::Routes, "peer");
+    assert!(startup.is_ready(Dependency::Routes));
+    assert!(
+        startup
+            .wait_ready_until(Dependency::Routes, Instant::now())
+            .await
+    );
 }
