--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -14,10 +14,10 @@
 use notchwharf_proto::messages::Status;
 use notchwharf_routing::balancer::Load;
 use notchwharf_routing::balancer::TargetKey;
+use notchwharf_routing::dissemination::Due;
+use notchwharf_routing::dissemination::Pace;
+use notchwharf_routing::dissemination::Schedule;
 use notchwharf_routing::items::peer_queues::QueuedItems;
-use notchwharf_routing::telling::Due;
-use notchwharf_routing::telling::Pace;
-use notchwharf_routing::telling::Schedule;
 use tokio::net::UdpSocket;
 
 use super::Peer;
@@ -100,7 +100,7 @@
             tell(&ctx, number, due, socket)
         });
         if let Some(pace) = pace {
-            schedule.keep_pace(pace);
+            schedule.set_pace(pace);
         }
         tokio::time::sleep(gap).await;
     }
@@ -127,7 +127,7 @@
 /// than it last told them. Those whose places are shared by an order know of no others'
 /// requests there but by this: passed on, the news comes too late.
 fn changed_elsewhere(ctx: &Context, due: Due) -> Vec<SocketAddr> {
-    if !due.near || !ctx.waiting.is_on() {
+    if !due.local || !ctx.waiting.is_on() {
         return Vec::new();
     }
     let now = lock(&ctx.places).own_remote_loads(&ctx.settings.host.data_centre);
