--- a/crates/membership/examples/gossip_bytes.rs
+++ b/crates/membership/examples/gossip_bytes.rs
@@ -1,8 +1,8 @@
-//! Bytes a second that gossip costs a host, against the number of hosts.
+//! Bytes per second that gossip sends per host, by the number of hosts.
 //!
-//! Hosts exchange datagrams in memory and simulated time, with as much news as
-//! the size to design for brings, in proportion to the hosts: targets whose
-//! report changes, shards that move, backlogs that come and go, bundles.
+//! Hosts exchange datagrams in memory and simulated time. Facts change at the rates of the
+//! largest supported fleet, scaled by the number of hosts: reports of targets, holders of
+//! shards, backlogs and bundles.
 //!
 //! ```sh
 //! cargo run --release -p notchwharf-membership --example gossip_bytes
@@ -23,30 +23,30 @@
 const STEP: Duration = Duration::from_millis(20);
 const STEPS_PER_S: u64 = 50;
 const RUN_S: u64 = 30;
-/// IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram.
 const HEADER_BYTES: usize = 28;
 const TARGETS_PER_HOST: u64 = 4;
 const DAY_S: f64 = 86_400.0;
 
-/// News of the whole fleet a second, for so many hosts.
-struct News {
-    /// Targets that load something: each bundle changes some replicas.
+/// Changes per second in the whole fleet.
+struct ChangeRates {
+    /// Targets that load a serving, since each bundle changes some replicas.
     targets: f64,
-    /// Shards whose holder changes, by deaths and restarts.
+    /// Shards whose holder changes because of failures and restarts.
     shards: f64,
-    /// Hosts whose list of servings with items changes.
+    /// Hosts whose set of servings with batch items changes.
     backlogs: f64,
-    /// Bundles.
+    /// New bundles.
     bundles: f64,
 }
 
-impl News {
+impl ChangeRates {
     fn of(hosts: usize) -> Self {
-        let part = hosts as f64 / 360.0;
+        let share = hosts as f64 / 360.0;
         Self {
-            targets: 1_300.0 * 4.0 / DAY_S * part,
-            shards: 160.0 * 2.0 / DAY_S * part,
-            backlogs: 77_000.0 * 2.0 / DAY_S * part,
+            targets: 1_300.0 * 4.0 / DAY_S * share,
+            shards: 160.0 * 2.0 / DAY_S * share,
+            backlogs: 77_000.0 * 2.0 / DAY_S * share,
             bundles: 1_300.0 / DAY_S,
         }
     }
@@ -54,18 +54,18 @@
 
 fn main() {
     println!(
-        "hosts  bytes/s a host  datagrams/s a host  with news, bytes/s  facts  us of a core/s"
+        "hosts  bytes/s a host  datagrams/s a host  under load bytes/s  facts  us of a core/s"
     );
     for hosts in [9, 36, 120, 360] {
-        let (quiet, datagrams, _, _) = run(hosts, None);
-        let (busy, _, facts, cpu_us) = run(hosts, Some(News::of(hosts)));
+        let (idle, datagrams, _, _) = run(hosts, None);
+        let (loaded, _, facts, cpu_us) = run(hosts, Some(ChangeRates::of(hosts)));
         println!(
-            "{hosts:5}  {quiet:14.0}  {datagrams:18.2}  {busy:18.0}  {facts:5}  {cpu_us:14.0}"
+            "{hosts:5}  {idle:14.0}  {datagrams:18.2}  {loaded:18.0}  {facts:5}  {cpu_us:14.0}"
         );
     }
 }
 
-fn run(count: usize, news: Option<News>) -> (f64, f64, usize, f64) {
+fn run(count: usize, rates: Option<ChangeRates>) -> (f64, f64, usize, f64) {
     let start = Instant::now();
     let mut now = start;
     let mut hosts: Vec<Gossip> = (0..count).map(|i| host(i, now)).collect();
@@ -78,12 +78,12 @@
             host.step(now, Input::Fact(fact.clone()));
         }
     }
-    // What all know already is told for a while; it does not count.
-    let warm = run_for(&mut hosts, &mut now, 20, None);
-    let _ = warm;
-    let began = Instant::now();
-    let (bytes, datagrams) = run_for(&mut hosts, &mut now, RUN_S, news.as_ref());
-    let cpu_us = began.elapsed().as_micros() as f64;
+    // The initial facts are sent until their send counts are used up; this is not measured.
+    let warmed_up = run_for(&mut hosts, &mut now, 20, None);
+    let _ = warmed_up;
+    let started = Instant::now();
+    let (bytes, datagrams) = run_for(&mut hosts, &mut now, RUN_S, rates.as_ref());
+    let cpu_us = started.elapsed().as_micros() as f64;
     let per = |n: usize| n as f64 / RUN_S as f64 / count as f64;
     let facts = hosts[0].hosts().count() + hosts[0].targets().count();
     (
@@ -98,20 +98,20 @@
     hosts: &mut [Gossip],
     now: &mut Instant,
     seconds: u64,
-    news: Option<&News>,
+    rates: Option<&ChangeRates>,
 ) -> (usize, usize) {
     let (mut bytes, mut datagrams) = (0, 0);
-    let mut due = [0.0_f64; 4];
+    let mut pending = [0.0_f64; 4];
     let mut serial = 1;
     for step in 0..seconds * STEPS_PER_S {
         *now += STEP;
         let mut inputs = Vec::new();
-        if let Some(news) = news {
-            let rates = [news.targets, news.shards, news.backlogs, news.bundles];
-            for (kind, rate) in rates.iter().enumerate() {
-                due[kind] += rate / STEPS_PER_S as f64;
-                if due[kind] >= 1.0 {
-                    due[kind] -= 1.0;
+        if let Some(rates) = rates {
+            let per_s = [rates.targets, rates.shards, rates.backlogs, rates.bundles];
+            for (kind, rate) in per_s.iter().enumerate() {
+                pending[kind] += rate / STEPS_PER_S as f64;
+                if pending[kind] >= 1.0 {
+                    pending[kind] -= 1.0;
                     serial += 1;
                     inputs.push((step as usize * 7 % hosts.len(), fact(kind, serial)));
                 }
@@ -159,8 +159,8 @@
         peer_url: format!("http://10.0.0.1:{port}"),
         data_centre: format!("dc-{}", index % 19),
     };
-    let cfg = Config::new(&format!("host-{index}"));
-    Gossip::new(cfg, 1_790_000_000_000, address, index as u64, now)
+    let config = Config::new(&format!("host-{index}"));
+    Gossip::new(config, 1_790_000_000_000, address, index as u64, now)
 }
 
 fn target(index: u64, serial: u64) -> Fact {
--- a/crates/membership/src/fact.rs
+++ b/crates/membership/src/fact.rs
@@ -1,8 +1,8 @@
-//! What hosts tell one another, and how two reports merge.
+//! The replicated facts, and how two reports on the same subject merge.
 //!
-//! Merging is commutative, associative and idempotent, so hosts that have
-//! heard the same facts agree, in whatever order and however often they heard
-//! them. A leaving mark holds for an incarnation and is never lifted.
+//! Merging is commutative, associative and idempotent, so hosts that have received the same
+//! facts agree, regardless of order and repetition. Once set, a `leaving` flag remains set
+//! for the incarnation.
 //!
 //! ```
 //! use notchwharf_membership::fact::Host;
@@ -26,22 +26,22 @@
 /// The number of a shard.
 pub type ShardId = u32;
 
-/// Something that one host tells another.
+/// A fact that hosts replicate among one another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fact {
-    /// How a host is.
+    /// The state of a host.
     Host(HostId, Host),
-    /// How a target is.
+    /// The state of a target.
     Target(TargetId, Target),
-    /// Who holds a shard.
+    /// The holder of a shard's lease.
     Shard(ShardId, Holder),
-    /// Which servings a host has batch items for.
+    /// The servings for which a host has batch items.
     Backlog(HostId, Backlog),
-    /// The newest version of the bundle that anybody has.
+    /// The newest known version of the bundle.
     Bundle(u64),
 }
 
-/// What a fact is about.
+/// The subject of a fact.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Key {
     /// A host.
@@ -56,64 +56,64 @@
     Bundle,
 }
 
-/// How a host is.
+/// The state of a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// A number that grows with each start.
+    /// Increases with each start.
     pub incarnation: u64,
-    /// Whether it is leaving; sticks for the incarnation.
+    /// Whether it is leaving; never reset within an incarnation.
     pub leaving: bool,
-    /// A number that the host raises to deny that it is down.
+    /// A counter that the host increments to refute a suspicion.
     pub beat: u32,
-    /// How its peers find it.
+    /// Its health as observed by its peers.
     pub health: Health,
-    /// Where it answers.
+    /// Its addresses, if known.
     pub addr: Option<Address>,
 }
 
-/// How peers find a host.
+/// The health of a host as observed by its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
-    /// It answers.
+    /// The host responds.
     #[default]
     Alive,
-    /// It did not answer lately.
+    /// The host failed to respond to a probe.
     Suspect,
-    /// It is taken for dead.
+    /// The host is considered dead.
     Down,
 }
 
-/// Where a host answers.
+/// The addresses of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Address {
-    /// Gossip.
+    /// The address for gossip.
     pub gossip: SocketAddr,
-    /// Other hosts.
+    /// The URL at which other hosts call it.
     pub peer_url: String,
-    /// The data centre.
+    /// The data centre of the host.
     pub data_centre: String,
 }
 
-/// How a target is.
+/// The state of a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// A number that grows with each start.
+    /// Increases with each start.
     pub incarnation: u64,
-    /// Whether it is leaving; sticks for the incarnation.
+    /// Whether it is leaving; never reset within an incarnation.
     pub leaving: bool,
-    /// The reporter's lease epoch and report number; the highest counts.
+    /// The reporter's lease epoch and the number of the report; the highest takes precedence.
     pub order: (u64, u64),
-    /// The host that holds the target's lease.
+    /// The host that holds the lease on the target.
     pub holder: Option<HostId>,
-    /// Whether it answers its holder.
+    /// Whether it responds to its holder.
     pub answers: bool,
-    /// The classes it serves: see the target protocol.
+    /// The classes of work that it serves, as encoded by the target protocol.
     pub role: u8,
-    /// Fingerprints of what it can serve.
+    /// Fingerprints of the servings that it has loaded.
     pub holds: Vec<String>,
 }
 
-/// Who holds a shard.
+/// The holder of a shard's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The epoch of the lease.
@@ -122,17 +122,17 @@
     pub host: HostId,
 }
 
-/// Which servings a host has batch items for.
+/// The servings for which a host has batch items.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backlog {
-    /// The host's incarnation and report number; the highest counts.
+    /// The host's incarnation and the number of the report; the highest takes precedence.
     pub order: (u64, u64),
     /// The servings.
     pub servings: Vec<String>,
 }
 
 impl Fact {
-    /// Returns what the fact is about.
+    /// Returns the subject of the fact.
     pub fn key(&self) -> Key {
         match self {
             Self::Host(id, _) => Key::Host(id.clone()),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Merges a report about the same thing in; returns whether it was news.
+    /// Merges a report on the same subject; returns whether this changed anything.
     pub fn merge(&mut self, other: &Self) -> bool {
         let before = self.clone();
         match (&mut *self, other) {
@@ -160,14 +160,14 @@
                 }
             }
             (Self::Bundle(a), Self::Bundle(b)) => *a = (*a).max(*b),
-            _ => debug_assert!(false, "Only facts of one key merge."),
+            _ => debug_assert!(false, "Only facts with the same key can be merged."),
         }
         *self != before
     }
 }
 
 impl Host {
-    /// Merges another report in.
+    /// Merges another report.
     pub fn merge(&mut self, other: &Self) {
         if other.incarnation != self.incarnation {
             if other.incarnation > self.incarnation {
@@ -185,14 +185,14 @@
         }
     }
 
-    /// Returns whether the host can be given work.
+    /// Returns whether the host can be assigned work.
     pub fn is_live(&self) -> bool {
         !self.leaving && self.health != Health::Down
     }
 }
 
 impl Target {
-    /// Merges another report in.
+    /// Merges another report.
     pub fn merge(&mut self, other: &Self) {
         if other.incarnation != self.incarnation {
             if other.incarnation > self.incarnation {
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,8 +1,10 @@
-//! Whom to probe, what to tell, and who is taken for dead.
+//! Failure detection and dissemination of facts by gossip.
 //!
-//! Each host probes one peer in turn, asks others to probe for it before it
-//! suspects, and lets a suspect deny it before it counts as down. Facts ride
-//! on probes and their answers. Feed [`Gossip::step`] and send what it says.
+//! As in SWIM, each host probes its peers one at a time. A peer that does not respond is
+//! probed indirectly through other hosts before it is suspected, and a suspected host may
+//! refute the suspicion before it is considered down. Facts are piggybacked on probes and
+//! their acknowledgements. The caller passes inputs to [`Gossip::step`] and sends the
+//! datagrams that it returns.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -22,9 +24,9 @@
 //! assert_eq!(out.sends[0].0, address(2).gossip);
 //! ```
 //!
-//! The price of probing one peer at a time is that a death is noticed after a
-//! probe round and the suspicion time, a few seconds, and not at once. What
-//! must be known faster comes from failed calls.
+//! Since only one peer is probed at a time, a dead host is detected only after a round of
+//! probes and the suspicion timeout, which takes a few seconds. Failures that must be detected
+//! faster are detected by failed calls.
 
 mod probe;
 
@@ -40,6 +42,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::dissemination::Dissemination;
+use crate::dissemination::encoded_len;
 use crate::fact::Address;
 use crate::fact::Fact;
 use crate::fact::Health;
@@ -47,33 +51,31 @@
 use crate::fact::HostId;
 use crate::fact::Key;
 use crate::fact::Target;
-use crate::spread::Spread;
-use crate::spread::encoded_len;
 
 use self::probe::Probe;
 
-/// Bytes of facts in one datagram, so that it fits an Ethernet frame.
+/// Maximum size of the facts in a datagram, so that it fits an Ethernet frame.
 const FACTS_BYTES_MAX: usize = 1_100;
-/// Least time between two tellings of news apart from probes.
-const PUSH_PAUSE: Duration = Duration::from_millis(40);
-/// Peers told of news at a time.
-const PUSH_PEERS: usize = 2;
-/// Least time between two full tellings to one peer.
-const SYNC_PAUSE: Duration = Duration::from_secs(5);
-
-/// How gossip behaves.
+/// Minimum time between two pushes of pending facts outside of probes.
+const PUSH_INTERVAL_MIN: Duration = Duration::from_millis(40);
+/// Peers per push.
+const PUSH_FANOUT: usize = 2;
+/// Minimum time between two transfers of all facts to the same peer.
+const SYNC_INTERVAL_MIN: Duration = Duration::from_secs(5);
+
+/// Configuration of gossip.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This host.
+    /// The name of this host.
     pub host: HostId,
     /// Time between two probes.
     pub probe_interval: Duration,
-    /// Time a suspect has to deny it.
+    /// Time within which a suspected host may refute the suspicion.
     pub suspicion_timeout: Duration,
 }
 
 impl Config {
-    /// Returns a configuration that suits hosts a few milliseconds apart.
+    /// Returns a configuration for hosts with a round trip of a few milliseconds.
     pub fn new(host: &str) -> Self {
         Self {
             host: host.into(),
@@ -83,23 +85,23 @@
     }
 }
 
-/// What happened.
+/// An input of the protocol.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// A datagram came.
+    /// A datagram was received.
     Datagram(Vec<u8>),
-    /// A fact is known from elsewhere: the list, a call, this host itself.
+    /// A fact from another source: the host list, a call, or this host itself.
     Fact(Fact),
-    /// This host leaves.
+    /// This host is leaving.
     Leave,
 }
 
-/// What is to be done, and what is news.
+/// Datagrams to send and facts that changed.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Datagrams to send.
+    /// Datagrams to send, with their destinations.
     pub sends: Vec<(SocketAddr, Vec<u8>)>,
     /// Facts that changed.
     pub changed: Vec<Fact>,
@@ -115,24 +117,24 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Kind {
-    /// Answer, please; the second field is for whom the sender asks.
+    /// A probe with its sequence number, and the host that requested it if it is indirect.
     Ping(u64, Option<HostId>),
-    /// The answer to a ping.
+    /// Acknowledges a probe.
     Ack(u64, Option<HostId>),
-    /// Probe that host for the sender, please.
+    /// Requests an indirect probe of the named host.
     Help(u64, HostId),
-    /// Nothing but facts.
+    /// Carries only facts.
     Tell,
 }
 
-/// What a host knows of the fleet.
+/// The gossip state of a host.
 pub struct Gossip {
-    cfg: Config,
-    spread: Spread,
-    suspects: BTreeMap<HostId, Instant>,
-    synced: HashMap<HostId, Instant>,
-    round: Vec<HostId>,
-    telling: Vec<HostId>,
+    config: Config,
+    dissemination: Dissemination,
+    suspected_at: BTreeMap<HostId, Instant>,
+    synced_at: HashMap<HostId, Instant>,
+    probe_order: Vec<HostId>,
+    push_order: Vec<HostId>,
     probe: Option<Probe>,
     next_probe: Instant,
     next_push: Instant,
@@ -142,24 +144,24 @@
 }
 
 impl Gossip {
-    /// Returns the gossip of a host that knows only itself.
-    pub fn new(cfg: Config, incarnation: u64, addr: Address, seed: u64, now: Instant) -> Self {
-        let me = Host {
+    /// Returns the state of a host that knows only itself.
+    pub fn new(config: Config, incarnation: u64, addr: Address, seed: u64, now: Instant) -> Self {
+        let this_host = Host {
             incarnation,
             addr: Some(addr),
             ..Host::default()
         };
-        let mut spread = Spread::default();
-        spread.merge(Fact::Host(cfg.host.clone(), me));
+        let mut dissemination = Dissemination::default();
+        dissemination.merge(Fact::Host(config.host.clone(), this_host));
         Self {
-            next_probe: now + cfg.probe_interval,
+            next_probe: now + config.probe_interval,
             next_push: now,
-            cfg,
-            spread,
-            suspects: BTreeMap::new(),
-            synced: HashMap::new(),
-            round: Vec::new(),
-            telling: Vec::new(),
+            config,
+            dissemination,
+            suspected_at: BTreeMap::new(),
+            synced_at: HashMap::new(),
+            probe_order: Vec::new(),
+            push_order: Vec::new(),
             probe: None,
             seq: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -169,79 +171,79 @@
 
     /// Returns the fact about this host itself.
     pub fn own_fact(&self) -> Fact {
-        Fact::Host(self.cfg.host.clone(), self.own())
+        Fact::Host(self.config.host.clone(), self.own_state())
     }
 
-    /// Returns the hosts known.
+    /// Returns the known hosts.
     pub fn hosts(&self) -> impl Iterator<Item = (&HostId, &Host)> {
-        self.spread.facts().filter_map(|fact| match fact {
+        self.dissemination.facts().filter_map(|fact| match fact {
             Fact::Host(id, host) => Some((id, host)),
             _ => None,
         })
     }
 
-    /// Returns the targets known.
+    /// Returns the known targets.
     pub fn targets(&self) -> impl Iterator<Item = (&String, &Target)> {
-        self.spread.facts().filter_map(|fact| match fact {
+        self.dissemination.facts().filter_map(|fact| match fact {
             Fact::Target(id, target) => Some((id, target)),
             _ => None,
         })
     }
 
-    /// Returns what is known of a thing.
+    /// Returns the fact with the given key, if known.
     pub fn get(&self, key: &Key) -> Option<&Fact> {
-        self.spread.get(key)
+        self.dissemination.get(key)
     }
 
-    /// Takes an input in and returns what to do and what is news.
+    /// Processes an input; returns datagrams to send and facts that changed.
     pub fn step(&mut self, now: Instant, input: Input) -> Output {
         match input {
             Input::Tick => self.tick(now),
             Input::Datagram(bytes) => {
-                // Anything can arrive on an open port.
+                // Any sender can reach the port, so malformed datagrams are ignored.
                 if let Ok(message) = postcard::from_bytes::<Message>(&bytes) {
                     self.receive(now, message);
                 }
             }
-            Input::Fact(fact) => self.learn(now, fact),
+            Input::Fact(fact) => self.apply(now, fact),
             Input::Leave => self.leave(now),
         }
         std::mem::take(&mut self.out)
     }
 
     fn tick(&mut self, now: Instant) {
-        self.condemn(now);
-        self.watch_probe(now);
+        self.expire_suspicions(now);
+        self.check_probe(now);
         if now >= self.next_probe {
-            self.next_probe = now + self.cfg.probe_interval;
+            self.next_probe = now + self.config.probe_interval;
             self.start_probe(now);
         }
         self.push(now);
     }
 
-    /// Tells news to some peers at once: who holds what, who leaves and who
-    /// has work must be known long before the next probe.
+    /// Pushes pending facts to some peers without waiting for the next probe, since leases,
+    /// leaving hosts and backlogs must be known long before it.
     fn push(&mut self, now: Instant) {
-        if now < self.next_push || !self.spread.has_fresh() {
+        if now < self.next_push || !self.dissemination.has_pending() {
             return;
         }
-        self.next_push = now + PUSH_PAUSE;
-        for _ in 0..PUSH_PEERS {
-            if let Some(peer) = self.next_to_tell() {
+        self.next_push = now + PUSH_INTERVAL_MIN;
+        for _ in 0..PUSH_FANOUT {
+            if let Some(peer) = self.next_push_peer() {
                 self.send(&peer, Kind::Tell);
             }
         }
     }
 
-    /// Returns the next peer to tell news to. Each is told once before any is
-    /// told again: drawn anew each time, a fact would miss some host far more
-    /// often for the same number of sends.
-    fn next_to_tell(&mut self) -> Option<HostId> {
-        if self.telling.is_empty() {
-            self.telling = self.others();
-            self.telling.shuffle(&mut self.rng);
+    /// Returns the peer to which facts are pushed next. All peers are visited in random order
+    /// before any is visited again: with independent random choices, a fact would fail to
+    /// reach some host far more often for the same number of sends.
+    fn next_push_peer(&mut self) -> Option<HostId> {
+        if self.push_order.is_empty() {
+            self.push_order = self.peers();
+            self.push_order.shuffle(&mut self.rng);
         }
-        while let Some(peer) = self.telling.pop() {
+        while let Some(peer) = self.push_order.pop() {
             if self.host(&peer).is_some_and(|h| h.health != Health::Down) {
                 return Some(peer);
             }
@@ -250,72 +252,73 @@
     }
 
     fn leave(&mut self, now: Instant) {
-        let mut own = self.own();
-        own.leaving = true;
-        self.learn(now, Fact::Host(self.cfg.host.clone(), own));
-        for host in self.others() {
+        let mut own_state = self.own_state();
+        own_state.leaving = true;
+        self.apply(now, Fact::Host(self.config.host.clone(), own_state));
+        for host in self.peers() {
             self.send(&host, Kind::Tell);
         }
     }
 
-    fn own(&self) -> Host {
-        match self.spread.get(&Key::Host(self.cfg.host.clone())) {
+    fn own_state(&self) -> Host {
+        match self.dissemination.get(&Key::Host(self.config.host.clone())) {
             Some(Fact::Host(_, host)) => host.clone(),
             _ => Host::default(),
         }
     }
 
     fn host(&self, id: &str) -> Option<&Host> {
-        match self.spread.get(&Key::Host(id.to_owned())) {
+        match self.dissemination.get(&Key::Host(id.to_owned())) {
             Some(Fact::Host(_, host)) => Some(host),
             _ => None,
         }
     }
 
-    fn learn(&mut self, now: Instant, fact: Fact) {
-        if !self.spread.merge(fact.clone()) {
+    fn apply(&mut self, now: Instant, fact: Fact) {
+        if !self.dissemination.merge(fact.clone()) {
             return;
         }
-        let Some(merged) = self.spread.get(&fact.key()).cloned() else {
+        let Some(merged) = self.dissemination.get(&fact.key()).cloned() else {
             return;
         };
         if let Fact::Host(id, host) = &merged {
-            self.follow_health(now, id, host);
+            self.track_suspicion(now, id, host);
         }
         self.out.changed.push(merged);
     }
 
-    fn follow_health(&mut self, now: Instant, id: &str, host: &Host) {
-        if id == self.cfg.host {
-            self.deny(host.clone());
+    fn track_suspicion(&mut self, now: Instant, id: &str, host: &Host) {
+        if id == self.config.host {
+            self.refute(host.clone());
             return;
         }
         if host.health == Health::Suspect {
-            self.suspects.entry(id.to_owned()).or_insert(now);
+            self.suspected_at.entry(id.to_owned()).or_insert(now);
         } else {
-            self.suspects.remove(id);
+            self.suspected_at.remove(id);
         }
     }
 
-    /// Denies that this host is down.
-    fn deny(&mut self, mut own: Host) {
-        if own.health == Health::Alive {
+    /// Refutes a suspicion against this host.
+    fn refute(&mut self, mut own_state: Host) {
+        if own_state.health == Health::Alive {
             return;
         }
-        own.beat += 1;
-        own.health = Health::Alive;
-        self.spread.merge(Fact::Host(self.cfg.host.clone(), own));
+        own_state.beat += 1;
+        own_state.health = Health::Alive;
+        self.dissemination
+            .merge(Fact::Host(self.config.host.clone(), own_state));
     }
 
     fn receive(&mut self, now: Instant, message: Message) {
         for fact in message.facts {
-            self.learn(now, fact);
+            self.apply(now, fact);
         }
-        self.heard_from(now, &message.from);
+        self.notify_suspect(now, &message.from);
         match message.kind {
-            Kind::Ping(seq, asker) => self.send(&message.from, Kind::Ack(seq, asker)),
-            Kind::Ack(seq, Some(asker)) if asker != self.cfg.host => {
-                self.send(&asker, Kind::Ack(seq, None));
+            Kind::Ping(seq, requester) => self.send(&message.from, Kind::Ack(seq, requester)),
+            Kind::Ack(seq, Some(requester)) if requester != self.config.host => {
+                self.send(&requester, Kind::Ack(seq, None));
             }
             Kind::Ack(seq, _) => {
                 if self.probe.as_ref().is_some_and(|p| p.seq == seq) {
@@ -325,39 +328,39 @@
             Kind::Help(seq, host) => self.send(&host, Kind::Ping(seq, Some(message.from.clone()))),
             Kind::Tell => {}
         }
-        self.maybe_sync(now, &message.from, message.digest);
+        self.sync_if_different(now, &message.from, message.digest);
     }
 
-    /// Clears a suspicion that this host itself can see is wrong.
-    fn heard_from(&mut self, now: Instant, id: &str) {
+    /// Notifies a host of a suspicion that its own message shows to be wrong.
+    fn notify_suspect(&mut self, now: Instant, id: &str) {
         let Some(host) = self.host(id) else {
             return;
         };
         if host.health == Health::Alive {
             return;
         }
-        // The suspect must deny it itself, or others would go on believing;
-        // telling it what is said of it makes it do so at once.
+        // Only the suspected host can refute the suspicion for all hosts. Sending it the fact
+        // makes it do so immediately.
         let fact = Fact::Host(id.to_owned(), host.clone());
-        self.spread.merge(fact.clone());
+        self.dissemination.merge(fact.clone());
         self.send_facts(id, Kind::Tell, vec![fact]);
-        self.suspects.entry(id.to_owned()).or_insert(now);
+        self.suspected_at.entry(id.to_owned()).or_insert(now);
     }
 
-    /// Tells a peer everything if the two know different things and nothing
-    /// is on its way any more.
-    fn maybe_sync(&mut self, now: Instant, peer: &str, digest: u64) {
-        if self.spread.has_fresh() || digest == self.spread.digest() {
+    /// Sends all facts to a peer if the digests differ and no facts are pending that could
+    /// explain the difference.
+    fn sync_if_different(&mut self, now: Instant, peer: &str, digest: u64) {
+        if self.dissemination.has_pending() || digest == self.dissemination.digest() {
             return;
         }
-        let lately = |at: &Instant| now.duration_since(*at) < SYNC_PAUSE;
-        if self.synced.get(peer).is_some_and(lately) {
+        let is_recent = |at: &Instant| now.duration_since(*at) < SYNC_INTERVAL_MIN;
+        if self.synced_at.get(peer).is_some_and(is_recent) {
             return;
         }
-        self.synced.insert(peer.to_owned(), now);
+        self.synced_at.insert(peer.to_owned(), now);
         let mut batch = Vec::new();
         let mut len = 0;
-        let facts: Vec<Fact> = self.spread.facts().cloned().collect();
+        let facts: Vec<Fact> = self.dissemination.facts().cloned().collect();
         for fact in facts {
             let add = encoded_len(&fact);
             if len + add > FACTS_BYTES_MAX {
@@ -370,16 +373,16 @@
         self.send_facts(peer, Kind::Tell, batch);
     }
 
-    fn others(&self) -> Vec<HostId> {
+    fn peers(&self) -> Vec<HostId> {
         self.hosts()
             .map(|(id, _)| id)
-            .filter(|id| **id != self.cfg.host)
+            .filter(|id| **id != self.config.host)
             .cloned()
             .collect()
     }
 
     fn send(&mut self, to: &str, kind: Kind) {
-        let facts = self.spread.pick(FACTS_BYTES_MAX);
+        let facts = self.dissemination.select(FACTS_BYTES_MAX);
         self.send_facts(to, kind, facts);
     }
 
@@ -389,8 +392,8 @@
             return;
         };
         let message = Message {
-            from: self.cfg.host.clone(),
-            digest: self.spread.digest(),
+            from: self.config.host.clone(),
+            digest: self.dissemination.digest(),
             kind,
             facts,
         };
@@ -403,7 +406,7 @@
 impl std::fmt::Debug for Gossip {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Gossip")
-            .field("host", &self.cfg.host)
+            .field("host", &self.config.host)
             .finish_non_exhaustive()
     }
 }
--- a/crates/membership/src/gossip/probe.rs
+++ b/crates/membership/src/gossip/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: whom to ask whether it lives, and what its silence means.
+//! Probing of peers and suspicion of peers that do not respond.
 
 use std::time::Instant;
 
@@ -11,36 +11,36 @@
 use crate::fact::Health;
 use crate::fact::HostId;
 
-/// Peers asked to probe for this host.
-const HELPERS: usize = 2;
+/// Peers that are requested to probe indirectly.
+const INDIRECT_PROBERS: usize = 2;
 
-/// A probe that has no answer yet.
+/// A probe that has not been acknowledged.
 #[derive(Debug)]
 pub(super) struct Probe {
     pub(super) host: HostId,
     pub(super) seq: u64,
-    pub(super) sent: Instant,
-    pub(super) helped: bool,
+    pub(super) sent_at: Instant,
+    pub(super) is_indirect: bool,
 }
 
 impl Gossip {
-    /// Takes suspects for dead that have not denied it in time.
-    pub(super) fn condemn(&mut self, now: Instant) {
-        let patience = self.cfg.suspicion_timeout;
-        let due: Vec<HostId> = self
-            .suspects
+    /// Marks hosts as down that have not refuted a suspicion in time.
+    pub(super) fn expire_suspicions(&mut self, now: Instant) {
+        let timeout = self.config.suspicion_timeout;
+        let expired: Vec<HostId> = self
+            .suspected_at
             .iter()
-            .filter(|(_, since)| now.duration_since(**since) >= patience)
+            .filter(|(_, since)| now.duration_since(**since) >= timeout)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in due {
-            self.suspects.remove(&id);
-            self.report(now, &id, Health::Down);
+        for id in expired {
+            self.suspected_at.remove(&id);
+            self.worsen_health(now, &id, Health::Down);
         }
     }
 
-    /// Says that a host is worse off than is known.
-    pub(super) fn report(&mut self, now: Instant, id: &str, health: Health) {
+    /// Applies a health to a host if it is worse than the known one.
+    pub(super) fn worsen_health(&mut self, now: Instant, id: &str, health: Health) {
         let Some(host) = self.host(id) else {
             return;
         };
@@ -49,40 +49,40 @@
             return;
         }
         host.health = health;
-        self.learn(now, Fact::Host(id.to_owned(), host));
+        self.apply(now, Fact::Host(id.to_owned(), host));
     }
 
-    /// Asks others to probe a silent peer, and then suspects it.
-    pub(super) fn watch_probe(&mut self, now: Instant) {
+    /// Requests indirect probes of a peer that does not respond, and later suspects it.
+    pub(super) fn check_probe(&mut self, now: Instant) {
         let Some(probe) = &mut self.probe else {
             return;
         };
-        let waited = now.duration_since(probe.sent);
-        if waited >= self.cfg.probe_interval {
+        let elapsed = now.duration_since(probe.sent_at);
+        if elapsed >= self.config.probe_interval {
             let host = probe.host.clone();
             self.probe = None;
-            self.report(now, &host, Health::Suspect);
+            self.worsen_health(now, &host, Health::Suspect);
             return;
         }
-        if probe.helped || waited < self.cfg.probe_interval / 3 {
+        if probe.is_indirect || elapsed < self.config.probe_interval / 3 {
             return;
         }
-        probe.helped = true;
+        probe.is_indirect = true;
         let (seq, host) = (probe.seq, probe.host.clone());
-        let mut others = self.others();
-        others.retain(|other| *other != host);
-        others.shuffle(&mut self.rng);
-        for helper in others.into_iter().take(HELPERS) {
-            self.send(&helper, Kind::Help(seq, host.clone()));
+        let mut peers = self.peers();
+        peers.retain(|other| *other != host);
+        peers.shuffle(&mut self.rng);
+        for prober in peers.into_iter().take(INDIRECT_PROBERS) {
+            self.send(&prober, Kind::Help(seq, host.clone()));
         }
     }
 
-    /// Probes the next peer, unless a probe is under way.
+    /// Probes the next peer unless a probe is outstanding.
     pub(super) fn start_probe(&mut self, now: Instant) {
         if self.probe.is_some() {
             return;
         }
-        let Some(host) = self.next_in_round() else {
+        let Some(host) = self.next_probe_peer() else {
             return;
         };
         self.seq += 1;
@@ -91,22 +91,22 @@
         self.probe = Some(Probe {
             host,
             seq,
-            sent: now,
-            helped: false,
+            sent_at: now,
+            is_indirect: false,
         });
     }
 
-    fn next_in_round(&mut self) -> Option<HostId> {
+    fn next_probe_peer(&mut self) -> Option<HostId> {
         loop {
-            if self.round.is_empty() {
-                self.round = self.others();
-                self.round.shuffle(&mut self.rng);
+            if self.probe_order.is_empty() {
+                self.probe_order = self.peers();
+                self.probe_order.shuffle(&mut self.rng);
             }
-            let id = self.round.pop()?;
-            // One in a while, a dead host is probed as well: it may be a
-            // partition that has healed.
+            let id = self.probe_order.pop()?;
+            // Hosts that are down are probed occasionally, since a network partition may
+            // have healed.
             let down = self.host(&id).is_none_or(|h| h.health == Health::Down);
-            if !down || self.rng.random_ratio(1, 8) || self.round.is_empty() {
+            if !down || self.rng.random_ratio(1, 8) || self.probe_order.is_empty() {
                 return Some(id);
             }
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,10 @@
-//! Live and leaving hosts and targets, spread by gossip.
+//! Live and leaving hosts and targets, replicated by gossip.
 //!
-//! [`fact`] says what is known and how two reports of one thing merge.
-//! [`gossip`] decides whom to probe and what to tell. The platform's list is
-//! one source among three: it lags, so a host's own observations and what its
-//! peers report count as well. Older news never undoes newer.
+//! [`fact`] defines the replicated facts and how two reports on the same subject merge.
+//! [`gossip`] decides which hosts to probe and which facts to send. The platform's host list
+//! is one source of several: it lags behind, so a host also uses its own observations and the
+//! reports of its peers. An outdated report never overwrites a newer one.
 
+mod dissemination;
 pub mod fact;
 pub mod gossip;
-mod spread;
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Hosts that gossip agree, notice deaths, and believe no old news.
+//! Convergence, failure detection and rejection of outdated facts.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
 
 const STEP: Duration = Duration::from_millis(20);
 
-/// Hosts that exchange datagrams at once, with some lost.
-struct Net {
+/// A simulated network that delivers datagrams immediately and drops some.
+struct Network {
     now: Instant,
     hosts: Vec<Option<Gossip>>,
-    lose_every: usize,
+    drop_every: usize,
     sent: usize,
 }
 
@@ -38,28 +38,28 @@
         peer_url: String::new(),
         data_centre: "dc".into(),
     };
-    let cfg = Config::new(&format!("a{index}"));
-    Gossip::new(cfg, incarnation, address, index as u64, now)
+    let config = Config::new(&format!("a{index}"));
+    Gossip::new(config, incarnation, address, index as u64, now)
 }
 
-impl Net {
-    fn new(count: usize, lose_every: usize) -> Self {
+impl Network {
+    fn new(count: usize, drop_every: usize) -> Self {
         let now = Instant::now();
-        let mut net = Self {
+        let mut network = Self {
             now,
             hosts: (0..count).map(|i| Some(host(i, 1, now))).collect(),
-            lose_every,
+            drop_every,
             sent: 0,
         };
-        // The list tells each host of one other; gossip must do the rest.
+        // The host list names one other host to each; gossip must propagate the rest.
         for i in 0..count {
-            let other = net.hosts[(i + 1) % count].as_ref().unwrap().own_fact();
-            net.feed(i, Input::Fact(other));
+            let other = network.hosts[(i + 1) % count].as_ref().unwrap().own_fact();
+            network.deliver(i, Input::Fact(other));
         }
-        net
+        network
     }
 
-    fn feed(&mut self, index: usize, input: Input) {
+    fn deliver(&mut self, index: usize, input: Input) {
         let mut queue = vec![(index, input)];
         while let Some((index, input)) = queue.pop() {
             let Some(gossip) = self.hosts[index].as_mut() else {
@@ -67,8 +67,8 @@
             };
             for (to, bytes) in gossip.step(self.now, input).sends {
                 self.sent += 1;
-                let lost = self.lose_every > 0 && self.sent.is_multiple_of(self.lose_every);
-                if !lost {
+                let is_dropped = self.drop_every > 0 && self.sent.is_multiple_of(self.drop_every);
+                if !is_dropped {
                     let to = usize::from(to.port()) - 1;
                     queue.push((to, Input::Datagram(bytes)));
                 }
@@ -81,7 +81,7 @@
         while self.now < until {
             self.now += STEP;
             for i in 0..self.hosts.len() {
-                self.feed(i, Input::Tick);
+                self.deliver(i, Input::Tick);
             }
         }
     }
@@ -93,7 +93,7 @@
         found.map(|(_, host)| host.health)
     }
 
-    fn all_see(&self, of: usize, health: Health) -> bool {
+    fn all_report(&self, of: usize, health: Health) -> bool {
         let alive = (0..self.hosts.len()).filter(|i| self.hosts[*i].is_some() && *i != of);
         alive
             .into_iter()
@@ -103,69 +103,73 @@
 
 #[rstest]
 #[case::no_loss(0)]
-#[case::one_in_five_lost(5)]
-fn all_hosts_come_to_know_all_and_call_no_live_host_dead(#[case] lose_every: usize) {
-    let mut net = Net::new(12, lose_every);
-    net.run(Duration::from_secs(30));
+#[case::one_in_five_dropped(5)]
+fn all_hosts_learn_of_all_others_and_mark_no_live_host_down(#[case] drop_every: usize) {
+    let mut network = Network::new(12, drop_every);
+    network.run(Duration::from_secs(30));
     for of in 0..12 {
         for at in 0..12 {
-            assert_ne!(net.health(at, of), None, "a{at} knows a{of}");
-            assert_ne!(net.health(at, of), Some(Health::Down), "a{at} on a{of}");
+            assert_ne!(network.health(at, of), None, "a{at} knows a{of}");
+            assert_ne!(network.health(at, of), Some(Health::Down), "a{at} on a{of}");
         }
     }
 }
 
 #[rstest]
-fn a_dead_host_is_noticed_and_a_restarted_one_believed() {
-    let mut net = Net::new(9, 0);
-    net.run(Duration::from_secs(5));
-    net.hosts[3] = None;
-    net.run(Duration::from_secs(20));
-    assert!(net.all_see(3, Health::Down));
-    net.hosts[3] = Some(host(3, 2, net.now));
-    let other = net.hosts[0].as_ref().unwrap().own_fact();
-    net.feed(3, Input::Fact(other));
-    net.run(Duration::from_secs(5));
-    assert!(net.all_see(3, Health::Alive));
+fn a_dead_host_is_detected_and_a_restarted_one_is_accepted() {
+    let mut network = Network::new(9, 0);
+    network.run(Duration::from_secs(5));
+    network.hosts[3] = None;
+    network.run(Duration::from_secs(20));
+    assert!(network.all_report(3, Health::Down));
+    network.hosts[3] = Some(host(3, 2, network.now));
+    let other = network.hosts[0].as_ref().unwrap().own_fact();
+    network.deliver(3, Input::Fact(other));
+    network.run(Duration::from_secs(5));
+    assert!(network.all_report(3, Health::Alive));
 }
 
 #[rstest]
-fn news_reaches_all_hosts_long_before_the_next_probes() {
-    let mut net = Net::new(12, 0);
-    net.run(Duration::from_secs(10));
-    net.feed(0, Input::Fact(Fact::Bundle(7)));
-    net.run(Duration::from_millis(500));
+fn a_new_fact_reaches_all_hosts_before_the_next_probes() {
+    let mut network = Network::new(12, 0);
+    network.run(Duration::from_secs(10));
+    network.deliver(0, Input::Fact(Fact::Bundle(7)));
+    network.run(Duration::from_millis(500));
     for at in 0..12 {
-        let gossip = net.hosts[at].as_ref().unwrap();
+        let gossip = network.hosts[at].as_ref().unwrap();
         let known = gossip.get(&notchwharf_membership::fact::Key::Bundle);
         assert_eq!(known, Some(&Fact::Bundle(7)), "a{at}");
     }
 }
 
 #[rstest]
-fn a_host_that_leaves_is_not_brought_back_by_stale_news() {
-    let mut net = Net::new(5, 0);
-    net.run(Duration::from_secs(3));
-    let stale = net.hosts[2].as_ref().unwrap().own_fact();
-    net.feed(2, Input::Leave);
-    net.run(Duration::from_secs(1));
-    net.feed(0, Input::Fact(stale));
-    net.run(Duration::from_secs(1));
+fn a_stale_fact_does_not_clear_the_leaving_flag() {
+    let mut network = Network::new(5, 0);
+    network.run(Duration::from_secs(3));
+    let stale = network.hosts[2].as_ref().unwrap().own_fact();
+    network.deliver(2, Input::Leave);
+    network.run(Duration::from_secs(1));
+    network.deliver(0, Input::Fact(stale));
+    network.run(Duration::from_secs(1));
     for at in 0..5 {
-        let gossip = net.hosts[at].as_ref().unwrap();
+        let gossip = network.hosts[at].as_ref().unwrap();
         let (_, host) = gossip.hosts().find(|(id, _)| **id == "a2").unwrap();
         assert!(host.leaving, "a{at}");
     }
 }
 
 #[rstest]
-fn quiet_hosts_tell_little() {
-    let mut net = Net::new(12, 0);
-    net.run(Duration::from_secs(30));
-    net.sent = 0;
-    net.run(Duration::from_secs(10));
-    // A probe and its answer a second for each host, and nothing else.
-    assert!(net.sent <= 12 * 10 * 2 + 24, "{} datagrams", net.sent);
+fn idle_hosts_send_only_probes() {
+    let mut network = Network::new(12, 0);
+    network.run(Duration::from_secs(30));
+    network.sent = 0;
+    network.run(Duration::from_secs(10));
+    // One probe and its acknowledgement per host and second, and nothing else.
+    assert!(
+        network.sent <= 12 * 10 * 2 + 24,
+        "{} datagrams",
+        network.sent
+    );
 }
 
 fn any_fact() -> impl Strategy<Value = Fact> {
@@ -187,9 +191,9 @@
             };
             Fact::Host("h".into(), host)
         }),
-        target.prop_map(|(incarnation, leaving, epoch, held)| {
-            // One reporter writes one thing under one order.
-            let holds = vec![format!("{held}{epoch}").replace('y', "x")];
+        target.prop_map(|(incarnation, leaving, epoch, loaded)| {
+            // A reporter never sends different content with the same order.
+            let holds = vec![format!("{loaded}{epoch}").replace('y', "x")];
             let target = Target {
                 incarnation,
                 leaving,
@@ -231,27 +235,27 @@
 }
 
 proptest! {
-    /// Order and repetition do not matter, and a leaving mark stays.
+    /// The result does not depend on order or repetition, and a leaving flag is never reset.
     #[test]
-    fn merging_is_the_same_in_any_order(
+    fn merging_is_commutative_and_idempotent(
         facts in proptest::collection::vec(any_fact(), 1..12),
         seed in any::<u64>(),
     ) {
-        let once = merged(&facts);
+        let expected = merged(&facts);
         let mut shuffled: Vec<Fact> = facts.iter().chain(&facts).cloned().collect();
         let len = shuffled.len() as u64;
         for i in (1..shuffled.len()).rev() {
             let j = (seed.wrapping_mul(i as u64 + 7) >> 7) % len % (i as u64 + 1);
             shuffled.swap(i, usize::try_from(j).unwrap());
         }
-        prop_assert_eq!(&merged(&shuffled), &once);
-        let left = facts.iter().filter_map(|f| match f {
+        prop_assert_eq!(&merged(&shuffled), &expected);
+        let leaving_incarnation = facts.iter().filter_map(|f| match f {
             Fact::Host(_, h) if h.leaving => Some(h.incarnation),
             _ => None,
         }).max();
-        for fact in &once {
-            if let (Fact::Host(_, h), Some(left)) = (fact, left) {
-                prop_assert!(h.leaving || h.incarnation > left);
+        for fact in &expected {
+            if let (Fact::Host(_, h), Some(leaving_incarnation)) = (fact, leaving_incarnation) {
+                prop_assert!(h.leaving || h.incarnation > leaving_incarnation);
             }
         }
     }
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -1,4 +1,4 @@
-//! What hosts send one another over UDP.
+//! Datagrams that hosts holding leases on targets send one another over UDP.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,19 +8,19 @@
 /// A datagram between hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Gossip, in the form that the membership package gives it.
+    /// A gossip message, as encoded by the membership package.
     Gossip(Vec<u8>),
-    /// How many online streams a host has open at a target that the receiver
-    /// holds. A count and not a difference, so that a lost one does no harm.
+    /// The number of online streams that a host has open at a target whose lease the receiver
+    /// holds. An absolute count rather than a difference, so a lost datagram does no harm.
     Online {
-        /// The host that sends them.
+        /// The host that sends the streams.
         host: String,
         /// The target.
         target: String,
         /// The number of streams.
         streams: u32,
     },
-    /// Requests under which targets crashed.
+    /// Requests that are suspected of crashing targets.
     Suspects(Suspects),
 }
 
@@ -28,12 +28,12 @@
 ///
 /// # Panics
 ///
-/// Never: the type holds nothing that the codec cannot represent.
+/// Never: postcard can represent every value of the type.
 pub fn encode(datagram: &Datagram) -> Vec<u8> {
     postcard::to_stdvec(datagram).expect("Datagrams are always representable.")
 }
 
-/// Decodes a datagram; returns nothing for anything else.
+/// Decodes a datagram; returns `None` if the bytes are not one.
 pub fn decode(bytes: &[u8]) -> Option<Datagram> {
     postcard::from_bytes(bytes).ok()
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,9 +1,9 @@
-//! The protocol between the system's own processes.
+//! The protocol between the hosts of the system.
 //!
-//! [`peer`] is what one host calls on another, over JSON-RPC. [`datagram`] is
-//! what hosts send over UDP: gossip, and notices too short-lived to be worth
-//! an answer. [`messages`] takes the place of both where hosts share all targets, and
-//! [`records`] holds the messages by which hosts share the store's log.
+//! [`peer`] defines the JSON-RPC interface of a host. [`datagram`] defines UDP datagrams:
+//! gossip, and notifications that are too short-lived to need an acknowledgement.
+//! [`messages`] replaces both where hosts share all targets, and [`records`] defines the
+//! messages by which hosts share the records of the store's log.
 
 pub mod datagram;
 pub mod messages;
--- a/crates/proto/src/messages.rs
+++ b/crates/proto/src/messages.rs
@@ -1,13 +1,13 @@
-//! What hosts that share all targets send one another over UDP.
+//! Messages that hosts sharing all targets send one another over UDP.
 //!
-//! PeerMessage is the sender's whole state in short and not a difference, so that a
-//! lost datagram does no harm and an old one is told by its number.
+//! A status carries the sender's complete state rather than a difference, so a lost datagram
+//! does no harm, and an outdated one is recognized by its sequence number.
 //!
 //! ```
 //! use notchwharf_proto::messages::{decode, encode, PeerMessage, Status};
 //!
-//! let news = PeerMessage::Status(Status { host: "a1".into(), ..Status::default() });
-//! assert_eq!(decode(&encode(&news)), Some(news));
+//! let message = PeerMessage::Status(Status { host: "a1".into(), ..Status::default() });
+//! assert_eq!(decode(&encode(&message)), Some(message));
 //! assert_eq!(decode(b"?"), None);
 //! ```
 
@@ -18,207 +18,208 @@
 
 use crate::records::Announcement;
 
-/// Bytes of news in one datagram: what the least link carries in one packet.
-const PART_BYTES_MAX: usize = 1_200;
+/// Maximum payload of a datagram that is split by size; fits a single packet on every link.
+const PAYLOAD_BYTES_MAX: usize = 1_200;
 
-/// A datagram.
+/// A message between hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// How a host is, and what it runs.
+    /// The state of the sender and the load it places on targets.
     Status(Status),
-    /// The receiver is asked to make room.
+    /// Asks the receiver to preempt a batch item.
     #[serde(rename = "Cut")]
     Preemption(Preemption),
-    /// How hosts far away are, passed on by one that was told.
+    /// Statuses of hosts in other data centres, relayed by a host that received them.
     PassedOn(Vec<Status>),
-    /// What the hosts of another cell run together.
+    /// The total load of the hosts of another cell.
     Cell(CellStatus),
-    /// Requests under which targets crashed.
+    /// Requests that are suspected of crashing targets.
     Suspects(Suspects),
-    /// A word about limits of workspaces.
+    /// A message about rate limits of workspaces.
     Limits(QuotaMessage),
-    /// A place that has fallen free is for a request that waits at the receiver.
+    /// Transfers a free slot to a request that waits at the receiver.
     #[serde(rename = "Hand")]
     SlotTransfer(SlotTransfer),
     /// Records that a host has read from the store's log.
     Announcement(Announcement),
 }
 
-/// A place that has fallen free.
+/// Transfers a free slot of a target to a request that waits at the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotTransfer {
-    /// The short form of the target's name.
+    /// The hash of the target's name.
     pub target: u32,
 }
 
-/// A word of a host about limits of workspaces.
+/// A message of a host about rate limits of workspaces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaMessage {
-    /// The short form of the host's name.
+    /// The hash of the host's name.
     pub host: HostKey,
-    /// The word.
+    /// The message.
     pub message: Message,
 }
 
-/// What a host knows of requests under which targets crashed.
+/// The requests that a host suspects of crashing targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspects {
     /// The host.
     pub host: String,
-    /// The requests, some of those that it knows.
+    /// Some or all of the requests that it suspects.
     pub suspects: Vec<Suspect>,
 }
 
-/// A request under which targets crashed.
+/// A request that is suspected of crashing targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
     /// The fingerprint of its content.
     pub fingerprint: u128,
-    /// How often it was cleared.
+    /// The number of times that the request was cleared of suspicion.
     pub clearances: u32,
-    /// The crashes since.
+    /// The crashes since the last clearance.
     pub crashes: Vec<Crash>,
-    /// How long ago the host began to run it, if it does.
+    /// Time since the host started to run the request, if it runs it.
     pub runs_since_ms: Option<u64>,
 }
 
-/// A target's crash under a request.
+/// A crash of a target that was running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Names the life of the target that ended.
+    /// Identifies the incarnation of the target that crashed.
     pub life: u64,
-    /// How long the request had run there.
+    /// Time for which the request had run there.
     pub ran_ms: u64,
-    /// How long ago it was noticed.
+    /// Time since the crash was detected.
     pub age_ms: u64,
 }
 
-/// What a host tells of its cell to one of another.
+/// The state of a cell, as sent by one of its hosts to a host of another cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellStatus {
     /// The host.
     pub host: String,
-    /// Where it stands.
+    /// The data centre of the host.
     pub data_centre: String,
-    /// Whether it reaches the store.
+    /// Whether the host can reach the store.
     pub store_up: bool,
-    /// How new its configuration is; higher is newer.
+    /// The version of its configuration; higher is newer.
     pub config: u64,
-    /// How new its list of targets is; higher is newer.
+    /// The version of its target list; higher is newer.
     pub targets: u64,
-    /// How far it knows the job records.
+    /// The offset up to which it knows the job records.
     pub jobs: u64,
-    /// What all hosts of its cell run, as far as it knows.
+    /// The load of all hosts of its cell, as far as it knows.
     pub loads: Vec<Load>,
 }
 
-/// How a host is, and what it runs.
+/// The state of a host and the load it places on targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The host.
     pub host: String,
-    /// A number that grows with each start of the host, unless its clock was
-    /// set back in between.
+    /// The incarnation of the host. Increases with each start unless the clock was set back
+    /// in between.
     pub incarnation: u64,
-    /// A number that grows with each status of the incarnation.
+    /// The sequence number of the status within the incarnation.
     pub number: u64,
     /// Whether the host is leaving and others may run its items.
     pub leaving: bool,
-    /// Whether the host reaches the store.
+    /// Whether the host can reach the store.
     pub store_up: bool,
-    /// How new its configuration is; higher is newer.
+    /// The version of its configuration; higher is newer.
     pub config: u64,
-    /// How new its list of targets is; higher is newer.
+    /// The version of its target list; higher is newer.
     pub targets: u64,
-    /// How far it knows the job records.
+    /// The offset up to which it knows the job records.
     pub jobs: u64,
-    /// What it runs.
+    /// The load that it places on targets.
     pub loads: Vec<Load>,
-    /// Its items that wait for a place, those due first.
+    /// Its items that wait for a slot, ordered by due time.
     pub waiting: Vec<WaitingItems>,
-    /// The short forms of the names of targets that fail its requests.
+    /// The hashes of the names of targets that fail its requests.
     pub failing: Vec<u32>,
 }
 
-/// What a host runs at a target.
+/// The load that a host places on a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The short form of the target's name.
+    /// The hash of the target's name.
     pub target: u32,
-    /// Online requests.
+    /// The number of online requests.
     pub online: u32,
-    /// Items of jobs.
+    /// The number of batch items.
     pub batch: u32,
 }
 
-/// Items that wait at a host and are due at the same time.
+/// Batch items that wait at a host and have the same due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingItems {
-    /// When they are due, by the clock of the host that took their job in.
+    /// The due time by the clock of the host that accepted their job.
     pub due_unix_ms: u64,
-    /// How many they are.
+    /// The number of items.
     pub items: u32,
 }
 
-/// What online requests wait for at a host, and what they hold there: told behind a
-/// [`Status`] while something waits.
+/// Online requests that wait at a host, and the slots that workspaces hold there. Appended to
+/// a [`Status`] while any request waits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contention {
-    /// The host's first requests that wait.
+    /// The first requests of the host's wait queues.
     pub waiting: Vec<WaitingRequest>,
-    /// Places that workspaces hold there, those with most.
+    /// Slots held by workspaces there; only the workspaces with the most slots.
     pub held: Vec<HeldSlots>,
-    /// The short forms of the names of targets of which it has just handed places to
-    /// requests elsewhere.
+    /// The hashes of the names of targets of which the host has recently transferred slots
+    /// to requests at other hosts.
     pub handed: Vec<u32>,
 }
 
 /// An online request that waits at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingRequest {
-    /// The short form of its service's name.
+    /// The hash of its service's name.
     pub service: u32,
-    /// How urgent it is; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// How far its workspace exceeds its part of the places.
+    /// The degree to which its workspace exceeds its share of the slots.
     pub level: u8,
-    /// For how long it has waited.
+    /// Time for which it has waited.
     pub age_ms: u64,
 }
 
-/// Places that a workspace holds at a host.
+/// Slots that a workspace holds at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldSlots {
-    /// The short form of the workspace's name.
+    /// The hash of the workspace's name.
     pub workspace: u32,
-    /// What it may hold against others, in thousandths.
+    /// The weight of the workspace when slots are shared, in thousandths.
     pub weight_milli: u64,
-    /// How many.
+    /// The number of slots.
     pub places: u32,
 }
 
-/// An online request needs the place of an item.
+/// Asks the receiver to preempt one of its batch items at a target, since an online request
+/// needs the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Preemption {
-    /// The short form of the target's name.
+    /// The hash of the target's name.
     pub target: u32,
 }
 
-/// Encodes a datagram.
+/// Encodes a message as a datagram.
 ///
 /// # Panics
 ///
-/// Never: the type holds nothing that the codec cannot represent.
-pub fn encode(news: &PeerMessage) -> Vec<u8> {
-    postcard::to_stdvec(news).expect("PeerMessage is always representable.")
+/// Never: postcard can represent every value of the type.
+pub fn encode(message: &PeerMessage) -> Vec<u8> {
+    postcard::to_stdvec(message).expect("Messages are always representable.")
 }
 
-/// Encodes a status with what waits at the host, if anything does. It stands behind the
-/// status, where hosts of earlier versions do not look.
+/// Encodes a status, followed by the contention at the host if there is any. Hosts of earlier
+/// versions ignore bytes that follow the status.
 ///
 /// # Panics
 ///
-/// Never: the types hold nothing that the codec cannot represent.
+/// Never: postcard can represent every value of the types.
 pub fn encode_with_contention(status: Status, contention: Option<&Contention>) -> Vec<u8> {
     let bytes = encode(&PeerMessage::Status(status));
     let Some(contention) = contention else {
@@ -227,47 +228,46 @@
     postcard::to_extend(contention, bytes).expect("Contention is always representable.")
 }
 
-/// Returns what is to be told in parts that each fit a datagram, by the bytes that each
-/// piece takes.
+/// Splits values into groups that each fit a datagram, given the encoded size of each value.
 pub fn split_by_size<T>(
-    pieces: impl Iterator<Item = T>,
-    bytes_of: impl Fn(&T) -> usize,
+    values: impl Iterator<Item = T>,
+    len_of: impl Fn(&T) -> usize,
 ) -> Vec<Vec<T>> {
-    let mut parts: Vec<Vec<T>> = Vec::new();
-    let mut bytes = PART_BYTES_MAX;
-    for piece in pieces {
-        let size = bytes_of(&piece);
-        bytes += size;
-        match parts.last_mut() {
-            Some(part) if bytes <= PART_BYTES_MAX => part.push(piece),
+    let mut groups: Vec<Vec<T>> = Vec::new();
+    let mut bytes = PAYLOAD_BYTES_MAX;
+    for value in values {
+        let len = len_of(&value);
+        bytes += len;
+        match groups.last_mut() {
+            Some(group) if bytes <= PAYLOAD_BYTES_MAX => group.push(value),
             _ => {
-                bytes = size;
-                parts.push(vec![piece]);
+                bytes = len;
+                groups.push(vec![value]);
             }
         }
     }
-    parts
+    groups
 }
 
-/// Returns the number of bytes that a suspect takes in a datagram.
+/// Returns the encoded size of a suspect in bytes.
 ///
 /// # Panics
 ///
-/// Never: the type holds nothing that the codec cannot represent.
+/// Never: postcard can represent every value of the type.
 pub fn suspect_encoded_len(suspect: &Suspect) -> usize {
     let bytes = postcard::to_stdvec(suspect);
     bytes.expect("Suspects are always representable.").len()
 }
 
-/// Decodes a datagram; returns nothing for anything else.
+/// Decodes a datagram; returns `None` if it is not a message.
 pub fn decode(bytes: &[u8]) -> Option<PeerMessage> {
-    decode_with_contention(bytes).map(|(news, _)| news)
+    decode_with_contention(bytes).map(|(message, _)| message)
 }
 
-/// Decodes a datagram, with what waits at the host that sent it if it tells. What stands
-/// behind the news and cannot be read was written by another version.
+/// Decodes a datagram and the contention that follows the message, if present. Trailing bytes
+/// that cannot be decoded were written by another version and are ignored.
 pub fn decode_with_contention(bytes: &[u8]) -> Option<(PeerMessage, Option<Contention>)> {
-    let (news, rest) = postcard::take_from_bytes(bytes).ok()?;
+    let (message, rest) = postcard::take_from_bytes(bytes).ok()?;
     let contention = (!rest.is_empty()).then(|| postcard::from_bytes(rest).ok());
-    Some((news, contention.flatten()))
+    Some((message, contention.flatten()))
 }
--- a/crates/proto/src/peer.rs
+++ b/crates/proto/src/peer.rs
@@ -1,4 +1,4 @@
-//! What one host calls on another.
+//! The JSON-RPC interface that hosts offer one another.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A bundle in force, as one host gives it to another.
+/// A copy of the bundle in force, sent from one host to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BundleCopy {
     /// The version.
@@ -26,43 +26,43 @@
     pub bundle: Bundle,
 }
 
-/// What a host reports of itself to operators.
+/// The state of a host as reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostReport {
     /// The host.
     pub host: String,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: String,
-    /// Its incarnation.
+    /// The incarnation of the host.
     pub incarnation: u64,
     /// The version of the bundle that it applies.
     pub bundle_version: Option<u64>,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub ready: bool,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: u64,
-    /// Shards that it holds.
+    /// Shards whose leases it holds.
     pub shards: Vec<ShardId>,
-    /// Targets that it holds.
+    /// Targets whose leases it holds.
     pub targets: Vec<String>,
 }
 
-/// A request for items.
+/// A request for batch items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemRequest {
-    /// The serving that a target is free for.
+    /// The serving for which the requester has free capacity.
     pub serving: String,
-    /// The greatest number of items.
+    /// The maximum number of items.
     pub max: u32,
     /// The host that will run them.
     pub host: HostId,
-    /// That host's incarnation.
+    /// The incarnation of that host.
     pub incarnation: Incarnation,
 }
 
-/// An item handed out, with its shard.
+/// An item assigned to a host, with its shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignedItem {
     /// The shard.
@@ -71,28 +71,28 @@
     pub work: Work,
 }
 
-/// A call with an idempotency key, to be run by the owner of the key's shard.
+/// A call with an idempotency key, forwarded to the owner of the key's shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedCall {
-    /// The customer.
+    /// The workspace.
     pub tenant: String,
     /// The key.
     pub key: String,
-    /// What to call.
+    /// The destination of the call.
     pub callee: Callee,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
     /// The path and query at the callee.
     pub path: String,
-    /// Headers to pass on.
+    /// The headers to forward.
     pub headers: BTreeMap<String, String>,
     /// The body, in Base64.
     pub body_base64: String,
-    /// Time left for the call.
+    /// Remaining time for the call.
     pub timeout_ms: u64,
 }
 
-/// What a keyed call goes to.
+/// The destination of a call with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Callee {
     /// A plain service.
@@ -101,40 +101,40 @@
     Chat(String),
 }
 
-/// The answer to a keyed call.
+/// The response to a call with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedResponse {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Headers to pass on.
+    /// The headers to return to the caller.
     pub headers: BTreeMap<String, String>,
     /// The body, in Base64.
     pub body_base64: String,
-    /// Whether this is the kept answer to an earlier call.
+    /// Whether this is the stored response to an earlier call.
     pub replayed: bool,
 }
 
-/// Why a keyed call has no answer.
+/// Reasons why a call with an idempotency key has no response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyedError {
-    /// It was not sent.
+    /// The call was not sent.
     NotRun(Refused),
-    /// No target could take it; it was not sent.
+    /// No target was available; the call was not sent.
     NoTarget,
-    /// The key was used with another call.
+    /// The key was used before with a different call.
     OtherBody,
-    /// It was sent, and what became of it is not known.
+    /// The call was sent and its outcome is unknown.
     Unknown,
 }
 
-/// The calls.
+/// The methods of a host.
 #[rpc(client, server, namespace = "notchwharf")]
 pub trait Peer {
-    /// Asks the owner of a shard.
+    /// Sends a command to the owner of a shard.
     #[method(name = "ledger")]
     async fn ledger(&self, shard: ShardId, command: Command) -> RpcResult<Result<Reply, Refused>>;
 
-    /// Hands out items of any shard that the host holds.
+    /// Assigns items of any shard that the host holds to the requester.
     #[method(name = "take")]
     async fn take(&self, asked: ItemRequest) -> RpcResult<Vec<AssignedItem>>;
 
@@ -142,11 +142,11 @@
     #[method(name = "bundle")]
     async fn bundle(&self) -> RpcResult<Option<BundleCopy>>;
 
-    /// Returns what the host reports of itself.
+    /// Returns the state of the host.
     #[method(name = "host")]
     async fn host(&self) -> RpcResult<HostReport>;
 
-    /// Tells the host to leave.
+    /// Makes the host drain and leave the fleet.
     #[method(name = "drain")]
     async fn drain(&self) -> RpcResult<()>;
 
