--- a/crates/config/benches/apply.rs
+++ b/crates/config/benches/apply.rs
@@ -1,4 +1,4 @@
-//! What a bundle costs a host, against the number of tenants.
+//! Time to decode and apply a bundle, by the number of tenants.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -52,10 +52,12 @@
         group.bench_function(BenchmarkId::new("apply", tenants), |b| {
             b.iter(|| {
                 let mut history = History::default();
-                let record = serde_json::from_slice(&text).expect("The text is a record.");
-                history.apply(0, record).expect("The proposal counts.");
+                let record = serde_json::from_slice(&text).expect("The text is a valid record.");
+                history.apply(0, record).expect("The proposal is accepted.");
                 let sign_off = Record::sign_off(0, &digest, "rui");
-                history.apply(1, sign_off).expect("The sign-off counts.");
+                history
+                    .apply(1, sign_off)
+                    .expect("The sign-off is accepted.");
                 black_box(history)
             });
         });
--- a/crates/config/src/access.rs
+++ b/crates/config/src/access.rs
@@ -1,26 +1,26 @@
-//! Who calls: API keys, the workspaces that hold them, and their limits.
+//! API keys, the workspaces that they identify, and the limits of workspaces.
 //!
-//! A key is known by its digest alone and compared as such, so neither a table nor
-//! a log line can give it away. A [`Workspaces`] is part of one version of a
-//! configuration: it is built once, never changed, and replaced whole.
+//! Keys are stored and compared only as digests, so neither a table nor a log line can reveal
+//! a key. A [`Workspaces`] belongs to one version of a configuration, is immutable, and is
+//! replaced as a whole.
 //!
 //! ```
 //! use notchwharf_config::access::{parse_key, Workspace, Workspaces};
 //!
-//! let (all, faults) = Workspaces::new(vec![Workspace {
+//! let (workspaces, errors) = Workspaces::new(vec![Workspace {
 //!     name: "choir".into(),
 //!     keys: vec!["k1".into()],
 //!     ..Workspace::default()
 //! }]);
-//! assert!(faults.is_empty());
+//! assert!(errors.is_empty());
 //! let presented = parse_key("Token", [b"token  k1".as_slice()]).unwrap();
-//! assert_eq!(all.by_key(presented).unwrap().name, "choir");
-//! assert!(all.by_key("k2").is_none());
+//! assert_eq!(workspaces.by_key(presented).unwrap().name, "choir");
+//! assert!(workspaces.by_key("k2").is_none());
 //! ```
 //!
-//! What a faulty entry leads to is decided here, for all adapters: see [`EntryError`].
-//! Refusing the whole configuration was rejected, since one workspace's fault would
-//! keep a key of another in force that was taken away.
+//! The handling of invalid entries is the same for all adapters: see [`EntryError`]. Refusing
+//! the whole configuration was rejected, since an invalid entry of one workspace would then
+//! keep a revoked key of another workspace valid.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -35,78 +35,91 @@
 /// The SHA-256 digest of an API key.
 pub type Digest = [u8; 32];
 
-/// Bytes of a key at most: many times those of any that are handed out, and few
-/// enough that digesting one from the network takes microseconds.
+/// Maximum size of a key: many times that of issued keys, and small enough that computing the
+/// digest of a received key takes microseconds.
 const KEY_BYTES_MAX: usize = 512;
-/// Bytes of a workspace's name at most: it is part of the keys of records, which the
-/// platform bounds at 255 bytes with all that stands beside it.
+/// Maximum size of a workspace's name. The name is part of record keys, which the platform
+/// limits to 255 bytes in total.
 const NAME_BYTES_MAX: usize = 100;
-/// Requests a second from which on a limit is none: no fleet serves as many.
+/// Requests per second from which a rate limit is treated as no limit, since no fleet serves
+/// that many.
 const PER_S_MAX: f64 = 1e9;
 
-/// How many requests a workspace may send.
+/// The rate limit of a workspace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Requests beyond that at once.
+    /// Additional requests that may be sent at once.
     pub burst: f64,
 }
 
-/// A workspace as a configuration tells it.
+/// A workspace as defined by a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Workspace {
-    /// Its name, unique.
+    /// Its unique name.
     pub name: WorkspaceName,
     /// Its keys.
     pub keys: Vec<String>,
-    /// Its rank, which goes before a route's; nothing if the route's counts.
+    /// Its priority, which overrides that of the route; `None` to use the route's.
     pub priority: Option<u8>,
-    /// How many requests it may send; nothing for no limit.
+    /// Its rate limit; `None` for no limit.
     pub limit: Option<RateLimit>,
 }
 
-/// A workspace without its keys.
+/// The policy of a workspace: the definition without its keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkspacePolicy {
     /// Its name.
     pub name: WorkspaceName,
-    /// Its rank, which goes before a route's; nothing if the route's counts.
+    /// Its priority, which overrides that of the route; `None` to use the route's.
     pub priority: Option<u8>,
-    /// How many requests it may send; nothing for no limit.
+    /// Its rate limit; `None` for no limit.
     pub limit: Option<RateLimit>,
 }
 
-/// What is wrong with an entry, and what it leads to.
+/// An error in an entry of a workspace, and its consequence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryError {
-    /// A workspace has no name, or one that no header can carry or that is too long: it
-    /// is left out.
+    /// The name of a workspace is empty, too long, or not valid in a header: the workspace is
+    /// ignored.
     InvalidName,
-    /// Two entries have one name: they are one workspace, with the keys of both
-    /// and the stricter terms.
+    /// Two entries have the same name: they are merged into one workspace with the keys of
+    /// both and the stricter priority and limit.
     DuplicateName(WorkspaceName),
-    /// Two workspaces have one key: it is nobody's.
+    /// Two workspaces have the same key: the key is not valid for either.
     SharedKey(WorkspaceName, WorkspaceName),
-    /// A key is empty or too long to be presented: it is left out.
+    /// A key is empty, too long, or contains white space: the key is ignored.
     InvalidKey(WorkspaceName),
-    /// A limit is negative or no number: nothing beyond its burst is let in.
+    /// A limit is negative or not a number: the invalid part is treated as 0, so without a
+    /// valid rate only the burst is admitted.
     InvalidLimit(WorkspaceName),
 }
 
 impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::InvalidName => f.write_str("a workspace has no usable name and is left out"),
+            Self::InvalidName => {
+                f.write_str("the name of a workspace is invalid; the workspace is ignored")
+            }
             Self::DuplicateName(name) => {
-                write!(f, "workspace {name} stands twice; the stricter terms hold")
+                write!(
+                    f,
+                    "workspace {name} is defined twice; the stricter priority and limit apply"
+                )
             }
-            Self::SharedKey(a, b) => write!(f, "a key of {a} is also one of {b}; it is nobody's"),
-            Self::InvalidKey(name) => write!(f, "a key of {name} cannot be used"),
+            Self::SharedKey(a, b) => write!(
+                f,
+                "workspaces {a} and {b} have the same key; the key is ignored"
+            ),
+            Self::InvalidKey(name) => write!(
+                f,
+                "a key of workspace {name} is invalid; the key is ignored"
+            ),
             Self::InvalidLimit(name) => {
                 write!(
                     f,
-                    "the limit of {name} is unsound; only its burst is let in"
+                    "the limit of workspace {name} is invalid; the invalid part is treated as 0"
                 )
             }
         }
@@ -115,19 +128,20 @@
 
 impl std::error::Error for EntryError {}
 
-/// Why a request presents no key.
+/// Reasons why a request has no valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyError {
-    /// There is none.
+    /// The header is missing.
     Missing,
-    /// There are two, or it is no text, too long or empty.
+    /// The header is repeated, not text or too long, or the key is empty or contains white
+    /// space.
     Malformed,
-    /// What there is follows another scheme.
+    /// The header uses another scheme.
     OtherScheme,
 }
 
 impl KeyError {
-    /// Returns the reason as logs and metrics name it.
+    /// Returns the label of the reason in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Missing => "no key",
@@ -142,19 +156,19 @@
         f.write_str(match self {
             Self::Missing => "an API key is required",
             Self::Malformed => "the API key is malformed",
-            Self::OtherScheme => "the API key follows another scheme",
+            Self::OtherScheme => "the Authorization header uses another scheme",
         })
     }
 }
 
 impl std::error::Error for KeyError {}
 
-/// Returns the key among the values of the `Authorization` header. The scheme's case
-/// and blanks around the key do not matter, as RFC 9110 has it.
+/// Returns the API key from the values of the `Authorization` header. The case of the scheme
+/// and spaces around the key are ignored, as specified by RFC 9110.
 ///
 /// # Errors
 ///
-/// Returns why there is none.
+/// Returns the reason if there is no valid key.
 pub fn parse_key<'a>(
     scheme: &str,
     values: impl IntoIterator<Item = &'a [u8]>,
@@ -165,8 +179,8 @@
         return Err(KeyError::Malformed);
     }
     let text = std::str::from_utf8(value).map_err(|_| KeyError::Malformed)?;
-    let (found, key) = text.trim().split_once(' ').ok_or(KeyError::OtherScheme)?;
-    if !found.eq_ignore_ascii_case(scheme) {
+    let (found_scheme, key) = text.trim().split_once(' ').ok_or(KeyError::OtherScheme)?;
+    if !found_scheme.eq_ignore_ascii_case(scheme) {
         return Err(KeyError::OtherScheme);
     }
     let key = key.trim();
@@ -176,7 +190,7 @@
     Ok(key)
 }
 
-/// Returns the digest by which a key is known.
+/// Returns the digest of a key.
 pub fn digest(key: &str) -> Digest {
     Sha256::digest(key.as_bytes()).into()
 }
@@ -184,29 +198,29 @@
 /// The workspaces of one version of a configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Workspaces {
-    /// Nothing for a key that several workspaces have.
+    /// `None` for a key that several workspaces have.
     by_key: HashMap<Digest, Option<Arc<WorkspacePolicy>>>,
     by_name: HashMap<WorkspaceName, Arc<WorkspacePolicy>>,
 }
 
 impl Workspaces {
-    /// Returns the workspaces, and what was wrong with their entries.
+    /// Returns the workspaces and the errors in their entries.
     pub fn new(entries: Vec<Workspace>) -> (Self, Vec<EntryError>) {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let mut merged: HashMap<WorkspaceName, Workspace> = HashMap::new();
         for entry in entries {
-            let sound = sound(entry, &mut faults);
-            merge(&mut merged, sound, &mut faults);
+            let valid = sanitize(entry, &mut errors);
+            merge(&mut merged, valid, &mut errors);
         }
-        let mut all = Self::default();
+        let mut workspaces = Self::default();
         for workspace in merged.into_values() {
-            all.insert(workspace, &mut faults);
+            workspaces.insert(workspace, &mut errors);
         }
-        (all, faults)
+        (workspaces, errors)
     }
 
-    fn insert(&mut self, workspace: Workspace, faults: &mut Vec<EntryError>) {
-        let holder = Arc::new(WorkspacePolicy {
+    fn insert(&mut self, workspace: Workspace, errors: &mut Vec<EntryError>) {
+        let policy = Arc::new(WorkspacePolicy {
             name: workspace.name,
             priority: workspace.priority,
             limit: workspace.limit,
@@ -214,33 +228,33 @@
         for key in &workspace.keys {
             match self.by_key.entry(digest(key)) {
                 Entry::Vacant(entry) => {
-                    entry.insert(Some(Arc::clone(&holder)));
+                    entry.insert(Some(Arc::clone(&policy)));
                 }
                 Entry::Occupied(mut entry) => {
                     let other = entry.get().as_ref().map(|other| other.name.clone());
-                    // A key that a workspace lists twice is still its own.
-                    if other.as_ref() != Some(&holder.name) {
+                    // A workspace may list the same key twice.
+                    if other.as_ref() != Some(&policy.name) {
                         entry.insert(None);
                         let other = other.unwrap_or_default();
-                        faults.push(EntryError::SharedKey(holder.name.clone(), other));
+                        errors.push(EntryError::SharedKey(policy.name.clone(), other));
                     }
                 }
             }
         }
-        self.by_name.insert(holder.name.clone(), holder);
+        self.by_name.insert(policy.name.clone(), policy);
     }
 
-    /// Returns the workspace that holds a key.
+    /// Returns the workspace with the given key.
     pub fn by_key(&self, key: &str) -> Option<&Arc<WorkspacePolicy>> {
         self.by_digest(&digest(key))
     }
 
-    /// Returns the workspace that holds the key of a digest.
+    /// Returns the workspace whose key has the given digest.
     pub fn by_digest(&self, digest: &Digest) -> Option<&Arc<WorkspacePolicy>> {
         self.by_key.get(digest)?.as_ref()
     }
 
-    /// Returns the workspace with a name.
+    /// Returns the workspace with the given name.
     pub fn by_name(&self, name: &str) -> Option<&Arc<WorkspacePolicy>> {
         self.by_name.get(name)
     }
@@ -260,43 +274,44 @@
         self.by_name.len()
     }
 
-    /// Returns whether there are none.
+    /// Returns whether there are no workspaces.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 }
 
-/// Returns the entry without what cannot be used of it.
-fn sound(mut entry: Workspace, faults: &mut Vec<EntryError>) -> Workspace {
+/// Returns the entry without invalid keys and with a normalized limit.
+fn sanitize(mut entry: Workspace, errors: &mut Vec<EntryError>) -> Workspace {
     let name = entry.name.clone();
     let before = entry.keys.len();
-    entry.keys.retain(|key| is_presentable(key));
+    entry.keys.retain(|key| is_valid_key(key));
     for _ in entry.keys.len()..before {
-        faults.push(EntryError::InvalidKey(name.clone()));
+        errors.push(EntryError::InvalidKey(name.clone()));
     }
     if let Some(limit) = entry.limit {
-        let is_sound = limit.per_s >= 0.0 && limit.burst >= 0.0;
-        if !is_sound {
-            faults.push(EntryError::InvalidLimit(name));
+        let is_valid = limit.per_s >= 0.0 && limit.burst >= 0.0;
+        if !is_valid {
+            errors.push(EntryError::InvalidLimit(name));
         }
-        entry.limit = bounded(limit);
+        entry.limit = normalized(limit);
     }
     entry
 }
 
-/// Returns whether a name can be told to targets. Control characters can neither be
-/// sent in a header nor stand in a job's name.
-fn is_name(name: &str) -> bool {
+/// Returns whether a workspace's name is valid. Control characters are valid neither in a
+/// header sent to targets nor in the name of a job.
+fn is_valid_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= NAME_BYTES_MAX && !name.contains(char::is_control)
 }
 
-fn is_presentable(key: &str) -> bool {
+fn is_valid_key(key: &str) -> bool {
     !key.is_empty() && key.len() <= KEY_BYTES_MAX && !key.contains(char::is_whitespace)
 }
 
-/// Returns a limit without what is negative or no number; nothing for none.
-fn bounded(limit: RateLimit) -> Option<RateLimit> {
-    // Of two numbers `max` returns the one that is one.
+/// Returns the limit with negative values and NaN replaced by 0. Returns `None`, which means no
+/// limit, for a configured rate of 0 and for rates from [`PER_S_MAX`] on.
+fn normalized(limit: RateLimit) -> Option<RateLimit> {
+    // `f64::max` returns the other operand if one is NaN.
     let per_s = limit.per_s.max(0.0);
     let burst = limit.burst.max(0.0);
     let is_none = limit.per_s == 0.0 || per_s >= PER_S_MAX;
@@ -306,10 +321,10 @@
 fn merge(
     merged: &mut HashMap<WorkspaceName, Workspace>,
     entry: Workspace,
-    faults: &mut Vec<EntryError>,
+    errors: &mut Vec<EntryError>,
 ) {
-    if !is_name(&entry.name) {
-        faults.push(EntryError::InvalidName);
+    if !is_valid_name(&entry.name) {
+        errors.push(EntryError::InvalidName);
         return;
     }
     match merged.entry(entry.name.clone()) {
@@ -317,11 +332,11 @@
             vacant.insert(entry);
         }
         Entry::Occupied(mut occupied) => {
-            faults.push(EntryError::DuplicateName(entry.name.clone()));
-            let known = occupied.get_mut();
-            known.keys.extend(entry.keys);
-            known.priority = known.priority.max(entry.priority);
-            known.limit = stricter(known.limit, entry.limit);
+            errors.push(EntryError::DuplicateName(entry.name.clone()));
+            let existing = occupied.get_mut();
+            existing.keys.extend(entry.keys);
+            existing.priority = existing.priority.max(entry.priority);
+            existing.limit = stricter(existing.limit, entry.limit);
         }
     }
 }
--- a/crates/config/src/bundle.rs
+++ b/crates/config/src/bundle.rs
@@ -1,7 +1,7 @@
-//! The bundle: what the fleet serves, to whom, and how.
+//! The bundle: the models and services of the fleet, and the workspaces that may use them.
 //!
-//! Use [`parse`] on what an operator wrote; a [`Bundle`] that it returns is
-//! consistent in itself: every reference resolves and every name is unique.
+//! [`parse`] reads a bundle written by an operator. A [`Bundle`] that it returns is
+//! consistent: every reference resolves and every name is unique.
 //!
 //! ```
 //! use notchwharf_config::bundle;
@@ -14,8 +14,8 @@
 //! assert_eq!(bundle.serving("hints").unwrap().version, "3");
 //! ```
 //!
-//! Look-ups are linear scans over small lists except for tenants, of which
-//! there may be many thousands: a router indexes those once for each bundle.
+//! Lookups are linear scans, since the lists are short, except for tenants, of which there may
+//! be many thousands: a router builds an index of tenants once for each bundle.
 
 use std::collections::HashSet;
 
@@ -30,29 +30,29 @@
 use crate::error;
 use crate::json;
 
-/// The greatest number of replicas of one serving.
+/// Maximum number of replicas of a serving.
 pub const REPLICAS_MAX: u32 = 10_000;
-/// The greatest weight of a tenant.
+/// Maximum weight of a tenant.
 pub const WEIGHT_MAX: u32 = 1_000;
 
 const NAME_LEN_MAX: usize = 64;
 
-/// What the fleet serves.
+/// The models and services of the fleet, and the workspaces that may use them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// Models with adapter and version, each under the name callers use.
+    /// Models with adapter and version, each under the name that callers use.
     #[serde(default)]
     pub servings: Vec<Serving>,
-    /// Customers and what each may use.
+    /// Workspaces and their permissions.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// Plain services beside the model engines.
+    /// Services other than model engines.
     #[serde(default)]
     pub services: Vec<Service>,
 }
 
-/// One model with adapter and version, as callers name it.
+/// A model with adapter and version, under the name that callers use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Serving {
@@ -60,34 +60,34 @@
     pub name: ServingName,
     /// The model that targets load.
     pub model: String,
-    /// The adapter on top of the model, where there is one.
+    /// The adapter of the model, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
     /// The version of model and adapter together.
     pub version: String,
-    /// How many targets should hold it.
+    /// The number of targets that should load it.
     pub replicas: u32,
 }
 
-/// One customer.
+/// A workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// The customer's name.
+    /// The workspace's name.
     pub name: TenantId,
-    /// SHA-256 digests of the API keys that prove a caller is this customer.
+    /// SHA-256 digests of the API keys of the workspace.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub key_sha256: Vec<String>,
-    /// The servings that the customer may use.
+    /// The servings that the workspace may use.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub servings: Vec<ServingName>,
-    /// The plain services that the customer may use.
+    /// The services that the workspace may use.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub services: Vec<String>,
-    /// The customer's share of contended capacity, relative to others.
+    /// The workspace's share of contended capacity, relative to others.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The classes of work that the customer may send.
+    /// The classes of work that the workspace may submit.
     #[serde(default = "default_classes")]
     pub classes: Vec<Class>,
 }
@@ -96,17 +96,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// A caller waits for the answer.
+    /// Requests whose caller waits for the response.
     Online,
-    /// Items of a lot, which yield to online work.
+    /// Items of batch jobs, which yield to online requests.
     Batch,
 }
 
-/// A plain service beside the model engines.
+/// A service other than a model engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The name in the path of requests and in the host list.
+    /// The name, as used in the path of requests and in the host list.
     pub name: String,
 }
 
@@ -119,12 +119,12 @@
 }
 
 impl Bundle {
-    /// Returns the serving of that name.
+    /// Returns the serving with the given name.
     pub fn serving(&self, name: &str) -> Option<&Serving> {
         self.servings.iter().find(|s| s.name == name)
     }
 
-    /// Returns whether the bundle holds a plain service of that name.
+    /// Returns whether the bundle contains a service with the given name.
     pub fn has_service(&self, name: &str) -> bool {
         self.services.iter().any(|s| s.name == name)
     }
@@ -139,11 +139,11 @@
         hex(&Sha256::digest(&text))
     }
 
-    /// Checks that the bundle is consistent in itself.
+    /// Checks that the bundle is consistent.
     ///
     /// # Errors
     ///
-    /// Returns the first fault with the path of the field.
+    /// Returns the first error with the path of the field.
     pub fn check(&self) -> Result<(), error::Bundle> {
         self.check_servings()?;
         self.check_services()?;
@@ -206,11 +206,11 @@
     }
 }
 
-/// Reads a bundle from JSON and checks it.
+/// Parses a bundle from JSON and validates it.
 ///
 /// # Errors
 ///
-/// Returns the first fault with the path of the field.
+/// Returns the first error with the path of the field.
 pub fn parse(text: &[u8]) -> Result<Bundle, error::Bundle> {
     let bundle: Bundle =
         json::read(text).map_err(|(path, detail)| error::Bundle::Shape { path, detail })?;
@@ -218,12 +218,12 @@
     Ok(bundle)
 }
 
-/// Returns the digest under which a bundle keeps an API key.
+/// Returns the digest of an API key in the form used by bundles.
 pub fn key_digest(key: &str) -> String {
     hex(&access::digest(key))
 }
 
-/// Returns whether a name fits the rule for names in bundles and settings.
+/// Returns whether a text is a valid name in bundles and settings.
 pub fn is_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     !text.is_empty() && text.len() <= NAME_LEN_MAX && text.chars().all(allowed)
@@ -278,8 +278,8 @@
 }
 
 fn check_digest(path: &str, text: &str) -> Result<(), error::Bundle> {
-    let hex = |c: char| matches!(c, '0'..='9' | 'a'..='f');
-    if text.len() == 64 && text.chars().all(hex) {
+    let is_hex = |c: char| matches!(c, '0'..='9' | 'a'..='f');
+    if text.len() == 64 && text.chars().all(is_hex) {
         return Ok(());
     }
     Err(error::Bundle::Digest { path: path.into() })
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,9 +1,12 @@
-//! Checks of single values, shared by all kinds of settings.
+//! Checks of single values.
+//!
+//! Shared by all kinds of settings, so that equal faults are reported alike.
 
 use crate::bundle::is_name;
 use crate::error;
 
-pub(crate) fn below(
+/// Checks that the value `low` is less than `high`; both are given with their paths.
+pub(crate) fn check_below(
     low: (&'static str, u64),
     high: (&'static str, u64),
 ) -> Result<(), error::Settings> {
@@ -18,7 +21,8 @@
     })
 }
 
-pub(crate) fn range(
+/// Checks that a value is between `min` and `max`, inclusive.
+pub(crate) fn check_range(
     path: &'static str,
     found: impl Into<u64>,
     min: u64,
@@ -36,7 +40,8 @@
     })
 }
 
-pub(crate) fn name(path: &'static str, found: &str) -> Result<(), error::Settings> {
+/// Checks that a text is a valid name.
+pub(crate) fn check_name(path: &'static str, found: &str) -> Result<(), error::Settings> {
     if is_name(found) {
         return Ok(());
     }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of this package.
+//! Error types.
 
 use std::fmt;
 
@@ -7,39 +7,39 @@
 
 use crate::Version;
 
-/// Why settings were refused.
+/// Reasons why settings are refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settings {
-    /// The JSON does not fit the settings' shape.
+    /// The JSON does not have the expected structure.
     Shape {
         /// The path of the field, such as `lease.renew_ms`.
         path: String,
-        /// What the parser expected and found.
+        /// A description of what the parser expected and found.
         detail: String,
     },
-    /// A value lies outside its bounds.
+    /// A value is out of bounds.
     Range {
         /// The path of the field.
         path: &'static str,
         /// The value found.
         found: u64,
-        /// The least value allowed.
+        /// The minimum value.
         min: u64,
-        /// The greatest value allowed.
+        /// The maximum value.
         max: u64,
     },
-    /// A value must be below that of another field.
+    /// A value is not less than that of another field.
     Order {
         /// The path of the field that is too large.
         path: &'static str,
         /// The value found.
         found: u64,
-        /// The path of the field it must stay below.
+        /// The path of the field whose value must be greater.
         other: &'static str,
-        /// The value of that other field.
+        /// The value of the other field.
         limit: u64,
     },
-    /// A text field is empty or holds a character that is not allowed.
+    /// A text is not a valid name.
     Name {
         /// The path of the field.
         path: &'static str,
@@ -74,39 +74,39 @@
 
 impl std::error::Error for Settings {}
 
-/// Why a bundle document was refused.
+/// Reasons why a bundle is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Bundle {
-    /// The JSON does not fit the bundle's shape.
+    /// The JSON does not have the expected structure.
     Shape {
         /// The path of the field.
         path: String,
-        /// What the parser expected and found.
+        /// A description of what the parser expected and found.
         detail: String,
     },
-    /// A name is empty or holds a character that is not allowed.
+    /// A name is not valid.
     Name {
         /// The path of the field.
         path: String,
         /// The text found.
         found: String,
     },
-    /// A name stands twice where it must be unique.
+    /// A name that must be unique is used twice.
     Duplicate {
         /// The path of the second use.
         path: String,
         /// The name.
         name: String,
     },
-    /// A reference names something the bundle does not hold.
+    /// A reference names an entry that the bundle does not contain.
     Unknown {
         /// The path of the reference.
         path: String,
         /// The name that was not found.
         name: String,
     },
-    /// A number lies outside its bounds.
+    /// A number is out of bounds.
     Range {
         /// The path of the field.
         path: String,
@@ -128,8 +128,10 @@
                 f,
                 "{path}: {found:?} must be 1 to 64 letters, digits, '.', '_' or '-'"
             ),
-            Self::Duplicate { path, name } => write!(f, "{path}: {name:?} stands twice"),
-            Self::Unknown { path, name } => write!(f, "{path}: the bundle holds no {name:?}"),
+            Self::Duplicate { path, name } => write!(f, "{path}: {name:?} is used twice"),
+            Self::Unknown { path, name } => {
+                write!(f, "{path}: the bundle does not contain {name:?}")
+            }
             Self::Range { path, found } => write!(f, "{path}: {found} is out of bounds"),
             Self::Digest { path } => {
                 write!(
@@ -143,35 +145,35 @@
 
 impl std::error::Error for Bundle {}
 
-/// Why a proposal or a sign-off does not count.
+/// Reasons why a record of the bundle stream is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
     /// The proposal is not based on the bundle in force.
     StaleBase {
-        /// The base that the proposal names.
+        /// The base of the proposal.
         base: Option<Version>,
         /// The version in force.
         current: Option<Version>,
     },
-    /// The sign-off names no proposal that can still come into force.
+    /// The sign-off does not refer to an open proposal.
     NoProposal {
-        /// The version named.
+        /// The version to which the sign-off refers.
         version: Version,
     },
-    /// The sign-off names other content than was proposed.
+    /// The digest of the sign-off differs from that of the proposal.
     OtherContent {
-        /// The version named.
+        /// The version to which the sign-off refers.
         version: Version,
     },
-    /// The record was written before the bundle in force was signed off.
+    /// The record precedes the sign-off of the bundle in force.
     Past {
         /// The version in force.
         version: Version,
     },
     /// The bundle in a proposal is not valid.
     Invalid(Bundle),
-    /// The record is not one this version of the software knows.
+    /// The record cannot be decoded by this version of the software.
     Unreadable,
 }
 
@@ -181,15 +183,18 @@
             Self::StaleBase { base, current } => write!(
                 f,
                 "based on {}, but the version in force is {}: rebase and propose again",
-                Ver(*base),
-                Ver(*current)
+                DisplayVersion(*base),
+                DisplayVersion(*current)
             ),
             Self::NoProposal { version } => {
-                write!(f, "version {version} is no open proposal: see the history")
+                write!(
+                    f,
+                    "version {version} is not an open proposal: see the history"
+                )
             }
             Self::OtherContent { version } => write!(
                 f,
-                "the digest signed off is not that of version {version}: check it again"
+                "the digest of the sign-off is not that of version {version}: check the proposal again"
             ),
             Self::Past { version } => {
                 write!(
@@ -205,9 +210,9 @@
 
 impl std::error::Error for Refusal {}
 
-struct Ver(Option<Version>);
+struct DisplayVersion(Option<Version>);
 
-impl fmt::Display for Ver {
+impl fmt::Display for DisplayVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(version) => write!(f, "version {version}"),
--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -1,10 +1,9 @@
-//! The fold over the bundle stream: which bundle is in force.
+//! A fold over the bundle stream that determines which bundle is in force.
 //!
-//! A bundle comes into force by two records: a [`Record::Proposal`], whose
-//! offset is its version, and a [`Record::SignOff`] that names its digest.
-//! Every reader of the stream reaches the same answer, so operators who race
-//! one another need no lock: the first valid sign-off wins and makes every
-//! other proposal on the same base stale.
+//! A bundle comes into force by two records: a [`Record::Proposal`], whose offset is its
+//! version, and a [`Record::SignOff`] that contains its digest. All readers of the stream
+//! reach the same result, so concurrent changes by operators need no lock: the first valid
+//! sign-off wins and invalidates every other proposal on the same base.
 //!
 //! ```
 //! use notchwharf_config::bundle::Bundle;
@@ -21,9 +20,9 @@
 //! assert_eq!(history.in_force().unwrap().version, 7);
 //! ```
 //!
-//! A version in force never goes down, whatever order records, carried copies
-//! and peers' copies come in. The price is that a roll-back is a new bundle
-//! with old content, not a return to an old version.
+//! The version in force never decreases, regardless of the order in which records, carried
+//! copies and copies from peers arrive. Consequently, a rollback is a new bundle with old
+//! content rather than a return to an old version.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -35,34 +34,34 @@
 use crate::bundle::Bundle;
 use crate::error::Refusal;
 
-/// The greatest number of open proposals that a reader keeps.
-const OPEN_MAX: usize = 256;
-/// The greatest number of past events that a reader keeps for operators.
+/// Maximum number of open proposals that a reader retains.
+const OPEN_PROPOSALS_MAX: usize = 256;
+/// Maximum number of past events that a reader retains for operators.
 const EVENTS_MAX: usize = 256;
 
 /// A record of the bundle stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Record {
-    /// An operator proposes a bundle.
+    /// A bundle proposed by an operator.
     Proposal {
-        /// The version in force that the proposal was made from.
+        /// The version in force on which the proposal is based.
         base: Option<Version>,
-        /// Who proposes it.
+        /// The operator who proposes it.
         author: String,
         /// The content.
         bundle: Box<Bundle>,
     },
-    /// An operator signs a proposal off.
+    /// The sign-off of a proposal by an operator.
     SignOff {
         /// The version of the proposal.
         version: Version,
-        /// The digest of the content signed off.
+        /// The digest of the content that is signed off.
         digest: String,
-        /// Who signs it off.
+        /// The operator who signs it off.
         author: String,
     },
-    /// A host repeats the bundle in force before the log drops its records.
+    /// A copy of the bundle in force, appended by a host before the log drops its records.
     Carried {
         /// The version in force.
         version: Version,
@@ -74,7 +73,7 @@
 }
 
 impl Record {
-    /// Returns a proposal.
+    /// Returns a proposal record.
     pub fn proposal(base: Option<Version>, author: &str, bundle: Bundle) -> Self {
         Self::Proposal {
             base,
@@ -83,7 +82,7 @@
         }
     }
 
-    /// Returns a sign-off.
+    /// Returns a sign-off record.
     pub fn sign_off(version: Version, digest: &str, author: &str) -> Self {
         Self::SignOff {
             version,
@@ -98,8 +97,8 @@
 pub struct InForce {
     /// The offset of its proposal.
     pub version: Version,
-    /// The offset of its sign-off. No record up to there can change what is in
-    /// force any more, whoever reads it how late.
+    /// The offset of its sign-off. No record up to this offset can change the bundle in force
+    /// any more, regardless of when it is read.
     pub since: u64,
     /// The digest of its content.
     pub digest: String,
@@ -108,7 +107,7 @@
 }
 
 impl InForce {
-    /// Returns a bundle in force with the digest of its content.
+    /// Returns a bundle in force and computes the digest of its content.
     pub fn new(version: Version, since: u64, bundle: Bundle) -> Self {
         Self {
             version,
@@ -119,20 +118,20 @@
     }
 }
 
-/// One line of the history that operators see.
+/// An entry of the history that is shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// The offset of the record.
     pub offset: u64,
-    /// The version that the record speaks of.
+    /// The version to which the record refers.
     pub version: Version,
-    /// Who wrote it.
+    /// The author of the record.
     pub author: String,
-    /// What came of it.
+    /// The outcome of the record.
     pub outcome: Outcome,
 }
 
-/// What came of a record of the bundle stream.
+/// The outcome of a record of the bundle stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
@@ -140,24 +139,24 @@
     Proposed,
     /// The bundle came into force.
     InForce,
-    /// The record was ignored, for this reason.
+    /// The record was ignored for the given reason.
     Refused(Refusal),
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenProposal {
     base: Option<Version>,
     digest: String,
     bundle: Arc<Bundle>,
 }
 
-/// The state folded from the bundle stream.
+/// The state that results from the bundle stream.
 ///
-/// Invariant: the version in force never goes down.
+/// Invariant: the version in force never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     in_force: Option<InForce>,
-    open: BTreeMap<Version, Open>,
+    open: BTreeMap<Version, OpenProposal>,
     events: Vec<Event>,
 }
 
@@ -172,7 +171,7 @@
         self.in_force.as_ref().map(|f| f.version)
     }
 
-    /// Returns the latest events, oldest first.
+    /// Returns the most recent events, oldest first.
     pub fn events(&self) -> &[Event] {
         &self.events
     }
@@ -182,13 +181,13 @@
         self.open.get(&version).map(|p| p.digest.as_str())
     }
 
-    /// Folds one record in.
+    /// Applies a record.
     ///
     /// # Errors
     ///
-    /// Returns why the record does not count. Every reader refuses the same
-    /// records, and for the same reasons unless it took a bundle from a peer
-    /// and now reads what led to it.
+    /// Returns the reason if the record is refused. All readers refuse the same records, and
+    /// for the same reasons, except that a reader that adopted a bundle from a peer refuses
+    /// all records up to its sign-off as [`Refusal::Past`].
     pub fn apply(&mut self, offset: u64, record: Record) -> Result<(), Refusal> {
         if let Some(in_force) = &self.in_force
             && offset <= in_force.since
@@ -210,25 +209,25 @@
                 return Ok(());
             }
         };
-        let res = match record {
+        let result = match record {
             Record::Proposal { base, bundle, .. } => self.propose(offset, base, *bundle),
             Record::SignOff { digest, .. } => self.sign_off(offset, version, &digest),
             Record::Carried { .. } => Ok(Outcome::Proposed),
         };
-        let outcome = match &res {
+        let outcome = match &result {
             Ok(outcome) => outcome.clone(),
             Err(err) => Outcome::Refused(err.clone()),
         };
-        self.remember(Event {
+        self.record_event(Event {
             offset,
             version,
             author,
             outcome,
         });
-        res.map(|_| ())
+        result.map(|_| ())
     }
 
-    /// Takes a bundle in force from a peer or a carried copy, if it is newer.
+    /// Adopts a bundle in force from a peer or a carried copy if it is newer.
     ///
     /// Returns whether the bundle in force changed.
     pub fn adopt(&mut self, other: InForce) -> bool {
@@ -252,10 +251,10 @@
             return Err(self.stale(base));
         }
         bundle.check().map_err(Refusal::Invalid)?;
-        if self.open.len() >= OPEN_MAX {
+        if self.open.len() >= OPEN_PROPOSALS_MAX {
             self.open.pop_first();
         }
-        let open = Open {
+        let open = OpenProposal {
             base,
             digest: bundle.digest(),
             bundle: Arc::new(bundle),
@@ -301,7 +300,7 @@
         Refusal::StaleBase { base, current }
     }
 
-    fn remember(&mut self, event: Event) {
+    fn record_event(&mut self, event: Event) {
         if self.events.len() >= EVENTS_MAX {
             self.events.remove(0);
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! Settings of a host, and the versioned bundle that operators sign off.
+//! Settings of a host, and the versioned configuration of the fleet.
 //!
-//! [`settings`] is what one process is told at start. [`bundle`] is what the
-//! whole fleet serves, and [`history`] is the fold that says which bundle is
-//! in force. Where the users' platform keeps the configuration, [`routes`] is
-//! what the fleet serves and [`gateway`] what one process is told. [`access`] says who
-//! calls. None of it does any I/O.
+//! [`settings`] defines what one process reads at start. [`bundle`] defines what the whole
+//! fleet serves and is signed off by operators; [`history`] is the fold that determines which
+//! bundle is in force. Where the users' platform stores the configuration, [`routes`] defines
+//! what the fleet serves and [`gateway`] what one process reads at start. [`access`]
+//! identifies callers. The crate performs no I/O.
 
 pub mod access;
 pub mod bundle;
@@ -16,11 +16,11 @@
 pub mod routes;
 pub mod settings;
 
-/// The name of a customer, as the bundle spells it.
+/// The name of a workspace in the bundle.
 pub type TenantId = String;
-/// The name of a data centre, as settings and the host list spell it.
+/// The name of a data centre in settings and the host list.
 pub type DataCentreId = String;
-/// The name under which callers ask for a serving.
+/// The name by which callers request a serving.
 pub type ServingName = String;
-/// The log offset of a bundle's proposal, which is its version.
+/// The version of a bundle: the log offset of its proposal.
 pub type Version = u64;
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -1,7 +1,7 @@
-//! Routes: which service answers a request, and on what terms.
+//! Routes: the service that handles a request, and the policy that applies to it.
 //!
-//! A [`Table`] is one version of the routes in force. It is built once from a
-//! configuration and never changed; a newer version replaces it whole.
+//! A [`Table`] is one version of the routes. It is built from a configuration, is immutable,
+//! and is replaced as a whole by a newer version.
 //!
 //! ```
 //! use notchwharf_config::routes::{Route, Table};
@@ -21,42 +21,42 @@
 use crate::access::Workspace;
 use crate::access::Workspaces;
 
-/// The name of a service, which several targets offer.
+/// The name of a service, which is provided by several targets.
 pub type ServiceName = String;
 /// The version of a table; newer ones have higher numbers.
 pub type TableVersion = u64;
 
-/// What may be repeated, and how a request of a route is answered.
+/// The kind of a route: whether requests may be repeated, and how they are answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Kind {
-    /// A plain request that may run more than once.
+    /// A single request and response; may run more than once.
     Idempotent,
-    /// A plain request that may run at most once.
+    /// A single request and response; may run at most once.
     #[default]
     NonIdempotent,
     /// A stream of events.
     Stream,
-    /// Jobs of many items.
+    /// Batch jobs with many items.
     Batch,
 }
 
-/// The terms of jobs on a route.
+/// The policy for batch jobs on a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JobPolicy {
-    /// Time after the first submission within which results are worth most.
+    /// Time after the first submission within which results have their full value.
     pub objective: Duration,
-    /// Time after the first submission from which an item may be given up.
+    /// Time after the first submission after which an item may be abandoned.
     pub abandon_after: Duration,
-    /// Tokens of items that may wait on the route; nothing for no limit.
+    /// Maximum number of tokens of items that wait on the route; `None` for no limit.
     pub tokens_max: Option<u64>,
 }
 
-/// One of the services among which a route's requests are split.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     /// The service.
     pub service: ServiceName,
-    /// Its weight against the others.
+    /// Its weight relative to the other services.
     pub weight: u32,
 }
 
@@ -65,29 +65,29 @@
 pub struct Route {
     /// The route's name.
     pub name: String,
-    /// The host that requests name, in lower case.
+    /// The host name of requests, in lower case.
     pub host: String,
-    /// How their path begins; begins and ends with a slash.
+    /// The prefix of their path; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// The kind of the route.
     pub kind: Kind,
-    /// Time after which a request must have its answer.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time to the answer, or its first event, that callers hope for.
+    /// Desired time until the response or its first event.
     pub objective: Duration,
-    /// Targets that one request may run on.
+    /// Maximum number of targets on which a request is attempted.
     pub attempts_max: u32,
-    /// The route's rank; 0 is the most urgent.
+    /// The priority of the route; 0 is the most urgent.
     pub priority: u8,
-    /// Services that answer, with their weights.
+    /// The services that handle requests, with their weights.
     pub shares: Vec<Share>,
-    /// Whether a stream may go on at another target after an event.
+    /// Whether a stream may be resumed at another target after an event.
     pub resumable: bool,
-    /// The longest pause between two events that callers hope for.
+    /// Desired maximum time between two events.
     pub gap_objective: Option<Duration>,
-    /// The terms of its jobs.
+    /// The policy for its jobs.
     pub jobs: JobPolicy,
-    /// Whether anybody may call, also without a key.
+    /// Whether callers need no key.
     pub public: bool,
 }
 
@@ -101,15 +101,16 @@
         }
     }
 
-    /// Returns the service for a request; `draw` spreads requests by weight.
-    pub fn select_service(&self, draw: u64) -> Option<&ServiceName> {
+    /// Returns the service for a request, chosen by weight. `random` must be uniformly
+    /// distributed.
+    pub fn select_service(&self, random: u64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut rest = random.checked_rem(total)?;
         let chosen = self.shares.iter().find(|share| {
             let weight = u64::from(share.weight);
-            let hit = left < weight;
-            left = left.saturating_sub(weight);
-            hit
+            let is_chosen = rest < weight;
+            rest = rest.saturating_sub(weight);
+            is_chosen
         });
         chosen.map(|share| &share.service)
     }
@@ -120,32 +121,31 @@
 pub struct Service {
     /// The service's name.
     pub name: ServiceName,
-    /// Connections that one of its targets takes from all callers.
+    /// Maximum number of connections that one of its targets accepts from all callers.
     pub connections_max: u32,
-    /// Requests that one of its targets runs at once, where the configuration
-    /// says so.
+    /// Number of requests that one of its targets runs concurrently, if configured.
     pub slots: Option<u32>,
-    /// Tokens that one of its targets holds, where the configuration says so.
+    /// Number of tokens that one of its targets can hold, if configured.
     pub tokens_max: Option<u64>,
     /// Requests per second that a cold target of the service sustains, if configured.
     pub cold_per_s: Option<f64>,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's header section.
     pub head_bytes_max: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body.
     pub body_bytes_max: usize,
-    /// Time that a caller may take for a head.
+    /// Time within which a caller must send the header section.
     pub head_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Returns generous bounds, for the time before a configuration is known.
+    /// Returns permissive limits, used until a configuration is known.
     fn default() -> Self {
         Self {
             head_bytes_max: 64 << 10,
@@ -160,7 +160,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     version: TableVersion,
-    /// By host; the longest prefix first.
+    /// Routes by host name, ordered by decreasing length of the prefix.
     routes: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<ServiceName, Service>,
     limits: Limits,
@@ -169,7 +169,7 @@
 }
 
 impl Table {
-    /// Returns the table of a version.
+    /// Returns a table with the given version.
     pub fn new(
         version: TableVersion,
         routes: Vec<Route>,
@@ -179,11 +179,11 @@
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for mut route in routes {
             route.host.make_ascii_lowercase();
-            let same_host = by_host.entry(route.host.clone()).or_default();
-            same_host.push(Arc::new(route));
+            let host_routes = by_host.entry(route.host.clone()).or_default();
+            host_routes.push(Arc::new(route));
         }
-        for same_host in by_host.values_mut() {
-            same_host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+        for host_routes in by_host.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let services = services.into_iter().map(|s| (s.name.clone(), s)).collect();
         Self {
@@ -196,7 +196,8 @@
         }
     }
 
-    /// Returns the table with the workspaces that may call; without them anybody may.
+    /// Returns the table with the workspaces that may call. Without workspaces, no key is
+    /// needed.
     #[must_use]
     pub fn with_workspaces(self, entries: Vec<Workspace>) -> Self {
         let (workspaces, entry_errors) = Workspaces::new(entries);
@@ -207,19 +208,19 @@
         }
     }
 
-    /// Returns what was wrong with entries of workspaces.
+    /// Returns the errors in the entries of workspaces.
     pub fn entry_errors(&self) -> &[EntryError] {
         &self.entry_errors
     }
 
-    /// Returns the workspaces that may call; nothing if callers are not told apart.
+    /// Returns the workspaces that may call; `None` if callers are not distinguished.
     pub fn workspaces(&self) -> Option<&Workspaces> {
         self.workspaces.as_ref()
     }
 
-    /// Returns whether a host has a route for jobs that anybody may use.
+    /// Returns whether a host name has a route for batch jobs that needs no key.
     pub fn has_public_jobs(&self, host: &str) -> bool {
-        let routes = self.same_host(host);
+        let routes = self.routes_of_host(host);
         routes.is_some_and(|routes| routes.iter().any(|r| r.public && r.kind == Kind::Batch))
     }
 
@@ -233,31 +234,30 @@
         self.version
     }
 
-    /// Returns the bounds on what callers send.
+    /// Returns the limits on requests of callers.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Returns a service.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Returns the route of a request: of those of its host, the one with the
-    /// longest prefix that begins the path. A port behind the host is passed
-    /// over, as is the case of its letters.
+    /// Returns the route of a request: among the routes of its host name, the one with the
+    /// longest matching path prefix. The port and the case of the host name are ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let same_host = self.same_host(host)?;
-        same_host.iter().find(|r| path.starts_with(&r.prefix))
+        let host_routes = self.routes_of_host(host)?;
+        host_routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    fn same_host(&self, host: &str) -> Option<&Vec<Arc<Route>>> {
+    fn routes_of_host(&self, host: &str) -> Option<&Vec<Arc<Route>>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let exact = self.routes.get(name);
         exact.or_else(|| self.routes.get(&name.to_ascii_lowercase()))
     }
 
-    /// Returns the route with a name.
+    /// Returns the route with the given name.
     pub fn by_name(&self, name: &str) -> Option<&Arc<Route>> {
         let mut all = self.routes.values().flatten();
         all.find(|route| route.name == name)
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of one process, in JSON, all checked at start.
+//! Settings of one process, in JSON, validated at start.
 //!
-//! Use [`parse`] on the file's bytes. Settings that it returns are safe to run
-//! with: every field lies within its bounds and no two contradict each other.
+//! [`parse`] reads the contents of a settings file. In the settings that it returns, every
+//! field is within its bounds and no two fields contradict each other.
 //!
 //! ```
 //! use notchwharf_config::settings;
@@ -12,8 +12,8 @@
 //! assert_eq!(err.to_string(), "lease.renew_ms: 2000 must be below lease.duration_ms, which is 1000");
 //! ```
 //!
-//! Fields carry their unit as a suffix. All but the host's own name and data
-//! centre have defaults, which suit a fleet of about twelve hosts.
+//! Field names have their unit as a suffix. All fields except the host's name and data centre
+//! have defaults, which are intended for a fleet of about twelve hosts.
 
 mod check;
 
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who this host is and where it listens.
+    /// The name, data centre and addresses of this host.
     pub host: Host,
-    /// Where the platform's services are.
+    /// The platform's services.
     #[serde(default)]
     pub platform: Platform,
     /// Leases on shards and targets.
@@ -48,39 +48,39 @@
     /// Batch items.
     #[serde(default)]
     pub batch: Batch,
-    /// Bounds on what callers send.
+    /// Limits on requests of callers.
     #[serde(default)]
     pub limits: Limits,
     /// Gossip between hosts.
     #[serde(default)]
     pub membership: Membership,
-    /// Leaving.
+    /// Graceful shutdown.
     #[serde(default)]
     pub shutdown: Shutdown,
 }
 
-/// Who this host is and where it listens.
+/// The name, data centre and addresses of a host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
     /// The name of the host, unique in the fleet.
     pub name: String,
-    /// The data centre that the host stands in.
+    /// The data centre of the host.
     pub data_centre: DataCentreId,
-    /// Where callers connect.
+    /// The address on which callers connect.
     #[serde(default = "any_port")]
     pub listen: SocketAddr,
-    /// Where operators connect; not to be reachable for callers.
+    /// The address on which operators connect; must not be reachable by callers.
     #[serde(default = "any_port")]
     pub admin_listen: SocketAddr,
-    /// Where other hosts connect.
+    /// The address on which other hosts connect.
     #[serde(default = "any_port")]
     pub peer_listen: SocketAddr,
-    /// Where other hosts send gossip, over UDP.
+    /// The UDP address to which other hosts send gossip.
     #[serde(default = "any_port")]
     pub gossip_listen: SocketAddr,
-    /// The header that names the tenant, where the platform's balancer sets
-    /// one. Without it only API keys count.
+    /// The header that names the workspace, if the platform's load balancer sets one. If
+    /// absent, callers are identified only by their API keys.
     #[serde(default)]
     pub tenant_header: Option<String>,
 }
@@ -89,7 +89,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services and limits of calls to them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Platform {
@@ -97,9 +97,9 @@
     pub log_url: String,
     /// Base URL of the list of live and leaving hosts.
     pub host_list_url: String,
-    /// Time between two readings of the host list. From 10 to 60_000; 500 by default.
+    /// Time between two polls of the host list. From 10 to 60_000; 500 by default.
     pub poll_ms: u64,
-    /// Time after which a call to the platform counts as lost. From 10 to 60_000; 2_000 by default.
+    /// Timeout of a call to the platform. From 10 to 60_000; 2_000 by default.
     pub timeout_ms: u64,
 }
 
@@ -118,11 +118,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Lease {
-    /// Silence of a holder after which others may claim. From 200 to 600_000; 6_000 by default.
+    /// Time without a renewal by the holder after which others may claim the lease. From 200 to 600_000; 6_000 by default.
     pub duration_ms: u64,
     /// Time between two renewals. From 50 to 300_000; 1_500 by default.
     pub renew_ms: u64,
-    /// Bound on the time an order takes to land at a target. From 10 to 60_000; 1_000 by default.
+    /// Maximum time until an order takes effect at a target. From 10 to 60_000; 1_000 by default.
     pub landing_ms: u64,
 }
 
@@ -140,19 +140,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Ledger {
-    /// Number of shards; the same on every host, for good. From 1 to 4_096; 16 by default.
+    /// Number of shards; must be equal on all hosts and must never change. From 1 to 4_096; 16 by default.
     pub shards: u32,
-    /// Least time between two appends of one shard. From 1 to 10_000; 20 by default.
+    /// Minimum time between two appends of one shard. From 1 to 10_000; 20 by default.
     pub commit_ms: u64,
-    /// Appends a second that the whole fleet may use. From 1 to 100_000; 300 by default.
+    /// Appends per second that the whole fleet may use. From 1 to 100_000; 300 by default.
     pub append_budget_per_s: u32,
-    /// Attempts after which an item fails for good. From 1 to 100; 3 by default.
+    /// Attempts after which an item fails permanently. From 1 to 100; 3 by default.
     pub attempts_max: u32,
-    /// Time for which the log keeps a record. From 1_000 to 31_536_000_000; 86_400_000 by default.
+    /// Time for which the log retains a record. From 1_000 to 31_536_000_000; 86_400_000 by default.
     pub retention_ms: u64,
-    /// Time before expiry at which live records are carried forward. From 100 to 31_536_000_000; 21_600_000 by default.
+    /// Time before expiry at which live records are appended again. From 100 to 31_536_000_000; 21_600_000 by default.
     pub carry_margin_ms: u64,
-    /// Time for which results of ended jobs stay readable. From 1_000 to 31_536_000_000; 259_200_000 by default.
+    /// Time for which results of finished jobs remain readable. From 1_000 to 31_536_000_000; 259_200_000 by default.
     pub readable_ms: u64,
     /// Records after which a shard writes a snapshot. From 16 to 1_000_000; 4_096 by default.
     pub snapshot_records: u32,
@@ -181,13 +181,13 @@
     pub first_token_objective_ms: u64,
     /// Objective for the time between tokens at the 95th percentile. From 1 to 60_000; 26 by default.
     pub inter_token_objective_ms: u64,
-    /// Deadline of a request where the caller sets none. From 10 to 3_600_000; 60_000 by default.
+    /// Deadline of a request if the caller sets none. From 10 to 3_600_000; 60_000 by default.
     pub request_timeout_ms: u64,
-    /// Silence of a target after which its stream counts as cut. From 10 to 600_000; 5_000 by default.
+    /// Time without data after which a target's stream is considered broken. From 10 to 600_000; 5_000 by default.
     pub idle_timeout_ms: u64,
-    /// Retries allowed as a share of recent successes. From 0 to 100; 20 by default.
+    /// Retries allowed as a percentage of recent successes. From 0 to 100; 20 by default.
     pub retry_share_percent: u32,
-    /// Requests that one host carries at once. From 1 to 1_000_000; 4_096 by default.
+    /// Maximum number of concurrent requests of one host. From 1 to 1_000_000; 4_096 by default.
     pub in_flight_max: u32,
 }
 
@@ -208,13 +208,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Batch {
-    /// Streams of all classes that a target is given at most. From 1 to 4_096; 32 by default.
+    /// Maximum number of concurrent streams of all classes per target. From 1 to 4_096; 32 by default.
     pub slots_max: u32,
-    /// Slots of a target always left free for online bursts. From 0 to 4_096; 1 by default.
+    /// Slots of a target that are always kept free for bursts of online requests. From 0 to 4_096; 1 by default.
     pub reserve_min: u32,
-    /// Time between two looks for work for an idle target. From 1 to 60_000; 100 by default.
+    /// Time between two requests for items for an idle target. From 1 to 60_000; 100 by default.
     pub pull_ms: u64,
-    /// Time after which an attempt at an item is given up. From 10 to 86_400_000; 600_000 by default.
+    /// Timeout of an attempt at an item. From 10 to 86_400_000; 600_000 by default.
     pub item_timeout_ms: u64,
 }
 
@@ -229,21 +229,21 @@
     }
 }
 
-/// Bounds on what callers send.
+/// Limits on requests of callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Largest body of one request. From 1_024 to 1_073_741_824; 1_048_576 by default.
+    /// Maximum size of a request body. From 1_024 to 1_073_741_824; 1_048_576 by default.
     pub body_bytes_max: u64,
-    /// Largest head of one request. From 8_192 to 1_048_576; 16_384 by default.
+    /// Maximum size of a request header section. From 8_192 to 1_048_576; 16_384 by default.
     pub header_bytes_max: u64,
-    /// Time a caller has to send the head. From 10 to 600_000; 10_000 by default.
+    /// Time within which a caller must send the header section. From 10 to 600_000; 10_000 by default.
     pub header_timeout_ms: u64,
-    /// Silence while a caller sends a body. From 10 to 600_000; 30_000 by default.
+    /// Maximum time without data while a caller sends a body. From 10 to 600_000; 30_000 by default.
     pub body_timeout_ms: u64,
-    /// Largest lot. From 1_024 to 1_099_511_627_776; 1_073_741_824 by default.
+    /// Maximum size of the items file of a job. From 1_024 to 1_099_511_627_776; 1_073_741_824 by default.
     pub lot_bytes_max: u64,
-    /// Most items in one lot. From 1 to 10_000_000; 230_000 by default.
+    /// Maximum number of items of a job. From 1 to 10_000_000; 230_000 by default.
     pub lot_items_max: u32,
 }
 
@@ -264,9 +264,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Membership {
-    /// Time between two probes of a peer. From 10 to 60_000; 1_000 by default.
+    /// Time between two probes. From 10 to 60_000; 1_000 by default.
     pub probe_ms: u64,
-    /// Time a silent host stays suspected before it counts as dead. From 10 to 600_000; 3_000 by default.
+    /// Time for which an unresponsive host remains suspected before it is considered dead. From 10 to 600_000; 3_000 by default.
     pub suspect_ms: u64,
 }
 
@@ -279,13 +279,13 @@
     }
 }
 
-/// Leaving.
+/// Graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Shutdown {
-    /// Time that requests in flight have to end after SIGTERM. From 10 to 3_600_000; 65_000 by default.
+    /// Time within which requests in flight must finish after SIGTERM. From 10 to 3_600_000; 65_000 by default.
     pub drain_timeout_ms: u64,
-    /// Time between turning not ready and refusing new connections. From 0 to 60_000; 2_000 by default.
+    /// Time between reporting not ready and refusing new connections. From 0 to 60_000; 2_000 by default.
     pub notice_ms: u64,
 }
 
@@ -298,11 +298,11 @@
     }
 }
 
-/// Reads settings from JSON and checks them.
+/// Parses settings from JSON and validates them.
 ///
 /// # Errors
 ///
-/// Returns the first fault with the path of the field.
+/// Returns the first error with the path of the field.
 pub fn parse(text: &[u8]) -> Result<Settings, error::Settings> {
     let settings: Settings =
         json::read(text).map_err(|(path, detail)| error::Settings::Shape { path, detail })?;
@@ -310,7 +310,7 @@
     Ok(settings)
 }
 
-/// Returns a number of milliseconds as a duration.
+/// Converts a number of milliseconds to a duration.
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
--- a/crates/config/tests/access.rs
+++ b/crates/config/tests/access.rs
@@ -1,4 +1,4 @@
-//! Keys and workspaces: which request is whose, whatever a configuration says.
+//! Parsing of API keys and identification of workspaces, with valid and invalid entries.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use notchwharf_config::access::EntryError;
@@ -24,23 +24,23 @@
     }
 }
 
-fn holder(all: &Workspaces, key: &str) -> Option<String> {
-    all.by_key(key).map(|holder| holder.name.clone())
+fn name_by_key(workspaces: &Workspaces, key: &str) -> Option<String> {
+    workspaces.by_key(key).map(|policy| policy.name.clone())
 }
 
 #[rstest]
 #[case::as_written(&["Token k1"], Ok("k1"))]
 #[case::other_case(&["tOKEN k1"], Ok("k1"))]
-#[case::blanks(&["  Token   k1  "], Ok("k1"))]
+#[case::spaces(&["  Token   k1  "], Ok("k1"))]
 #[case::none(&[], Err(KeyError::Missing))]
 #[case::twice(&["Token k1", "Token k1"], Err(KeyError::Malformed))]
 #[case::other_scheme(&["Bearer k1"], Err(KeyError::OtherScheme))]
 #[case::no_scheme(&["k1"], Err(KeyError::OtherScheme))]
 #[case::scheme_alone(&["Token"], Err(KeyError::OtherScheme))]
-#[case::scheme_and_blanks(&["Token   "], Err(KeyError::OtherScheme))]
+#[case::scheme_and_spaces(&["Token   "], Err(KeyError::OtherScheme))]
 #[case::two_words(&["Token k1 k2"], Err(KeyError::Malformed))]
 #[case::empty(&[""], Err(KeyError::OtherScheme))]
-fn a_key_is_read_or_there_is_a_reason(
+fn a_key_is_parsed_or_refused_with_a_reason(
     #[case] values: &[&str],
     #[case] expected: Result<&str, KeyError>,
 ) {
@@ -53,7 +53,7 @@
 #[rstest]
 #[case::not_text(vec![b'T', b'o', b'k', b'e', b'n', b' ', 0xff])]
 #[case::eight_kilobytes([b"Token ".to_vec(), vec![b'k'; 8 << 10]].concat())]
-fn bytes_that_are_no_key_are_none(#[case] value: Vec<u8>) {
+fn a_malformed_value_is_refused(#[case] value: Vec<u8>) {
     assert_eq!(
         parse_key("Token", [value.as_slice()]),
         Err(KeyError::Malformed)
@@ -61,21 +61,21 @@
 }
 
 #[test]
-fn a_workspace_has_all_its_keys_and_nobody_else_s() {
-    let (all, faults) = Workspaces::new(vec![
+fn a_workspace_is_identified_by_each_of_its_keys_only() {
+    let (workspaces, errors) = Workspaces::new(vec![
         workspace("choir", &["k1", "k2", "k2"]),
         workspace("strings", &["k3"]),
     ]);
-    assert_eq!(faults, []);
-    assert_eq!(holder(&all, "k1").as_deref(), Some("choir"));
-    assert_eq!(holder(&all, "k2").as_deref(), Some("choir"));
-    assert_eq!(holder(&all, "k3").as_deref(), Some("strings"));
-    assert_eq!(holder(&all, "k4"), None);
-    assert_eq!(holder(&all, ""), None);
+    assert_eq!(errors, []);
+    assert_eq!(name_by_key(&workspaces, "k1").as_deref(), Some("choir"));
+    assert_eq!(name_by_key(&workspaces, "k2").as_deref(), Some("choir"));
+    assert_eq!(name_by_key(&workspaces, "k3").as_deref(), Some("strings"));
+    assert_eq!(name_by_key(&workspaces, "k4"), None);
+    assert_eq!(name_by_key(&workspaces, ""), None);
 }
 
 #[test]
-fn two_entries_of_one_name_are_one_workspace_under_the_stricter_terms() {
+fn entries_with_the_same_name_are_merged_with_the_stricter_policy() {
     let first = Workspace {
         priority: Some(1),
         ..limited("choir", 10.0, 4.0)
@@ -85,54 +85,55 @@
         priority: Some(3),
         ..limited("choir", 5.0, 8.0)
     };
-    let (all, faults) = Workspaces::new(vec![first, second]);
-    assert_eq!(faults, [EntryError::DuplicateName("choir".into())]);
-    assert_eq!(all.len(), 1);
-    let known = all.by_key("k2").unwrap();
-    assert_eq!(Some(known), all.by_key("choir"));
-    assert_eq!(known.priority, Some(3));
+    let (workspaces, errors) = Workspaces::new(vec![first, second]);
+    assert_eq!(errors, [EntryError::DuplicateName("choir".into())]);
+    assert_eq!(workspaces.len(), 1);
+    let policy = workspaces.by_key("k2").unwrap();
+    assert_eq!(Some(policy), workspaces.by_key("choir"));
+    assert_eq!(policy.priority, Some(3));
     let limit = RateLimit {
         per_s: 5.0,
         burst: 4.0,
     };
-    assert_eq!(known.limit, Some(limit));
+    assert_eq!(policy.limit, Some(limit));
 }
 
 #[test]
-fn a_key_of_two_workspaces_is_nobody_s_and_their_other_keys_hold() {
-    let (all, faults) = Workspaces::new(vec![
+fn a_key_of_two_workspaces_is_ignored_and_their_other_keys_are_valid() {
+    let (workspaces, errors) = Workspaces::new(vec![
         workspace("choir", &["shared", "k1"]),
         workspace("strings", &["shared", "k2"]),
     ]);
     assert!(
-        matches!(faults[..], [EntryError::SharedKey(..)]),
-        "{faults:?}"
+        matches!(errors[..], [EntryError::SharedKey(..)]),
+        "{errors:?}"
     );
-    assert_eq!(holder(&all, "shared"), None);
-    assert_eq!(holder(&all, "k1").as_deref(), Some("choir"));
-    assert_eq!(holder(&all, "k2").as_deref(), Some("strings"));
+    assert_eq!(name_by_key(&workspaces, "shared"), None);
+    assert_eq!(name_by_key(&workspaces, "k1").as_deref(), Some("choir"));
+    assert_eq!(name_by_key(&workspaces, "k2").as_deref(), Some("strings"));
 }
 
 #[rstest]
 #[case::no_name("", EntryError::InvalidName)]
-#[case::name_of_two_lines("a\nb", EntryError::InvalidName)]
+#[case::line_break_in_name("a\nb", EntryError::InvalidName)]
 #[case::too_long(&"n".repeat(200), EntryError::InvalidName)]
-fn a_workspace_that_cannot_be_named_is_left_out(#[case] name: &str, #[case] fault: EntryError) {
-    let (all, faults) = Workspaces::new(vec![workspace(name, &["k1"]), workspace("b", &["k2"])]);
-    assert_eq!(faults, [fault]);
-    assert_eq!(holder(&all, "k1"), None);
-    assert_eq!(holder(&all, "k2").as_deref(), Some("b"));
+fn a_workspace_with_an_invalid_name_is_ignored(#[case] name: &str, #[case] error: EntryError) {
+    let (workspaces, errors) =
+        Workspaces::new(vec![workspace(name, &["k1"]), workspace("b", &["k2"])]);
+    assert_eq!(errors, [error]);
+    assert_eq!(name_by_key(&workspaces, "k1"), None);
+    assert_eq!(name_by_key(&workspaces, "k2").as_deref(), Some("b"));
 }
 
 #[rstest]
 #[case::empty("")]
-#[case::with_a_blank("a b")]
+#[case::with_a_space("a b")]
 #[case::too_long(&"k".repeat(600))]
-fn a_key_that_cannot_be_presented_is_left_out(#[case] key: &str) {
-    let (all, faults) = Workspaces::new(vec![workspace("choir", &[key, "k1"])]);
-    assert_eq!(faults, [EntryError::InvalidKey("choir".into())]);
-    assert_eq!(holder(&all, key), None);
-    assert_eq!(holder(&all, "k1").as_deref(), Some("choir"));
+fn an_invalid_key_is_ignored(#[case] key: &str) {
+    let (workspaces, errors) = Workspaces::new(vec![workspace("choir", &[key, "k1"])]);
+    assert_eq!(errors, [EntryError::InvalidKey("choir".into())]);
+    assert_eq!(name_by_key(&workspaces, key), None);
+    assert_eq!(name_by_key(&workspaces, "k1").as_deref(), Some("choir"));
 }
 
 #[rstest]
@@ -142,15 +143,15 @@
 #[case::huge(1e300, 0.0, None, 0)]
 #[case::negative_rate(-1.0, 3.0, Some((0.0, 3.0)), 1)]
 #[case::negative_burst(2.0, -3.0, Some((2.0, 0.0)), 1)]
-#[case::no_number(f64::NAN, 3.0, Some((0.0, 3.0)), 1)]
-fn a_limit_is_sound_none_or_its_burst(
+#[case::not_a_number(f64::NAN, 3.0, Some((0.0, 3.0)), 1)]
+fn an_invalid_limit_is_normalized(
     #[case] per_s: f64,
     #[case] burst: f64,
     #[case] expected: Option<(f64, f64)>,
-    #[case] faults_expected: usize,
+    #[case] error_count: usize,
 ) {
-    let (all, faults) = Workspaces::new(vec![limited("choir", per_s, burst)]);
-    let limit = all.by_name("choir").unwrap().limit;
+    let (workspaces, errors) = Workspaces::new(vec![limited("choir", per_s, burst)]);
+    let limit = workspaces.by_name("choir").unwrap().limit;
     assert_eq!(limit.map(|l| (l.per_s, l.burst)), expected);
-    assert_eq!(faults.len(), faults_expected, "{faults:?}");
+    assert_eq!(errors.len(), error_count, "{errors:?}");
 }
--- a/crates/config/tests/bundle.rs
+++ b/crates/config/tests/bundle.rs
@@ -1,4 +1,4 @@
-//! Bundles are checked before anybody signs them off.
+//! Validation of bundles.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use notchwharf_config::bundle;
@@ -9,13 +9,13 @@
 
 #[rstest]
 #[case::not_json("{", ".")]
-#[case::trailing("{} x", ".")]
+#[case::trailing_text("{} x", ".")]
 #[case::unknown_field(r#"{"colors": []}"#, "colors")]
-#[case::no_replicas(
+#[case::zero_replicas(
     r#"{"servings": [{"name": "s", "model": "m", "version": "1", "replicas": 0}]}"#,
     "servings[0].replicas"
 )]
-#[case::bad_name(
+#[case::invalid_name(
     r#"{"servings": [{"name": "a b", "model": "m", "version": "1", "replicas": 1}]}"#,
     "servings[0].name"
 )]
@@ -23,31 +23,31 @@
     r#"{"tenants": [{"name": "t", "servings": ["x"]}]}"#,
     "tenants[0].servings[0]"
 )]
-#[case::tenant_twice(r#"{"tenants": [{"name": "t"}, {"name": "t"}]}"#, "tenants[1].name")]
-#[case::bad_digest(
+#[case::duplicate_tenant(r#"{"tenants": [{"name": "t"}, {"name": "t"}]}"#, "tenants[1].name")]
+#[case::invalid_digest(
     r#"{"tenants": [{"name": "t", "key_sha256": ["ABC"]}]}"#,
     "tenants[0].key_sha256[0]"
 )]
-#[case::bad_class(
+#[case::invalid_class(
     r#"{"tenants": [{"name": "t", "classes": ["slow"]}]}"#,
     "tenants[0].classes[0]"
 )]
-fn a_fault_is_named_with_its_path(#[case] text: &str, #[case] path: &str) {
+fn an_error_starts_with_the_path_of_its_field(#[case] text: &str, #[case] path: &str) {
     let err = bundle::parse(text.as_bytes()).unwrap_err().to_string();
     assert!(err.starts_with(&format!("{path}:")), "{err}");
 }
 
 #[rstest]
-fn a_name_that_stands_twice_is_refused() {
+fn a_duplicate_name_is_refused() {
     let text = format!(r#"{{"servings": [{SERVING}, {SERVING}]}}"#);
     let err = bundle::parse(text.as_bytes()).unwrap_err().to_string();
-    assert!(err.contains("stands twice"), "{err}");
+    assert!(err.contains("is used twice"), "{err}");
 }
 
 proptest! {
-    /// Arbitrary bytes are refused or parsed, and never end the process.
+    /// Arbitrary bytes are refused or parsed without a panic.
     #[test]
-    fn arbitrary_bytes_do_no_harm(junk in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = bundle::parse(&junk);
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        let _ = bundle::parse(&bytes);
     }
 }
--- a/crates/config/tests/gateway.rs
+++ b/crates/config/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of a host on a platform, and routes.
+//! Settings of a host that serves through a platform adapter, and routes.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use notchwharf_config::gateway;
@@ -8,49 +8,52 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::no_json("{", ".: EOF while parsing")]
+#[case::not_json("{", ".: EOF while parsing")]
 #[case::no_host("{}", ".: missing field `host`")]
 #[case::unknown_field(
     r#"{"host": {"name": "a", "data_centre": "d", "x": 1}}"#,
     "host.x: unknown field"
 )]
-#[case::no_address(
+#[case::invalid_address(
     r#"{"host": {"name": "a", "data_centre": "d", "listen": "x"}}"#,
     "host.listen: "
 )]
-#[case::bad_name(r#"{"host": {"name": "a b", "data_centre": "d"}}"#, "host.name: ")]
+#[case::invalid_name(r#"{"host": {"name": "a b", "data_centre": "d"}}"#, "host.name: ")]
 #[case::out_of_range(
     r#"{"host": {"name": "a", "data_centre": "d"}, "store": {"poll_ms": 1}}"#,
     "store.poll_ms: 1 is not between 10 and 60000"
 )]
-#[case::contradiction(
+#[case::contradicting_fields(
     r#"{"host": {"name": "a", "data_centre": "d"}, "peers": {"beat_ms": 2000}}"#,
     "peers.beat_ms: 2000 must be below peers.down_ms, which is 1200"
 )]
-#[case::no_time_to_drain(
+#[case::drain_time_too_short(
     r#"{"host": {"name": "a", "data_centre": "d"}, "targets": {"drain_ms": 100}}"#,
     "targets.drain_ms: 100 is not between 500 and 600000"
 )]
-#[case::drained_before_connected(
+#[case::drain_time_below_connect_timeout(
     r#"{"host": {"name": "a", "data_centre": "d"}, "online": {"connect_timeout_ms": 2000}}"#,
     "online.connect_timeout_ms: 2000 must be below targets.drain_ms, which is 2000"
 )]
-#[case::record_longer_than_a_call(
+#[case::record_larger_than_a_call(
     r#"{"host": {"name": "a", "data_centre": "d"}, "store": {"call_bytes_max": 1024}}"#,
     "store.record_bytes_max: 262144 must be below"
 )]
-fn settings_at_fault_are_refused_with_the_field(#[case] text: &str, #[case] expected: &str) {
+fn invalid_settings_are_refused_with_the_path_of_the_field(
+    #[case] text: &str,
+    #[case] expected: &str,
+) {
     let err = gateway::parse(text.as_bytes()).unwrap_err().to_string();
     assert!(err.starts_with(expected), "{err}");
 }
 
 #[test]
-fn a_name_and_a_data_centre_are_enough() {
+fn all_fields_but_name_and_data_centre_have_defaults() {
     let text = br#"{"host": {"name": "a1", "data_centre": "d"}}"#;
     let settings = gateway::parse(text).unwrap();
     assert_eq!(settings.batch.reserve, 1);
-    let again = serde_json::to_vec(&settings).unwrap();
-    assert_eq!(gateway::parse(&again).unwrap(), settings);
+    let encoded = serde_json::to_vec(&settings).unwrap();
+    assert_eq!(gateway::parse(&encoded).unwrap(), settings);
 }
 
 #[rstest]
@@ -70,8 +73,8 @@
         ..Route::default()
     };
     for (service, count) in expected {
-        let drawn = (0..100).filter(|draw| route.select_service(*draw).unwrap() == service);
-        assert_eq!(drawn.count(), *count, "{service}");
+        let selected = (0..100).filter(|random| route.select_service(*random).unwrap() == service);
+        assert_eq!(selected.count(), *count, "{service}");
     }
 }
 
@@ -87,7 +90,7 @@
 #[case("a.example", "/x", None)]
 #[case("a.example", "/xy/", None)]
 #[case("b.example", "/x/", None)]
-fn the_longest_prefix_of_the_host_s_routes_wins(
+fn the_longest_matching_prefix_of_the_host_name_is_selected(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
--- a/crates/config/tests/history.rs
+++ b/crates/config/tests/history.rs
@@ -1,4 +1,4 @@
-//! Which bundle is in force, whatever operators and peers do.
+//! Determination of the bundle in force under concurrent changes and adopted copies.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use notchwharf_config::bundle::Bundle;
@@ -35,12 +35,12 @@
 }
 
 #[rstest]
-#[case::either_proposal(3, "b", Ok(()))]
-#[case::or_the_other(4, "c", Ok(()))]
+#[case::first_proposal(3, "b", Ok(()))]
+#[case::other_proposal(4, "c", Ok(()))]
 #[case::other_content(3, "c", Err(Refusal::OtherContent { version: 3 }))]
 #[case::unknown(9, "b", Err(Refusal::NoProposal { version: 9 }))]
-#[case::in_force_already(1, "a", Err(Refusal::NoProposal { version: 1 }))]
-fn a_sign_off_counts_or_is_refused(
+#[case::already_in_force(1, "a", Err(Refusal::NoProposal { version: 1 }))]
+fn a_sign_off_is_accepted_or_refused(
     #[case] version: u64,
     #[case] name: &str,
     #[case] expected: Result<(), Refusal>,
@@ -51,7 +51,7 @@
 #[rstest]
 #[case::lower_first([3, 4])]
 #[case::higher_first([4, 3])]
-fn of_two_proposals_on_one_base_the_first_signed_off_wins(#[case] order: [u64; 2]) {
+fn the_first_sign_off_among_proposals_with_the_same_base_wins(#[case] order: [u64; 2]) {
     let name = |version| if version == 3 { "b" } else { "c" };
     let mut history = history();
     history.apply(5, sign(order[0], name(order[0]))).unwrap();
@@ -65,25 +65,25 @@
         base: None,
         current: Some(1),
     };
-    let res = history().apply(5, propose(None, "d"));
+    let result = history().apply(5, propose(None, "d"));
     assert!(stale.to_string().contains("version 1"));
-    assert_eq!(res, Err(stale));
+    assert_eq!(result, Err(stale));
 }
 
 #[rstest]
-fn a_carried_copy_serves_a_reader_that_missed_the_rest() {
+fn a_reader_without_earlier_records_adopts_a_carried_copy() {
     let carried = Record::Carried {
         version: 1,
         since: 2,
         bundle: Box::new(bundle("a")),
     };
-    let mut late = History::default();
-    late.apply(9, carried.clone()).unwrap();
-    assert_eq!(late.version(), Some(1));
+    let mut new_reader = History::default();
+    new_reader.apply(9, carried.clone()).unwrap();
+    assert_eq!(new_reader.version(), Some(1));
     let mut newer = history();
     newer.apply(5, sign(3, "b")).unwrap();
     newer.apply(9, carried).unwrap();
-    assert_eq!(newer.version(), Some(3), "An old copy changes nothing.");
+    assert_eq!(newer.version(), Some(3), "An older copy has no effect.");
 }
 
 fn any_record() -> impl Strategy<Value = Record> {
@@ -96,12 +96,12 @@
 }
 
 proptest! {
-    /// The version in force never goes down, and a host that takes bundles
-    /// from a peer that is ahead of it in the log ends where the peer does.
+    /// The version in force never decreases, and a host that adopts bundles from a peer that
+    /// has read more of the log reaches the same state as the peer.
     #[test]
-    fn the_version_in_force_never_goes_down(
+    fn the_version_in_force_never_decreases(
         records in proptest::collection::vec(any_record(), 1..60),
-        adopts in proptest::collection::vec((0..60_usize, 0..60_usize), 0..6),
+        adoptions in proptest::collection::vec((0..60_usize, 0..60_usize), 0..6),
     ) {
         let mut ahead = History::default();
         let mut states = vec![None];
@@ -113,9 +113,9 @@
         let mut behind = History::default();
         let mut last = None;
         for (i, record) in records.iter().enumerate() {
-            for (_, by) in adopts.iter().filter(|(at, _)| *at == i) {
-                let from = &states[(i + by).min(records.len())];
-                if let Some(copy) = from {
+            for (_, lead) in adoptions.iter().filter(|(at, _)| *at == i) {
+                let state = &states[(i + lead).min(records.len())];
+                if let Some(copy) = state {
                     behind.adopt(copy.clone());
                 }
             }
@@ -128,7 +128,7 @@
 }
 
 #[rstest]
-fn a_base_that_is_not_in_force_yet_is_no_base() {
+fn a_base_that_is_not_yet_in_force_is_refused() {
     let records = [
         propose(None, "a"),
         propose(Some(0), "b"),
@@ -145,5 +145,5 @@
     for (i, record) in records.iter().enumerate() {
         let _ = behind.apply(i as u64, record.clone());
     }
-    assert_eq!(behind.version(), Some(0), "The two agree.");
+    assert_eq!(behind.version(), Some(0), "Both readers agree.");
 }
--- a/crates/proto/src/messages.rs
+++ b/crates/proto/src/messages.rs
@@ -93,7 +93,8 @@
     pub age_ms: u64,
 }
 
-/// The state of a cell, as sent by one of its hosts to a host of another cell.
+/// The state of a cell, which is a group of hosts that share targets, as sent by one of its
+/// hosts to a host of another cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellStatus {
     /// The host.
--- a/crates/timer/src/lib.rs
+++ b/crates/timer/src/lib.rs
@@ -1,9 +1,9 @@
-//! The timer service: parts of a process subscribe to ticks.
+//! A timer service: parts of a process subscribe to periodic ticks.
 //!
-//! One task keeps all periods and sleeps until the next is due. A subscriber
-//! that is busy misses ticks rather than queueing them, and one that drops its
-//! receiver is forgotten. Use it for work that recurs; for the deadline of a
-//! single request, `tokio::time` is cheaper.
+//! One task manages all subscriptions and sleeps until the next tick is due. A subscriber
+//! that is busy misses ticks rather than queueing them. A subscription ends when its receiver
+//! is dropped. The service is intended for recurring work; for the deadline of a single
+//! request, `tokio::time` is cheaper.
 //!
 //! ```
 //! # #[tokio::main(flavor = "current_thread")]
@@ -24,14 +24,14 @@
 
 use tokio::sync::mpsc;
 
-/// Time after which the service looks for subscribers that have gone, if no
-/// tick is due before: they cost nothing but their entry in a list.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Time between two wake-ups of the service while it has no subscriptions. Closed
+/// subscriptions are removed at the next wake-up; until then they only occupy a list entry.
+const IDLE_WAKE_UP: Duration = Duration::from_secs(1);
 
-/// Gives out subscriptions to ticks.
+/// A handle to the timer service.
 #[derive(Clone, Debug)]
 pub struct Timer {
-    subscribe: mpsc::UnboundedSender<Subscription>,
+    sender: mpsc::UnboundedSender<Subscription>,
 }
 
 #[derive(Debug)]
@@ -46,19 +46,19 @@
     ///
     /// # Panics
     ///
-    /// Panics outside a runtime.
+    /// Panics if called outside a Tokio runtime.
     pub fn start() -> Self {
-        let (subscribe, requests) = mpsc::unbounded_channel();
+        let (sender, requests) = mpsc::unbounded_channel();
         tokio::spawn(run(requests));
-        Self { subscribe }
+        Self { sender }
     }
 
-    /// Returns a receiver of ticks.
+    /// Returns a receiver of ticks with the given period.
     pub fn subscribe(&self, period: Duration) -> mpsc::Receiver<Instant> {
         let (ticks, receiver) = mpsc::channel(1);
         let due = Instant::now() + period;
-        // A service that has ended sends no ticks; the receiver is closed then.
-        let _ = self.subscribe.send(Subscription { period, due, ticks });
+        // If the service has ended, the send fails and the receiver is closed.
+        let _ = self.sender.send(Subscription { period, due, ticks });
         receiver
     }
 }
@@ -67,7 +67,7 @@
     let mut subscriptions: Vec<Subscription> = Vec::new();
     loop {
         let next = subscriptions.iter().map(|s| s.due).min();
-        let wake = next.unwrap_or_else(|| Instant::now() + SWEEP);
+        let wake = next.unwrap_or_else(|| Instant::now() + IDLE_WAKE_UP);
         tokio::select! {
             request = requests.recv() => match request {
                 Some(subscription) => subscriptions.push(subscription),
@@ -82,7 +82,7 @@
 }
 
 impl Subscription {
-    /// Ticks if it is time; returns whether anybody still listens.
+    /// Sends a tick if it is due; returns whether the receiver still exists.
     fn tick(&mut self, now: Instant) -> bool {
         if now < self.due {
             return !self.ticks.is_closed();
