--- a/crates/ledger/benches/fold.rs
+++ b/crates/ledger/benches/fold.rs
@@ -1,4 +1,4 @@
-//! Fold, snapshot and takeover against the number of items.
+//! Benchmarks of the fold, snapshots and takeovers by number of items.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -24,9 +24,9 @@
 use notchwharf_ledger::record::RecordId;
 use notchwharf_ledger::shard::Shard;
 
-const CHUNK: u32 = 1_000;
-const ENTRIES: u32 = 100;
-const JOB_MAX: u32 = 230_000;
+const CHUNK_ITEMS: u32 = 1_000;
+const RECORD_ENTRIES: u32 = 100;
+const JOB_ITEMS_MAX: u32 = 230_000;
 
 fn record(seq: u64, epoch: Option<u64>, entries: Vec<Entry>) -> Record {
     let id = RecordId {
@@ -43,13 +43,13 @@
 }
 
 fn spec(id: u32, items: u32) -> Spec {
-    let chunks = (0..items.div_ceil(CHUNK)).map(|i| Chunk {
+    let chunks = (0..items.div_ceil(CHUNK_ITEMS)).map(|i| Chunk {
         blob: BlobId {
             stream: 1,
             offset: u64::from(i),
         },
-        first: i * CHUNK,
-        len: u16::try_from(CHUNK.min(items - i * CHUNK)).unwrap_or(0),
+        first: i * CHUNK_ITEMS,
+        len: u16::try_from(CHUNK_ITEMS.min(items - i * CHUNK_ITEMS)).unwrap_or(0),
     });
     Spec {
         id: format!("job-{id}"),
@@ -66,23 +66,24 @@
     }
 }
 
-/// Records of a shard with so many items, half of them done.
+/// Returns the records of a shard with a number of items, half of them completed.
 fn records(items: u32) -> Vec<Record> {
     let claim = Entry::Claim {
         supersedes: None,
         seen: 0,
     };
-    let mut all = vec![record(1, None, vec![claim])];
+    let mut log = vec![record(1, None, vec![claim])];
     let mut seq = 1;
-    let mut push = |all: &mut Vec<Record>, entries| {
+    let mut push = |log: &mut Vec<Record>, entries| {
         seq += 1;
-        all.push(record(seq, Some(1), entries));
+        log.push(record(seq, Some(1), entries));
     };
-    let sizes = (0..items.div_ceil(JOB_MAX)).map(|i| JOB_MAX.min(items - i * JOB_MAX));
+    let sizes =
+        (0..items.div_ceil(JOB_ITEMS_MAX)).map(|i| JOB_ITEMS_MAX.min(items - i * JOB_ITEMS_MAX));
     for (job, size) in (0..).zip(sizes) {
-        push(&mut all, vec![Entry::Job(spec(job, size))]);
-        for from in (0..size / 2).step_by(ENTRIES as usize) {
-            let done = (from..(from + ENTRIES).min(size / 2)).map(|item| Entry::Done {
+        push(&mut log, vec![Entry::Job(spec(job, size))]);
+        for from in (0..size / 2).step_by(RECORD_ENTRIES as usize) {
+            let done = (from..(from + RECORD_ENTRIES).min(size / 2)).map(|item| Entry::Done {
                 job: format!("job-{job}"),
                 item,
                 place: Place {
@@ -91,16 +92,16 @@
                     index: 7,
                 },
             });
-            push(&mut all, done.collect());
+            push(&mut log, done.collect());
         }
     }
-    all
+    log
 }
 
-fn folded(records: &[Record]) -> Shard {
+fn fold_all(records: &[Record]) -> Shard {
     let mut shard = Shard::default();
     for (i, record) in records.iter().enumerate() {
-        // The records are in order, so none is missing.
+        // Offsets are consecutive, so the fold reports no gap.
         let _ = shard.apply(i as u64 + 1, record);
     }
     shard
@@ -111,7 +112,7 @@
         at: Instant::now(),
         unix_ms: 0,
     };
-    let shard = Shard::decode(bytes).expect("The snapshot is whole.");
+    let shard = Shard::decode(bytes).expect("The snapshot is complete.");
     let next = shard.next_offset();
     let mut cfg = Config::new("a1", 1);
     cfg.host = "b1".into();
@@ -129,7 +130,7 @@
             record,
         },
     );
-    assert!(owner.held_epoch().is_some(), "The claim wins.");
+    assert!(owner.held_epoch().is_some(), "The claim is granted.");
     owner
 }
 
@@ -140,7 +141,7 @@
     group.warm_up_time(Duration::from_millis(300));
     for items in [10_000, 100_000, 300_000, 1_000_000] {
         let records = records(items);
-        let shard = folded(&records);
+        let shard = fold_all(&records);
         let bytes = shard.encode();
         println!(
             "{items} items, half done: {} bytes of snapshot, {:.1} an item",
@@ -149,7 +150,7 @@
         );
         group.throughput(Throughput::Elements(u64::from(items)));
         group.bench_function(BenchmarkId::new("fold", items), |b| {
-            b.iter(|| black_box(folded(&records)));
+            b.iter(|| black_box(fold_all(&records)));
         });
         group.bench_function(BenchmarkId::new("save", items), |b| {
             b.iter(|| black_box(shard.encode()));
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of this package.
+//! Errors of this crate.
 
 use std::fmt;
 
@@ -8,63 +8,63 @@
 use crate::record::HostId;
 use crate::record::Offset;
 
-/// Why the fold ignores a record or an entry.
+/// The reason why a record or an entry is ignored when it is applied.
 ///
-/// Every reader of a stream ignores the same ones for the same reasons.
+/// Every reader of a stream ignores the same records for the same reasons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ignored {
-    /// The record is a second copy of one already folded.
+    /// The record is a duplicate of one already applied.
     Copy,
-    /// The record's epoch is not that of the lease in force.
+    /// The lease or incarnation of the writer is no longer current.
     Fenced,
-    /// The claim names a lease that is not the one in force.
+    /// The claim would end a lease other than the current one.
     StaleClaim,
-    /// The holder was heard after the point that the claim names.
+    /// The holder wrote a record that the claimant had not read.
     HolderAlive,
-    /// The entry names a job, item, file or key that is not there.
+    /// The job, item, file, key or lease does not exist.
     Unknown,
-    /// The item has a final answer already.
+    /// The item or call already has a final outcome.
     Settled,
-    /// The attempt was counted already.
+    /// The failed attempt was already counted.
     Counted,
     /// The job was cancelled.
     Cancelled,
-    /// The key was used with another body.
+    /// The key was used with a different request.
     OtherBody,
-    /// The key was started already, and its call has no recorded end.
+    /// The call was already started, and no outcome is recorded.
     Started,
 }
 
 impl fmt::Display for Ignored {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Copy => "second copy of a record",
-            Self::Fenced => "written under an older epoch",
-            Self::StaleClaim => "the claim names another lease than the one in force",
-            Self::HolderAlive => "the holder was heard since",
-            Self::Unknown => "names nothing that is known",
-            Self::Settled => "the item has its final answer already",
-            Self::Counted => "the attempt was counted already",
+            Self::Copy => "duplicate record",
+            Self::Fenced => "the lease or incarnation of the writer is no longer current",
+            Self::StaleClaim => "the claim would end a lease other than the current one",
+            Self::HolderAlive => "the holder wrote a record that the claimant had not read",
+            Self::Unknown => "the job, item, file, key or lease does not exist",
+            Self::Settled => "the item or call already has a final outcome",
+            Self::Counted => "the failed attempt was already counted",
             Self::Cancelled => "the job was cancelled",
-            Self::OtherBody => "the key was used with another body",
-            Self::Started => "the call was started already and has no recorded end",
+            Self::OtherBody => "the key was used with a different request",
+            Self::Started => "the call was already started, and no outcome is recorded",
         })
     }
 }
 
 impl std::error::Error for Ignored {}
 
-/// Why a stream cannot be folded.
+/// An error that prevents a stream from being folded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FoldError {
-    /// Records between the snapshot and the oldest kept record are gone.
+    /// Records between the snapshot and the oldest retained record are missing.
     Gap {
-        /// The offset expected next.
+        /// The offset that was expected next.
         expected: Offset,
-        /// The offset found.
+        /// The offset that was found.
         found: Offset,
     },
-    /// The bytes of a record or snapshot cannot be decoded.
+    /// A record, blob or snapshot cannot be decoded.
     Undecodable,
 }
 
@@ -73,33 +73,33 @@
         match self {
             Self::Gap { expected, found } => write!(
                 f,
-                "records {expected} to {found} are gone from the log: raise its retention"
+                "expected record {expected} but found {found}: increase the log's retention"
             ),
-            Self::Undecodable => f.write_str("undecodable record or snapshot"),
+            Self::Undecodable => f.write_str("undecodable record, blob or snapshot"),
         }
     }
 }
 
 impl std::error::Error for FoldError {}
 
-/// Why an owner did not carry a command out.
+/// The reason why a command was not executed or has no known outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandError {
-    /// This host does not hold the shard; the command was not run.
+    /// This host does not hold the shard; the command was not executed.
     NotOwner {
-        /// The holder, where it is known.
+        /// The holder, if known.
         holder: Option<HostId>,
     },
-    /// The log does not answer; the command was not run.
+    /// The log is unavailable; the command was not executed.
     LogDown,
-    /// The command went to the log, and its outcome is not known.
+    /// The command was appended to the log, but its outcome is unknown.
     Unknown,
-    /// The command makes no sense against the state; it was not run.
+    /// The command is invalid in the current state; it was not executed.
     Invalid(Ignored),
 }
 
 impl CommandError {
-    /// Returns whether the command certainly had no effect.
+    /// Returns whether the command certainly was not executed.
     pub fn is_not_run(&self) -> bool {
         !matches!(self, Self::Unknown)
     }
@@ -109,10 +109,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotOwner { holder: Some(host) } => write!(f, "host {host} holds the shard"),
-            Self::NotOwner { holder: None } => f.write_str("no host holds the shard yet"),
-            Self::LogDown => f.write_str("the platform's log does not answer"),
-            Self::Unknown => f.write_str("the outcome is not known"),
-            Self::Invalid(why) => why.fmt(f),
+            Self::NotOwner { holder: None } => f.write_str("no host is known to hold the shard"),
+            Self::LogDown => f.write_str("the platform's log is unavailable"),
+            Self::Unknown => f.write_str("the outcome is unknown"),
+            Self::Invalid(reason) => reason.fmt(f),
         }
     }
 }
--- a/crates/ledger/src/fleet.rs
+++ b/crates/ledger/src/fleet.rs
@@ -1,8 +1,8 @@
-//! The fold over the fleet's stream: which host holds which target.
+//! Fold over the fleet's stream, which determines the host that holds each target.
 //!
-//! Targets are many and hosts are few, so a lease on a target rests on its
-//! holder's session: one renewal a host keeps all its targets. The offset of
-//! the claim is the target's epoch and the fencing number on orders to it.
+//! There are many more targets than hosts, so a lease on a target is tied to its holder's
+//! session: a host renews all its leases with one record. The offset of the claim is the
+//! lease's epoch and the fencing token of orders to the target.
 //!
 //! ```
 //! use notchwharf_ledger::fleet::{Entry, Fleet, Record};
@@ -29,60 +29,60 @@
 use crate::record::TargetId;
 use crate::shard::Outcome;
 
-/// One append to the fleet's stream; any record renews its writer's session.
+/// One append to the fleet's stream; every record renews its writer's session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What makes the append idempotent.
+    /// The unique identifier, which makes the append idempotent.
     pub id: RecordId,
-    /// What it says beyond that its writer is alive.
+    /// The entries, in the order in which they are applied; may be empty.
     pub entries: Vec<Entry>,
 }
 
-/// One statement in a record.
+/// One operation in a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// The writer wants a target.
+    /// The writer requests the lease on a target.
     Claim {
         /// The target.
         target: TargetId,
-        /// The lease that the claim would end, if the target is held.
+        /// The lease that the claim would end; `None` if there is none.
         seen: Option<ObservedLease>,
     },
-    /// The writer gives a target back.
+    /// The writer releases a target.
     Release {
         /// The target.
         target: TargetId,
     },
-    /// The writer repeats a lease, for readers that begin after its claim.
+    /// The writer repeats one of its leases, for readers that start after its claim.
     Keep {
         /// The target.
         target: TargetId,
         /// The epoch of the claim.
         epoch: Epoch,
     },
-    /// The writer leaves.
+    /// The writer leaves the fleet and releases all its targets.
     End,
 }
 
-/// What a claimer had seen of the holder.
+/// A lease as last read by the host that claims its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedLease {
-    /// The epoch that the claim would end.
+    /// The lease's epoch.
     pub epoch: Epoch,
-    /// The holder's newest record.
+    /// The offset of the holder's newest record.
     pub last: Offset,
 }
 
 /// A host's session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Session {
-    /// The incarnation.
+    /// The host's incarnation.
     pub incarnation: Incarnation,
-    /// The offset of its newest record.
+    /// The offset of the host's newest record.
     pub last_offset: Offset,
-    /// The sequence number of its newest record.
+    /// The sequence number of the host's newest record.
     pub last_seq: u64,
-    /// Whether the host has left.
+    /// Whether the host has left the fleet.
     pub has_ended: bool,
 }
 
@@ -100,15 +100,15 @@
 /// The state folded from the fleet's stream.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    next: Offset,
+    next_offset: Offset,
     sessions: HashMap<HostId, Session>,
     leases: HashMap<TargetId, Lease>,
 }
 
 impl Fleet {
-    /// Returns the offset that follows the newest record folded.
+    /// Returns the offset that follows the newest applied record.
     pub fn next_offset(&self) -> Offset {
-        self.next
+        self.next_offset
     }
 
     /// Returns the lease on a target.
@@ -126,25 +126,26 @@
         self.sessions.get(host)
     }
 
-    /// Returns what a claim on a target must name, and whether the holder's
-    /// session is over so that nothing needs to be waited for.
+    /// Returns the lease on a target, as a claim must state it, and whether the target can be
+    /// claimed immediately because there is no lease or its holder's session has ended.
     pub fn observed_lease(&self, target: &str) -> (Option<ObservedLease>, bool) {
         let Some(lease) = self.leases.get(target) else {
             return (None, true);
         };
         let session = self.sessions.get(&lease.holder);
         let last = session.map_or(lease.epoch, |s| s.last_offset);
-        let over = session.is_none_or(|s| s.has_ended || s.incarnation != lease.incarnation);
+        let is_over = session.is_none_or(|s| s.has_ended || s.incarnation != lease.incarnation);
         let epoch = lease.epoch;
-        (Some(ObservedLease { epoch, last }), over)
+        (Some(ObservedLease { epoch, last }), is_over)
     }
 
-    /// Folds a record in and returns what became of each entry.
+    /// Applies a record and returns the outcome of each entry. A record at an offset that was
+    /// already applied returns an empty list.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Vec<Outcome> {
-        if offset < self.next {
+        if offset < self.next_offset {
             return Vec::new();
         }
-        self.next = offset + 1;
+        self.next_offset = offset + 1;
         if let Err(ignored) = self.renew(offset, &record.id) {
             return vec![Err(ignored); record.entries.len()];
         }
@@ -178,9 +179,9 @@
         match entry {
             Entry::Claim { target, seen } => self.claim(offset, id, target, *seen),
             Entry::Release { target } => self.release(id, target),
-            Entry::Keep { target, epoch } => self.keep(id, target, *epoch),
+            Entry::Keep { target, epoch } => self.confirm(id, target, *epoch),
             Entry::End => {
-                self.end(id);
+                self.end_session(id);
                 Ok(())
             }
         }
@@ -193,11 +194,11 @@
         target: &str,
         seen: Option<ObservedLease>,
     ) -> Outcome {
-        let (current, over) = self.observed_lease(target);
-        if current.map(|s| s.epoch) != seen.map(|s| s.epoch) {
+        let (current, is_over) = self.observed_lease(target);
+        if current.map(|o| o.epoch) != seen.map(|o| o.epoch) {
             return Err(Ignored::StaleClaim);
         }
-        if let (Some(current), Some(seen), false) = (current, seen, over)
+        if let (Some(current), Some(seen), false) = (current, seen, is_over)
             && current.last > seen.last
         {
             return Err(Ignored::HolderAlive);
@@ -215,9 +216,9 @@
         Ok(())
     }
 
-    fn keep(&mut self, id: &RecordId, target: &str, epoch: Epoch) -> Outcome {
-        // A reader that began in the middle of the stream may have taken an
-        // older holder for the present one.
+    fn confirm(&mut self, id: &RecordId, target: &str, epoch: Epoch) -> Outcome {
+        // A reader that started in the middle of the stream may still have an older lease;
+        // the newer epoch replaces it.
         if self.leases.get(target).is_some_and(|l| l.epoch >= epoch) {
             return Ok(());
         }
@@ -225,7 +226,7 @@
         Ok(())
     }
 
-    fn end(&mut self, id: &RecordId) {
+    fn end_session(&mut self, id: &RecordId) {
         self.leases.retain(|_, lease| lease.holder != id.host);
         if let Some(session) = self.sessions.get_mut(&id.host) {
             session.has_ended = true;
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -1,4 +1,4 @@
-//! Lots, jobs and items as the fold keeps them.
+//! Input files, jobs and items in the state of a shard.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,40 +10,40 @@
 use crate::record::JobId;
 use crate::record::Place;
 
-/// An uploaded lot.
+/// An uploaded input file, which lists the items of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct File {
-    /// The lot's name.
+    /// The file's name, assigned by the system.
     pub id: FileId,
-    /// The customer.
+    /// The tenant.
     pub tenant: String,
-    /// The name that the caller gave the file.
+    /// The file name given by the caller.
     pub name: String,
-    /// The length of what was uploaded.
+    /// The length of the upload.
     pub len_bytes: u64,
-    /// When, in milliseconds since the Unix epoch.
+    /// The time of the upload, in milliseconds since the Unix epoch.
     pub created_unix_ms: u64,
-    /// Where its items stand.
+    /// The locations of the items.
     pub manifest: Manifest,
 }
 
-/// Where the items of a lot stand.
+/// The locations of the items of an input file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// The serving that every item asks for.
+    /// The serving (a model deployment) that every item requests.
     pub serving: String,
-    /// The endpoint that every item asks for.
+    /// The endpoint that every item requests.
     pub endpoint: String,
     /// The blobs that hold the items, in order.
     pub chunks: Vec<Chunk>,
 }
 
-/// A run of items in one blob.
+/// Consecutive items stored in one blob.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The blob.
     pub blob: BlobId,
-    /// The position of its first item in the lot.
+    /// The position of its first item in the input file.
     pub first: ItemIndex,
     /// The number of items in it.
     pub len: u16,
@@ -55,15 +55,15 @@
         self.chunks.last().map_or(0, |c| c.first + u32::from(c.len))
     }
 
-    /// Returns whether there is no item.
+    /// Returns whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// Returns where the payload of an item stands.
+    /// Returns the location of an item's payload.
     pub fn place(&self, item: ItemIndex) -> Option<Place> {
-        let after = self.chunks.partition_point(|c| c.first <= item);
-        let chunk = self.chunks.get(after.checked_sub(1)?)?;
+        let next_chunk = self.chunks.partition_point(|c| c.first <= item);
+        let chunk = self.chunks.get(next_chunk.checked_sub(1)?)?;
         let index = u16::try_from(item - chunk.first).ok()?;
         (index < chunk.len).then_some(Place {
             offset: chunk.blob.offset,
@@ -73,109 +73,110 @@
     }
 }
 
-/// What a caller asked of a job.
+/// The specification of a job, as requested by the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
-    /// The job's name, derived from what makes two requests the same job.
+    /// The job's name, derived from the request so that a retried request names the same job.
     pub id: JobId,
-    /// The customer.
+    /// The tenant.
     pub tenant: String,
-    /// The lot.
+    /// The input file.
     pub file: FileId,
     /// The caller's own labels.
     pub metadata: std::collections::BTreeMap<String, String>,
-    /// When, in milliseconds since the Unix epoch.
+    /// The time of acceptance, in milliseconds since the Unix epoch.
     pub created_unix_ms: u64,
-    /// The customer's weight when it was accepted.
+    /// The tenant's scheduling weight at the time of acceptance.
     pub weight: u32,
-    /// Where its items stand.
+    /// The locations of the items.
     pub manifest: Manifest,
 }
 
-/// Why an item can never be done.
+/// The reason why an item failed permanently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Failure {
-    /// A target refused the item as malformed, with this HTTP status.
+    /// A target rejected the item as malformed.
     Rejected {
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
-    /// Targets failed under it as often as the limit allows.
+    /// The limit on failed attempts was reached.
     AttemptsExhausted {
-        /// How often.
+        /// The number of failed attempts.
         attempts: u8,
     },
 }
 
-/// Where an item stands in its life.
+/// The processing phase of an item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It has no final answer.
+    /// The item has no final outcome yet.
     #[default]
     Pending,
-    /// Its result can be read.
+    /// The item was completed and its result can be read.
     Done,
-    /// It can never be done.
+    /// The item failed permanently.
     Failed,
 }
 
-/// An item as the fold keeps it: 16 bytes, so that a job of 230,000 items is
-/// under four megabytes.
+/// The state of an item: 16 bytes, so that a job of 230,000 items takes less than four
+/// megabytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Where the result stands, once done.
+    /// The location of the result; meaningful only in [`Phase::Done`].
     pub result: Place,
-    /// Where the item stands in its life.
+    /// The processing phase.
     pub phase: Phase,
-    /// How often a target failed under it.
+    /// The number of attempts during which a target failed.
     pub attempts: u8,
 }
 
-/// How many items of a job stand where.
+/// The number of items of a job by phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// All items.
     pub total: u32,
-    /// Items whose result can be read.
+    /// Completed items.
     pub done: u32,
-    /// Items that can never be done.
+    /// Permanently failed items.
     pub failed: u32,
 }
 
-/// Where a job stands.
+/// The processing state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Items are still to be run.
+    /// Some items are pending.
     InProgress,
-    /// Every item has its final answer.
+    /// Every item has a final outcome.
     Completed,
-    /// The caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// A job as the fold keeps it.
+/// The state of a job.
 ///
-/// Invariant: `counts` is what counting `items` would give.
+/// Invariant: `counts` equals the number of `items` in each phase.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// What the caller asked.
+    /// The specification.
     pub spec: Spec,
     /// The items.
     pub items: Vec<Item>,
-    /// Why items failed, by item.
+    /// The reasons of permanent failures, by item.
     pub failures: Vec<(ItemIndex, Failure)>,
-    /// How many items stand where.
+    /// The number of items by phase.
     pub counts: Counts,
-    /// Whether the caller cancelled it.
+    /// Whether the caller cancelled the job.
     pub cancelled: bool,
-    /// All its blobs are at least this new.
+    /// A lower bound on the time at which the job's blobs were written, in milliseconds since
+    /// the Unix epoch.
     pub blobs_unix_ms: u64,
 }
 
 impl Job {
-    /// Returns a job with no item run.
+    /// Returns a job whose items are all pending.
     pub fn new(spec: Spec) -> Self {
         let total = spec.manifest.len();
         let blobs_unix_ms = spec.created_unix_ms;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Returns where the job stands.
+    /// Returns the processing state.
     pub fn state(&self) -> State {
         if self.counts.done + self.counts.failed >= self.counts.total {
             return State::Completed;
@@ -207,74 +208,75 @@
     ///
     /// # Errors
     ///
-    /// Returns why it does not count.
+    /// Returns the reason if the result is ignored.
     pub fn record_done(&mut self, item: ItemIndex, place: Place) -> Result<(), Ignored> {
-        let slot = self.open(item)?;
-        slot.phase = Phase::Done;
-        slot.result = place;
+        let item_state = self.pending_item(item)?;
+        item_state.phase = Phase::Done;
+        item_state.result = place;
         self.counts.done += 1;
         Ok(())
     }
 
-    /// Records that an item can never be done.
+    /// Records that an item failed permanently.
     ///
     /// # Errors
     ///
-    /// Returns why it does not count.
+    /// Returns the reason if the failure is ignored.
     pub fn record_failed(&mut self, item: ItemIndex, failure: Failure) -> Result<(), Ignored> {
-        let slot = self.open(item)?;
-        slot.phase = Phase::Failed;
+        let item_state = self.pending_item(item)?;
+        item_state.phase = Phase::Failed;
         self.counts.failed += 1;
         self.failures.push((item, failure));
         Ok(())
     }
 
-    /// Records that a target failed while the item ran on it.
+    /// Records an attempt during which a target failed; `before` is the number of earlier
+    /// failed attempts that the reporting host knew of.
     ///
     /// # Errors
     ///
-    /// Returns why it does not count.
+    /// Returns the reason if the attempt is ignored.
     pub fn record_attempt(&mut self, item: ItemIndex, before: u8) -> Result<(), Ignored> {
-        let slot = self.open(item)?;
-        if slot.attempts != before {
+        let item_state = self.pending_item(item)?;
+        if item_state.attempts != before {
             return Err(Ignored::Counted);
         }
-        slot.attempts = slot.attempts.saturating_add(1);
+        item_state.attempts = item_state.attempts.saturating_add(1);
         Ok(())
     }
 
-    /// Rewrites the places of blobs that were written again.
+    /// Replaces the locations of blobs that were rewritten.
     pub fn relocate_blobs(&mut self, moved: &[(BlobId, BlobId)], at_unix_ms: u64) {
-        let map: std::collections::HashMap<BlobId, BlobId> = moved.iter().copied().collect();
+        let new_ids: std::collections::HashMap<BlobId, BlobId> = moved.iter().copied().collect();
         for chunk in &mut self.spec.manifest.chunks {
-            if let Some(to) = map.get(&chunk.blob) {
-                chunk.blob = *to;
+            if let Some(new_id) = new_ids.get(&chunk.blob) {
+                chunk.blob = *new_id;
             }
         }
         for item in &mut self.items {
-            let from = BlobId {
+            let old_id = BlobId {
                 stream: item.result.stream,
                 offset: item.result.offset,
             };
             if item.phase != Phase::Done {
                 continue;
             }
-            if let Some(to) = map.get(&from) {
-                item.result.stream = to.stream;
-                item.result.offset = to.offset;
+            if let Some(new_id) = new_ids.get(&old_id) {
+                item.result.stream = new_id.stream;
+                item.result.offset = new_id.offset;
             }
         }
         self.blobs_unix_ms = at_unix_ms;
     }
 
-    fn open(&mut self, item: ItemIndex) -> Result<&mut Item, Ignored> {
-        let slot = self.items.get_mut(item as usize).ok_or(Ignored::Unknown)?;
-        if slot.phase != Phase::Pending {
+    fn pending_item(&mut self, item: ItemIndex) -> Result<&mut Item, Ignored> {
+        let item_state = self.items.get_mut(item as usize).ok_or(Ignored::Unknown)?;
+        if item_state.phase != Phase::Pending {
             return Err(Ignored::Settled);
         }
         if self.cancelled {
             return Err(Ignored::Cancelled);
         }
-        Ok(slot)
+        Ok(item_state)
     }
 }
--- a/crates/ledger/src/jobs.rs
+++ b/crates/ledger/src/jobs.rs
@@ -1,9 +1,9 @@
-//! Jobs in one ordered stream that every host folds alike.
+//! Jobs in one totally ordered stream, which every host folds to the same state.
 //!
-//! A job is accepted, an item listed, a job ended or taken over by a record;
-//! what counts is its place in the stream. The first of two that contradict
-//! each other holds, so hosts agree without asking one another, and a record
-//! that was appended twice counts once.
+//! Accepting a job, listing the outcome of an item, ending a job and taking it over are
+//! records, and their order in the stream decides conflicts: the first of two conflicting
+//! records takes effect. Hosts therefore agree without exchanging messages, and a record that
+//! was appended twice takes effect once.
 //!
 //! ```
 //! use notchwharf_ledger::jobs::{Accepted, Applied, ItemSpec, Jobs, Record};
@@ -15,13 +15,14 @@
 //!     items: vec![ItemSpec { id: "i1".into(), tokens: 90 }], payload: vec![],
 //! };
 //! assert_eq!(jobs.apply(0, Record::Accepted(accepted.clone())), Applied::Accepted);
-//! let more = Accepted { job: "j2".into(), attempt: 2, ..accepted };
-//! assert_eq!(jobs.apply(1, Record::Accepted(more)), Applied::OverQuota { waiting: 90 });
+//! let second = Accepted { job: "j2".into(), attempt: 2, ..accepted };
+//! assert_eq!(jobs.apply(1, Record::Accepted(second)), Applied::OverQuota { waiting: 90 });
 //! ```
 //!
-//! [`crate::shard`] shards jobs among lease holders, which a log without
-//! conditions and without lasting keys needs. Here the store orders all hosts'
-//! appends and loses no newest record, so neither leases nor snapshots remain.
+//! [`crate::shard`] instead distributes jobs over shards with leases, which is necessary for
+//! a log without conditional appends and permanent keys. Here the store orders the appends
+//! of all hosts and always retains the newest record of a key, so neither leases nor
+//! snapshots in the log are needed.
 
 mod name;
 mod record;
@@ -45,111 +46,114 @@
 pub use self::record::Record;
 pub use self::snapshot::Snapshot;
 
-/// The name of a job, chosen by its caller.
+/// The name of a job: the name chosen by its caller, prefixed with the workspace if it has one.
 pub type JobId = String;
 /// The name of a host.
 pub type HostId = String;
-/// The number of one try to have a job accepted; unique in the fleet.
+/// The number of one attempt to submit a job; unique in the fleet.
 pub type AttemptId = u64;
-/// A place in the stream.
+/// A position in the stream.
 pub type Offset = u64;
 
-/// Tries that were refused and may still stand in the stream a second time.
-/// Appends land seconds late at most, and refusals are rarer than one a
-/// millisecond.
-const REFUSED_MAX: usize = 4_096;
+/// Number of refused attempts that are remembered, because a duplicate of their record may
+/// still follow in the stream. Duplicates arrive at most seconds later, and refusals are
+/// rarer than one per millisecond.
+const REFUSED_ATTEMPTS_MAX: usize = 4_096;
 
-/// What a record did.
+/// The effect of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The job was accepted by it, or by an earlier copy of it.
+    /// The job was accepted by this record or by an earlier copy of it.
     Accepted,
-    /// The job had been accepted before, by another try.
+    /// The job had already been accepted by another submission attempt.
     Duplicate,
-    /// The job does not fit the limit; it never runs by this try.
+    /// The job exceeds the limit on waiting tokens; this submission attempt never takes
+    /// effect, even if its record is appended again.
     OverQuota {
-        /// Tokens of its workspace that wait on the route already.
+        /// The workspace's tokens already waiting on the route.
         waiting: u64,
     },
-    /// The host runs the job's items from now on.
+    /// The host now owns the job and runs its items.
     Taken,
-    /// The item is listed by it.
+    /// The item's outcome was appended to the job's list.
     Listed,
-    /// The job is ended.
+    /// The job was ended.
     Ended,
-    /// It changed nothing.
+    /// The record had no effect.
     Ignored(Ignored),
 }
 
-/// Why a record changed nothing.
+/// The reason why a record had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ignored {
-    /// No such job was accepted.
+    /// No job with this name was accepted.
     NoJob,
-    /// Another host had taken over first.
+    /// Another host had already taken the job over.
     StaleEpoch,
-    /// The item was listed before.
+    /// The item had already been listed.
     AlreadyListed,
-    /// The job has no such item.
+    /// The job has no item with this index.
     NoItem,
-    /// The job had been ended before.
+    /// The job had already been ended.
     AlreadyEnded,
 }
 
-/// An item that has ended, in the order in which items ended.
+/// An item with its final outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// Its place in the caller's order.
+    /// The item's index in the caller's order.
     pub item: u32,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
 }
 
-/// A job as the stream tells it.
+/// The state of a job.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its acceptance.
+    /// The record that accepted the job.
     pub accepted: Arc<Accepted>,
-    /// The host that runs its items.
+    /// The host that runs the job's items.
     pub owner: HostId,
-    /// The host that ran them before; nothing if the owner took the job in.
+    /// The previous owner; `None` if the owner accepted the job.
     pub owner_before: Option<HostId>,
-    /// The offset of the record by which the owner became it.
+    /// The offset of the record by which the owner became the owner.
     pub epoch: Offset,
-    /// Whether the caller ended it.
+    /// Whether the caller ended the job.
     pub is_ended: bool,
-    /// Its items that have ended, each at its position for good.
+    /// The items with a final outcome, in the order in which they were listed. Positions in
+    /// this list never change.
     pub listed: Vec<Listed>,
     is_listed: Vec<bool>,
     waiting_tokens: u64,
 }
 
 impl Job {
-    /// Returns whether items of the job are still to be run.
+    /// Returns whether the job has items that are still to be run.
     pub fn is_open(&self) -> bool {
         !self.is_ended && self.listed.len() < self.accepted.items.len()
     }
 
-    /// Returns whether an item has ended.
+    /// Returns whether an item has a final outcome; true for an index outside of the job's
+    /// items.
     pub fn is_listed(&self, item: u32) -> bool {
         self.is_listed.get(item as usize).copied().unwrap_or(true)
     }
 
-    /// Returns the place of an item in the caller's order.
+    /// Returns the index of an item in the caller's order.
     pub fn item_index(&self, id: &str) -> Option<u32> {
-        let place = self.accepted.items.iter().position(|item| item.id == id)?;
-        u32::try_from(place).ok()
+        let index = self.accepted.items.iter().position(|item| item.id == id)?;
+        u32::try_from(index).ok()
     }
 }
 
-/// What one limit on waiting tokens counts together: a workspace's items on a route.
+/// The scope of a limit on waiting tokens: the items of a workspace on a route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Pool {
+struct QuotaScope {
     workspace: Option<String>,
     route: String,
 }
 
-impl Pool {
+impl QuotaScope {
     fn of(accepted: &Accepted) -> Self {
         Self {
             workspace: workspace_of(&accepted.job).map(str::to_owned),
@@ -158,24 +162,24 @@
     }
 }
 
-/// The state that the stream's records lead to.
+/// The state of all jobs, folded from the records of the stream.
 #[derive(Clone, Debug, Default)]
 pub struct Jobs {
     jobs: HashMap<JobId, Job>,
     open: BTreeSet<JobId>,
-    waiting: HashMap<Pool, u64>,
-    refused: VecDeque<AttemptId>,
+    waiting: HashMap<QuotaScope, u64>,
+    refused_attempts: VecDeque<AttemptId>,
     end: Offset,
 }
 
 impl Jobs {
-    /// Returns the offset that follows the last record applied.
+    /// Returns the offset that follows the last record that was applied or skipped.
     pub fn end(&self) -> Offset {
         self.end
     }
 
-    /// Notes that the stream is known up to an offset, also where records
-    /// before it are gone.
+    /// Records that the stream was read up to an offset, even if earlier records are no longer
+    /// retained.
     pub fn advance(&mut self, end: Offset) {
         self.end = self.end.max(end);
     }
@@ -190,34 +194,35 @@
         self.jobs.iter()
     }
 
-    /// Returns the jobs with items that are still to be run.
+    /// Returns the jobs that have items still to be run, sorted by name.
     pub fn open(&self) -> impl Iterator<Item = &Job> {
         self.open.iter().filter_map(|job| self.jobs.get(job))
     }
 
-    /// Returns the tokens of items that wait on a route and belong to no workspace.
+    /// Returns the number of tokens of items that wait on a route and belong to no workspace.
     pub fn waiting_tokens(&self, route: &str) -> u64 {
         self.waiting_tokens_of(None, route)
     }
 
-    /// Returns the tokens of a workspace's items that wait on a route.
+    /// Returns the number of tokens of a workspace's items that wait on a route; `None` selects
+    /// the items that belong to no workspace.
     pub fn waiting_tokens_of(&self, workspace: Option<&str>, route: &str) -> u64 {
-        let pool = Pool {
+        let scope = QuotaScope {
             workspace: workspace.map(str::to_owned),
             route: route.to_owned(),
         };
-        self.waiting_in(&pool)
+        self.waiting_tokens_in(&scope)
     }
 
-    fn waiting_in(&self, pool: &Pool) -> u64 {
-        self.waiting.get(pool).copied().unwrap_or(0)
+    fn waiting_tokens_in(&self, scope: &QuotaScope) -> u64 {
+        self.waiting.get(scope).copied().unwrap_or(0)
     }
 
-    /// Forgets a job whose records were removed from the stream.
+    /// Removes a job whose records were removed from the stream.
     pub fn remove_job(&mut self, job: &str) {
         self.open.remove(job);
         if let Some(job) = self.jobs.remove(job) {
-            self.release(&Pool::of(&job.accepted), job.waiting_tokens);
+            self.release(&QuotaScope::of(&job.accepted), job.waiting_tokens);
         }
     }
 
@@ -226,8 +231,8 @@
         self.advance(offset + 1);
         match record {
             Record::Accepted(accepted) => self.accept(offset, accepted),
-            Record::Taken { job, epoch, host } => self.take(offset, &job, epoch, host),
-            Record::Listed { job, item, outcome } => self.list(&job, item, outcome),
+            Record::Taken { job, epoch, host } => self.take_over(offset, &job, epoch, host),
+            Record::Listed { job, item, outcome } => self.list_item(&job, item, outcome),
             Record::Ended { job } => self.end_job(&job),
         }
     }
@@ -239,9 +244,9 @@
             }
             return Applied::Duplicate;
         }
-        let pool = Pool::of(&accepted);
-        let waiting = self.waiting_in(&pool);
-        if self.refused.contains(&accepted.attempt) {
+        let scope = QuotaScope::of(&accepted);
+        let waiting = self.waiting_tokens_in(&scope);
+        if self.refused_attempts.contains(&accepted.attempt) {
             return Applied::OverQuota { waiting };
         }
         let tokens: u64 = accepted.items.iter().map(|i| u64::from(i.tokens)).sum();
@@ -249,13 +254,13 @@
             .tokens_max
             .is_some_and(|max| waiting + tokens > max)
         {
-            self.refused.push_back(accepted.attempt);
-            if self.refused.len() > REFUSED_MAX {
-                self.refused.pop_front();
+            self.refused_attempts.push_back(accepted.attempt);
+            if self.refused_attempts.len() > REFUSED_ATTEMPTS_MAX {
+                self.refused_attempts.pop_front();
             }
             return Applied::OverQuota { waiting };
         }
-        *self.waiting.entry(pool).or_default() += tokens;
+        *self.waiting.entry(scope).or_default() += tokens;
         let job = Job {
             owner: accepted.host.clone(),
             owner_before: None,
@@ -274,7 +279,7 @@
         Applied::Accepted
     }
 
-    fn take(&mut self, offset: Offset, job: &str, epoch: Offset, host: HostId) -> Applied {
+    fn take_over(&mut self, offset: Offset, job: &str, epoch: Offset, host: HostId) -> Applied {
         let Some(job) = self.jobs.get_mut(job) else {
             return Applied::Ignored(Ignored::NoJob);
         };
@@ -286,26 +291,26 @@
         Applied::Taken
     }
 
-    fn list(&mut self, job: &str, item: u32, outcome: Outcome) -> Applied {
+    fn list_item(&mut self, job: &str, item: u32, outcome: Outcome) -> Applied {
         let Some(job) = self.jobs.get_mut(job) else {
             return Applied::Ignored(Ignored::NoJob);
         };
-        let place = item as usize;
-        let Some(is_listed) = job.is_listed.get_mut(place) else {
+        let index = item as usize;
+        let Some(is_listed) = job.is_listed.get_mut(index) else {
             return Applied::Ignored(Ignored::NoItem);
         };
         if std::mem::replace(is_listed, true) {
             return Applied::Ignored(Ignored::AlreadyListed);
         }
         job.listed.push(Listed { item, outcome });
-        let tokens = u64::from(job.accepted.items[place].tokens);
+        let tokens = u64::from(job.accepted.items[index].tokens);
         let tokens = tokens.min(job.waiting_tokens);
         job.waiting_tokens -= tokens;
-        let pool = Pool::of(&job.accepted);
+        let scope = QuotaScope::of(&job.accepted);
         if !job.is_open() {
             self.open.remove(&job.accepted.job);
         }
-        self.release(&pool, tokens);
+        self.release(&scope, tokens);
         Applied::Listed
     }
 
@@ -317,15 +322,16 @@
             return Applied::Ignored(Ignored::AlreadyEnded);
         }
         let tokens = std::mem::take(&mut job.waiting_tokens);
-        let pool = Pool::of(&job.accepted);
+        let scope = QuotaScope::of(&job.accepted);
         self.open.remove(&job.accepted.job);
-        self.release(&pool, tokens);
+        self.release(&scope, tokens);
         Applied::Ended
     }
 
-    fn release(&mut self, pool: &Pool, tokens: u64) {
-        if let Some(waiting) = self.waiting.get_mut(pool) {
-            debug_assert!(*waiting >= tokens, "Only what waits is released.");
+    /// Subtracts tokens that no longer wait.
+    fn release(&mut self, scope: &QuotaScope, tokens: u64) {
+        if let Some(waiting) = self.waiting.get_mut(scope) {
+            debug_assert!(*waiting >= tokens, "Only waiting tokens are released.");
             *waiting = waiting.saturating_sub(tokens);
         }
     }
--- a/crates/ledger/src/jobs/name.rs
+++ b/crates/ledger/src/jobs/name.rs
@@ -1,15 +1,15 @@
-//! The names of jobs in the stream: the workspace that a job belongs to, and the name
-//! that its caller chose.
+//! Names of jobs in the stream: the workspace that owns the job and the name chosen by its
+//! caller.
 //!
-//! The workspace is part of the name and not a field of the acceptance: two workspaces
-//! may choose one name, all records of a job tell whose it is, and records of versions
-//! that knew no workspaces are read as they are. It is the workspace and not the key, so
-//! a key that is taken away ends no job.
+//! The workspace is part of the name rather than a field of [`Accepted`](super::Accepted):
+//! two workspaces may choose the same name, every record of a job identifies its workspace,
+//! and records of versions without workspaces remain readable. Jobs belong to the workspace
+//! rather than to its API key, so revoking a key does not end any job.
 
 use super::JobId;
 
-/// What stands between the two. HTTP lets no control character into a header, so
-/// neither part has one.
+/// Separates the two parts. HTTP does not permit control characters in headers, so neither
+/// part contains one.
 const SEPARATOR: char = '\u{1f}';
 
 /// Returns the name of a job in the stream.
@@ -29,8 +29,7 @@
     }
 }
 
-/// Returns the workspace that a job belongs to; nothing for one that was taken in from
-/// anybody.
+/// Returns the workspace that owns a job; `None` for a job accepted without one.
 pub fn workspace_of(job: &str) -> Option<&str> {
     job.split_once(SEPARATOR).map(|(workspace, _)| workspace)
 }
--- a/crates/ledger/src/jobs/record.rs
+++ b/crates/ledger/src/jobs/record.rs
@@ -1,6 +1,6 @@
-//! The records of the stream, as they are written.
+//! Records of the stream, as written to the log.
 //!
-//! What they do is decided by the fold alone; here is only what they say.
+//! Only the fold decides which effect a record has; this module defines the formats.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,18 +10,18 @@
 use super::JobId;
 use super::Offset;
 
-/// Where bytes lie that are too many for the stream.
+/// The location of data that is too large for the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Blob {
     /// The partition.
     pub part: u32,
-    /// The beginning of the records' keys, which no other blob shares.
+    /// The prefix of the records' keys, unique to this blob.
     pub key: String,
     /// The offset of the first record.
     pub offset: Offset,
-    /// The number of records, which follow one another.
+    /// The number of records, which have consecutive offsets.
     pub records: u32,
-    /// The bytes in all of them.
+    /// The total length of the records, in bytes.
     pub bytes: u32,
 }
 
@@ -31,86 +31,87 @@
         format!("{}/{number:04}", self.key)
     }
 
-    /// Returns the keys of all the blob's records, in their order.
+    /// Returns the keys of all records of the blob, in order.
     pub fn record_keys(&self) -> impl Iterator<Item = String> {
         (0..self.records).map(|number| self.record_key(number))
     }
 }
 
-/// An item as its job's acceptance names it.
+/// An item, as listed in the acceptance of its job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemSpec {
-    /// The item's name, unique in its job.
+    /// The item's name, unique within its job.
     pub id: String,
-    /// The tokens of its prompt and its longest answer.
+    /// The number of tokens of the prompt and the longest possible output.
     pub tokens: u32,
 }
 
-/// A job that a host took in.
+/// The acceptance of a job by a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The job, which tells its workspace: see [`job_id`](super::job_id).
+    /// The job; its name includes the workspace, see [`job_id`](super::job_id).
     pub job: JobId,
-    /// The try that this record belongs to.
+    /// The submission attempt that wrote this record.
     pub attempt: AttemptId,
-    /// The host, which runs the job's items until it is taken over.
+    /// The host, which runs the job's items until another host takes the job over.
     pub host: HostId,
     /// The name of the route.
     pub route: String,
-    /// Tokens of the workspace that may wait on the route, with this job's; nothing for
-    /// no limit.
+    /// The limit on the workspace's waiting tokens on the route, including those of this job;
+    /// `None` for no limit.
     pub tokens_max: Option<u64>,
-    /// The host's time of day, for the order in which jobs run.
+    /// The time of submission by the host's clock, which determines the order in which jobs
+    /// run.
     pub submitted_unix_ms: u64,
     /// The items, in the caller's order.
     pub items: Vec<ItemSpec>,
-    /// What the items say, in as many blobs as it takes.
+    /// The payloads of the items, split into as many blobs as necessary.
     pub payload: Vec<Blob>,
 }
 
-/// How an item ended.
+/// The final outcome of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was done; its whole answer lies here.
+    /// The item was completed; the blobs hold the complete response.
     Completed(Vec<Blob>),
-    /// It was given up, for this reason.
+    /// The item failed permanently, for this reason.
     Failed(Reason),
 }
 
-/// Why an item was given up.
+/// The reason why an item failed permanently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// A target said that it can never be done.
+    /// A target reported that the item can never succeed.
     Impossible,
-    /// It failed at as many targets as its route allows.
+    /// The route's limit on failed attempts was reached.
     Attempts,
-    /// Its time was over.
+    /// The item's deadline passed.
     Expired,
-    /// Its route is gone.
+    /// The item's route was removed.
     NoRoute,
 }
 
 /// A record of the stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A job was taken in.
+    /// A job was accepted.
     Accepted(Accepted),
-    /// A host takes over a job's items.
+    /// A host takes over a job.
     Taken {
         /// The job.
         job: JobId,
-        /// The epoch that ends by it.
+        /// The epoch of the previous owner, which the takeover ends.
         epoch: Offset,
-        /// The host.
+        /// The new owner.
         host: HostId,
     },
-    /// An item has ended.
+    /// An item has a final outcome, which is appended to the job's list of results.
     Listed {
         /// The job.
         job: JobId,
-        /// The item's place in the caller's order.
+        /// The item's index in the caller's order.
         item: u32,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
     },
     /// The caller ended the job.
@@ -121,21 +122,21 @@
 }
 
 impl Record {
-    /// Returns the record's bytes.
+    /// Encodes the record.
     ///
     /// # Panics
     ///
-    /// Never: the type holds nothing that the codec cannot represent.
+    /// Never: the codec can represent every value of this type.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("Records are always representable.")
+        postcard::to_stdvec(self).expect("Records can always be encoded.")
     }
 
-    /// Reads a record; returns nothing for anything else.
+    /// Decodes a record; returns `None` if the bytes are not a valid encoding.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Returns the job that the record is about.
+    /// Returns the job to which the record belongs.
     pub fn job(&self) -> &JobId {
         match self {
             Self::Accepted(accepted) => &accepted.job,
--- a/crates/ledger/src/jobs/snapshot.rs
+++ b/crates/ledger/src/jobs/snapshot.rs
@@ -1,7 +1,8 @@
-//! The whole state of the fold, for a host that starts.
+//! Snapshots of the complete state, from which a starting host initializes its own.
 //!
-//! Hundreds of hosts that start together cannot all list the stream; one that has
-//! folded it hands its state on. What can be worked out again is left out.
+//! Hundreds of hosts that start at the same time cannot all read the whole stream; a host
+//! that has already applied it sends its state to the others. Derived state is omitted and
+//! recomputed by the receiver.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -17,9 +18,9 @@
 use super::Jobs;
 use super::Listed;
 use super::Offset;
-use super::Pool;
+use super::QuotaScope;
 
-/// The state that the stream's records up to an offset lead to.
+/// The state after all records of the stream up to an offset.
 ///
 /// ```
 /// use notchwharf_ledger::jobs::{Jobs, Record};
@@ -46,25 +47,25 @@
 }
 
 impl Jobs {
-    /// Returns the whole state, the jobs in the order of their names.
+    /// Returns a snapshot of the state, with the jobs sorted by name.
     pub fn snapshot(&self) -> Snapshot {
         let mut jobs: Vec<JobState> = self.jobs.values().map(JobState::of).collect();
         jobs.sort_by(|a, b| a.accepted.job.cmp(&b.accepted.job));
         Snapshot {
             jobs,
-            refused: self.refused.iter().copied().collect(),
+            refused: self.refused_attempts.iter().copied().collect(),
             end: self.end,
         }
     }
 
-    /// Returns the state that a snapshot was made of.
+    /// Returns the state from which a snapshot was taken.
     pub fn restore(snapshot: Snapshot) -> Self {
-        let mut waiting: HashMap<Pool, u64> = HashMap::new();
+        let mut waiting: HashMap<QuotaScope, u64> = HashMap::new();
         let mut open = BTreeSet::new();
         let mut jobs = HashMap::new();
         for state in snapshot.jobs {
             let job = state.restore();
-            *waiting.entry(Pool::of(&job.accepted)).or_default() += job.waiting_tokens;
+            *waiting.entry(QuotaScope::of(&job.accepted)).or_default() += job.waiting_tokens;
             if job.is_open() {
                 open.insert(job.accepted.job.clone());
             }
@@ -74,7 +75,7 @@
             jobs,
             open,
             waiting,
-            refused: snapshot.refused.into(),
+            refused_attempts: snapshot.refused.into(),
             end: snapshot.end,
         }
     }
@@ -96,14 +97,14 @@
         let items = &self.accepted.items;
         let mut is_listed = vec![false; items.len()];
         for listed in &self.listed {
-            // One that the job has not got is none that anybody waits for.
-            if let Some(item) = is_listed.get_mut(listed.item as usize) {
-                *item = true;
+            // An index outside of the job's items has no tokens to count.
+            if let Some(is_item_listed) = is_listed.get_mut(listed.item as usize) {
+                *is_item_listed = true;
             }
         }
-        let open = items.iter().zip(&is_listed);
-        let open = open.filter(|(_, is_listed)| !**is_listed && !self.ended);
-        let waiting_tokens = open.map(|(item, _)| u64::from(item.tokens)).sum();
+        let open_items = items.iter().zip(&is_listed);
+        let open_items = open_items.filter(|(_, is_listed)| !**is_listed && !self.ended);
+        let waiting_tokens = open_items.map(|(item, _)| u64::from(item.tokens)).sum();
         Job {
             owner: self.owner,
             owner_before: self.owner_before,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,17 +1,17 @@
-//! Jobs, items and idempotency keys as records in the platform's log.
+//! Replicated state of jobs, items and idempotency keys, stored as records in the platform's
+//! log.
 //!
-//! The log gives every stream one total order. Every decision that hosts must
-//! agree on is a [`record::Record`] in a stream, and its outcome is a pure fold
-//! over that stream: [`shard::Shard`] for jobs, items and keys, and
-//! [`fleet::Fleet`] for the leases on targets. [`owner::Owner`] is what the one
-//! host that holds a shard's lease decides. [`rendezvous`] says which host
-//! should try to hold what.
+//! The log totally orders the records of each stream. Every decision on which hosts must
+//! agree is a [`record::Record`] in a stream, and its outcome is a pure fold over that
+//! stream: [`shard::Shard`] for jobs, items and keys, and [`fleet::Fleet`] for the leases on
+//! targets. [`owner::Owner`] is the state machine of the one host that holds a shard's
+//! lease. [`rendezvous`] ranks the hosts that should hold a shard or target.
 //!
-//! Where the platform's store orders records and keeps the newest of each key
-//! for good, [`jobs`] is the fold over one stream that needs no leases.
+//! Where the platform's store orders records and retains the newest record of each key
+//! permanently, [`jobs`] is the fold over one stream that needs no leases.
 //!
-//! Nothing here does I/O, reads a clock or uses global randomness: time and
-//! records come in as inputs, and appends and answers go out as effects.
+//! Nothing here performs I/O, reads a clock or uses global randomness: times and records
+//! are inputs, and appends and replies are returned as effects.
 
 pub mod error;
 pub mod fleet;
--- a/crates/ledger/src/owner/command.rs
+++ b/crates/ledger/src/owner/command.rs
@@ -1,4 +1,4 @@
-//! What can be asked of an owner, and what it answers.
+//! Commands to the owner of a shard, and its replies.
 
 use crate::job::Counts;
 use crate::job::Failure;
@@ -17,16 +17,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What can be asked of the owner of a shard.
+/// A command to the owner of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Keep an uploaded lot.
+    /// Store an uploaded input file.
     PutFile(File),
-    /// Return a lot.
+    /// Return an input file.
     GetFile {
-        /// The lot.
+        /// The input file.
         file: FileId,
-        /// The customer who asks.
+        /// The requesting tenant.
         tenant: String,
     },
     /// Accept a job.
@@ -35,44 +35,44 @@
     GetJob {
         /// The job.
         job: JobId,
-        /// The customer who asks; an operator asks without.
+        /// The requesting tenant; `None` for an operator.
         tenant: Option<String>,
     },
-    /// Return the jobs of a customer, or all for an operator.
+    /// Return the jobs of a tenant.
     ListJobs {
-        /// The customer.
+        /// The requesting tenant; `None` for an operator, who receives all jobs.
         tenant: Option<String>,
     },
     /// Cancel a job.
     CancelJob {
         /// The job.
         job: JobId,
-        /// The customer who asks; an operator asks without.
+        /// The requesting tenant; `None` for an operator.
         tenant: Option<String>,
     },
-    /// Return where final answers of a job's items stand.
+    /// Return the final outcomes of a job's items.
     Answers {
         /// The job.
         job: JobId,
-        /// The customer who asks.
+        /// The requesting tenant.
         tenant: String,
         /// The first item.
         from: ItemIndex,
-        /// The greatest number of items.
+        /// The maximum number of items to examine.
         max: u32,
     },
-    /// Hand out items.
+    /// Assign items to a host.
     Take {
-        /// The serving that a target is free for.
+        /// The serving for which a target has free capacity.
         serving: String,
-        /// The greatest number of items.
+        /// The maximum number of items.
         max: u32,
-        /// The host that will run them.
+        /// The host that will run the items.
         host: HostId,
         /// That host's incarnation.
         incarnation: Incarnation,
     },
-    /// A host reports what it runs, to a new owner.
+    /// Report the items that a host runs.
     Running {
         /// The items.
         items: Vec<(JobId, ItemIndex)>,
@@ -81,61 +81,61 @@
         /// That host's incarnation.
         incarnation: Incarnation,
     },
-    /// A host reports what became of an item.
+    /// Report the outcome of running an item.
     Settle {
         /// The job.
         job: JobId,
         /// The item.
         item: ItemIndex,
-        /// What became of it.
+        /// The outcome.
         verdict: Verdict,
     },
-    /// A host gives items back that it has not finished.
+    /// Return unfinished items to the queue.
     Return {
         /// The items.
         items: Vec<(JobId, ItemIndex)>,
     },
-    /// Record that a call that must not be repeated is about to be sent.
+    /// Record that a call with an idempotency key is about to be sent.
     KeyStart {
         /// The key.
         key: KeyId,
         /// The digest of the call.
         digest: String,
     },
-    /// Record where the answer to such a call stands.
+    /// Record the response to a call with an idempotency key.
     KeyEnd {
         /// The key.
         key: KeyId,
-        /// The place.
+        /// The location of the response.
         place: Place,
     },
-    /// Record that such a call was never sent.
+    /// Record that a call with an idempotency key was never sent.
     KeyUnsent {
         /// The key.
         key: KeyId,
     },
 }
 
-/// What became of an item on a target.
+/// The outcome of running an item on a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It ran to its end; the result stands there.
+    /// The item was completed; the result is at this location.
     Done(Place),
-    /// It can never be done.
+    /// The item failed permanently.
     Failed(Failure),
-    /// The target failed under it, after as many failures before.
+    /// The target failed while it was running the item.
     TargetFailed {
-        /// The attempts that failed before.
+        /// The number of earlier failed attempts.
         before: u8,
     },
 }
 
-/// The answer to a command.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// The command took effect.
     Done,
-    /// A lot.
+    /// An input file.
     File(File),
     /// A job.
     Job(Box<View>),
@@ -143,61 +143,62 @@
     Jobs(Vec<View>),
     /// Items to run.
     Work(Vec<Work>),
-    /// Where final answers stand.
+    /// Final outcomes of items.
     Answers {
-        /// The answers, by item.
+        /// The outcomes, in order of the items.
         answers: Vec<Answer>,
-        /// The item to ask from next; none at the end.
+        /// The first item of the next page; `None` at the end.
         next: Option<ItemIndex>,
     },
-    /// The call was answered before; the answer stands there.
+    /// The call was already answered; the response is at this location.
     Ended(Place),
 }
 
-/// An item handed out.
+/// An item assigned to a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
     /// The job.
     pub job: JobId,
     /// The item.
     pub item: ItemIndex,
-    /// The customer.
+    /// The tenant.
     pub tenant: String,
-    /// Where the payload stands.
+    /// The location of the payload.
     pub place: Place,
-    /// How often a target failed under it; not zero means it runs alone.
+    /// The number of earlier attempts during which a target failed; the host runs an item close
+    /// to the limit alone on its target.
     pub attempts: u8,
 }
 
-/// A job as callers see it.
+/// The information about a job that callers receive.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
     /// The job.
     pub id: JobId,
-    /// The customer.
+    /// The tenant.
     pub tenant: String,
-    /// The lot.
+    /// The input file.
     pub file: FileId,
-    /// The endpoint that every item asks for.
+    /// The endpoint that every item requests.
     pub endpoint: String,
     /// The caller's own labels.
     pub metadata: std::collections::BTreeMap<String, String>,
-    /// When it was accepted, in milliseconds since the Unix epoch.
+    /// The time of acceptance, in milliseconds since the Unix epoch.
     pub created_unix_ms: u64,
-    /// Where it stands.
+    /// The processing state.
     pub state: State,
-    /// How many items stand where.
+    /// The number of items by phase.
     pub counts: Counts,
 }
 
-/// The final answer of an item.
+/// The final outcome of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// The item.
     pub item: ItemIndex,
-    /// Where the payload stands.
+    /// The location of the payload.
     pub payload: Place,
-    /// The result, or why there is none.
+    /// The location of the result, or the reason of the failure.
     pub outcome: Result<Place, Failure>,
 }
 
@@ -218,10 +219,10 @@
 
 impl Answer {
     pub(super) fn of(job: &Job, item: ItemIndex) -> Option<Self> {
-        let slot = job.items.get(item as usize)?;
-        let outcome = match slot.phase {
+        let item_state = job.items.get(item as usize)?;
+        let outcome = match item_state.phase {
             Phase::Pending => return None,
-            Phase::Done => Ok(slot.result),
+            Phase::Done => Ok(item_state.result),
             Phase::Failed => {
                 let (_, failure) = job.failures.iter().find(|(i, _)| *i == item)?;
                 Err(failure.clone())
--- a/crates/ledger/src/owner/answer.rs
+++ b/crates/ledger/src/owner/execute.rs
@@ -1,4 +1,4 @@
-//! Answers to commands, from the folded state or after a record.
+//! Execution of commands: replies from the folded state, or appends an entry first.
 
 use super::Now;
 use super::Outstanding;
@@ -22,16 +22,16 @@
 use crate::record::KeyId;
 
 impl Owner {
-    pub(super) fn ask(&mut self, now: Now, token: Token, command: Command) {
-        if self.held.is_none() {
-            let refused = self.not_owner();
-            self.reply(token, Err(refused));
+    pub(super) fn execute(&mut self, now: Now, token: Token, command: Command) {
+        if self.held_epoch.is_none() {
+            let err = self.not_owner();
+            self.reply(token, Err(err));
             return;
         }
-        match self.answer(now, command) {
-            Answered::Now(res) => self.reply(token, res),
-            Answered::After(entry) => {
-                if self.log_down(now) && !is_report(&entry) {
+        match self.decide(now, command) {
+            Decision::Reply(res) => self.reply(token, res),
+            Decision::Append(entry) => {
+                if self.is_log_down(now) && !is_report(&entry) {
                     self.reply(token, Err(CommandError::LogDown));
                     return;
                 }
@@ -41,40 +41,42 @@
         }
     }
 
-    /// Returns whether the lease has lapsed for want of a confirmed append.
+    /// Returns whether the lease has expired, or the outstanding append has timed out, because
+    /// no append was confirmed.
     ///
-    /// Nobody else can have taken the shard through the log in an outage, but
-    /// this host cannot tell an outage from being cut off.
-    fn log_down(&self, now: Now) -> bool {
-        let late = |o: &Outstanding| now.at.duration_since(o.first_sent) >= self.cfg.reply_timeout;
-        now.at >= self.valid_until || self.outstanding.as_ref().is_some_and(late)
+    /// If the log is unavailable, no other host can claim the shard. But this host cannot
+    /// distinguish that from being partitioned from a log that other hosts still reach.
+    fn is_log_down(&self, now: Now) -> bool {
+        let is_overdue =
+            |o: &Outstanding| now.at.duration_since(o.first_sent_at) >= self.cfg.reply_timeout;
+        now.at >= self.lease_valid_until || self.outstanding.as_ref().is_some_and(is_overdue)
     }
 
-    fn answer(&mut self, now: Now, command: Command) -> Answered {
+    fn decide(&mut self, now: Now, command: Command) -> Decision {
         match command {
-            Command::PutFile(file) => Answered::After(Entry::File(file)),
-            Command::GetFile { file, tenant } => Answered::Now(self.file(&file, &tenant)),
+            Command::PutFile(file) => Decision::Append(Entry::File(file)),
+            Command::GetFile { file, tenant } => Decision::Reply(self.file(&file, &tenant)),
             Command::CreateJob(spec) => {
                 if self.shard.jobs().contains_key(&spec.id) {
-                    return Answered::Now(self.view(&spec.id, Some(&spec.tenant)));
+                    return Decision::Reply(self.view(&spec.id, Some(&spec.tenant)));
                 }
-                Answered::After(Entry::Job(spec))
+                Decision::Append(Entry::Job(spec))
             }
-            Command::GetJob { job, tenant } => Answered::Now(self.view(&job, tenant.as_deref())),
-            Command::ListJobs { tenant } => Answered::Now(Ok(self.list(tenant.as_deref()))),
+            Command::GetJob { job, tenant } => Decision::Reply(self.view(&job, tenant.as_deref())),
+            Command::ListJobs { tenant } => Decision::Reply(Ok(self.list(tenant.as_deref()))),
             Command::CancelJob { job, tenant } => self.cancel(job, tenant.as_deref()),
             Command::Answers {
                 job,
                 tenant,
                 from,
                 max,
-            } => Answered::Now(self.answers(&job, &tenant, from, max)),
+            } => Decision::Reply(self.answers(&job, &tenant, from, max)),
             Command::Take {
                 serving,
                 max,
                 host,
                 incarnation,
-            } => Answered::Now(self.take(now, &serving, max, (&host, incarnation))),
+            } => Decision::Reply(self.assign(now, &serving, max, (&host, incarnation))),
             Command::Running {
                 items,
                 host,
@@ -83,18 +85,18 @@
                 for key in items {
                     self.queue.mark_running(key, (&host, incarnation), now.at);
                 }
-                Answered::Now(Ok(Reply::Done))
+                Decision::Reply(Ok(Reply::Done))
             }
-            Command::Settle { job, item, verdict } => self.settle(job, item, verdict),
+            Command::Settle { job, item, verdict } => self.record_outcome(job, item, verdict),
             Command::Return { items } => {
                 for key in items {
-                    self.queue.give_back(self.shard.jobs(), key);
+                    self.queue.requeue(self.shard.jobs(), key);
                 }
-                Answered::Now(Ok(Reply::Done))
+                Decision::Reply(Ok(Reply::Done))
             }
             Command::KeyStart { key, digest } => self.start_key(now, key, digest),
-            Command::KeyEnd { key, place } => Answered::After(Entry::KeyEnd { key, place }),
-            Command::KeyUnsent { key } => Answered::After(Entry::KeyUnsent { key }),
+            Command::KeyEnd { key, place } => Decision::Append(Entry::KeyEnd { key, place }),
+            Command::KeyUnsent { key } => Decision::Append(Entry::KeyUnsent { key }),
         }
     }
 
@@ -121,24 +123,24 @@
     }
 
     fn list(&self, tenant: Option<&str>) -> Reply {
-        let wanted = |j: &&Job| tenant.is_none_or(|t| t == j.spec.tenant);
+        let is_visible = |j: &&Job| tenant.is_none_or(|t| t == j.spec.tenant);
         Reply::Jobs(
             self.shard
                 .jobs()
                 .values()
-                .filter(wanted)
+                .filter(is_visible)
                 .map(View::of)
                 .collect(),
         )
     }
 
-    fn cancel(&self, job: JobId, tenant: Option<&str>) -> Answered {
+    fn cancel(&self, job: JobId, tenant: Option<&str>) -> Decision {
         match self.job(&job, tenant) {
-            Err(refused) => Answered::Now(Err(refused)),
+            Err(err) => Decision::Reply(Err(err)),
             Ok(found) if found.state() != State::InProgress => {
-                Answered::Now(Ok(Reply::Job(Box::new(View::of(found)))))
+                Decision::Reply(Ok(Reply::Job(Box::new(View::of(found)))))
             }
-            Ok(_) => Answered::After(Entry::Cancel { job }),
+            Ok(_) => Decision::Append(Entry::Cancel { job }),
         }
     }
 
@@ -150,61 +152,61 @@
         max: u32,
     ) -> Result<Reply, CommandError> {
         let job = self.job(job, Some(tenant))?;
-        let upto = job.counts.total.min(from.saturating_add(max.max(1)));
-        let answers = (from..upto)
+        let page_end = job.counts.total.min(from.saturating_add(max.max(1)));
+        let answers = (from..page_end)
             .filter_map(|item| Answer::of(job, item))
             .collect();
-        let next = (upto < job.counts.total).then_some(upto);
+        let next = (page_end < job.counts.total).then_some(page_end);
         Ok(Reply::Answers { answers, next })
     }
 
-    pub(super) fn take(
+    pub(super) fn assign(
         &mut self,
         now: Now,
         serving: &str,
         max: u32,
         host: (&HostId, Incarnation),
     ) -> Result<Reply, CommandError> {
-        if now.at >= self.valid_until {
+        if now.at >= self.lease_valid_until {
             return Err(CommandError::LogDown);
         }
         if now.at.duration_since(self.held_since) < self.cfg.takeover_grace {
-            // Hosts still report what they run; handing it out would run it
-            // twice for nothing.
+            // Hosts are still reporting the items that they run; assigning these again would
+            // run them twice.
             return Ok(Reply::Work(Vec::new()));
         }
         let jobs = self.shard.jobs();
-        let works = self.queue.take(jobs, serving, max as usize, host, now.at);
+        let works = self.queue.assign(jobs, serving, max as usize, host, now.at);
         Ok(Reply::Work(works))
     }
 
-    fn settle(&self, job: JobId, item: ItemIndex, verdict: Verdict) -> Answered {
-        let known = match self.job(&job, None) {
-            Err(refused) => return Answered::Now(Err(refused)),
-            Ok(known) => known,
+    fn record_outcome(&self, job: JobId, item: ItemIndex, verdict: Verdict) -> Decision {
+        let job_state = match self.job(&job, None) {
+            Err(err) => return Decision::Reply(Err(err)),
+            Ok(job_state) => job_state,
         };
-        if known.cancelled {
-            return Answered::Now(Err(CommandError::Invalid(Ignored::Cancelled)));
+        if job_state.cancelled {
+            return Decision::Reply(Err(CommandError::Invalid(Ignored::Cancelled)));
         }
-        Answered::After(match verdict {
+        Decision::Append(match verdict {
             Verdict::Done(place) => Entry::Done { job, item, place },
             Verdict::Failed(failure) => Entry::Failed { job, item, failure },
             Verdict::TargetFailed { before } => Entry::Attempt { job, item, before },
         })
     }
 
-    fn start_key(&self, now: Now, key: KeyId, digest: String) -> Answered {
+    fn start_key(&self, now: Now, key: KeyId, digest: String) -> Decision {
         let at_unix_ms = now.unix_ms;
         match self.shard.keys().get(&key) {
-            None => Answered::After(Entry::KeyStart {
+            None => Decision::Append(Entry::KeyStart {
                 key,
                 digest,
                 at_unix_ms,
             }),
             Some(known) if known.digest != digest => {
-                Answered::Now(Err(CommandError::Invalid(Ignored::OtherBody)))
+                Decision::Reply(Err(CommandError::Invalid(Ignored::OtherBody)))
             }
-            Some(known) => Answered::Now(
+            Some(known) => Decision::Reply(
                 known
                     .end
                     .map(Reply::Ended)
@@ -214,7 +216,10 @@
     }
 }
 
-enum Answered {
-    Now(Result<Reply, CommandError>),
-    After(Entry),
+/// How a command is executed.
+enum Decision {
+    /// Reply immediately.
+    Reply(Result<Reply, CommandError>),
+    /// Append an entry, and reply once it was read back.
+    Append(Entry),
 }
--- a/crates/ledger/src/owner/upkeep.rs
+++ b/crates/ledger/src/owner/maintenance.rs
@@ -1,5 +1,6 @@
-//! What an owner does unasked: final answers for spent items, snapshots, and
-//! dropping or carrying forward what grows old.
+//! Maintenance by the owner: keeps the queue consistent with the fold, fails items that have
+//! exhausted their attempts, writes snapshots, and removes or rewrites data before it expires
+//! from the log.
 
 use std::time::Duration;
 
@@ -19,17 +20,17 @@
 use crate::record::Record;
 use crate::shard::Outcome;
 
-/// Most ended jobs, lots and keys dropped in one tick.
-const DROPS_MAX: usize = 64;
+/// Maximum number of finished jobs, input files and keys removed in one tick.
+const REMOVALS_MAX: usize = 64;
 
 impl Owner {
-    /// Follows what a record means for items that hosts run.
-    pub(super) fn track(&mut self, record: &Record, outcomes: &[Outcome]) {
-        if self.held.is_none() {
+    /// Updates the queue with the entries of a record that took effect.
+    pub(super) fn update_queue(&mut self, record: &Record, outcomes: &[Outcome]) {
+        if self.held_epoch.is_none() {
             return;
         }
-        let counted = record.entries.iter().zip(outcomes);
-        for (entry, _) in counted.filter(|(_, outcome)| outcome.is_ok()) {
+        let applied = record.entries.iter().zip(outcomes);
+        for (entry, _) in applied.filter(|(_, outcome)| outcome.is_ok()) {
             match entry {
                 Entry::Job(spec) => {
                     if let Some(job) = self.shard.jobs().get(&spec.id) {
@@ -37,23 +38,27 @@
                     }
                 }
                 Entry::Done { job, item, .. } | Entry::Failed { job, item, .. } => {
-                    self.queue.settle(job, *item);
+                    self.queue.finish(job, *item);
                 }
-                Entry::Attempt { job, item, .. } => self.after_attempt(job, *item),
+                Entry::Attempt { job, item, .. } => self.retry_or_fail(job, *item),
                 Entry::Snapshot { .. } => self.records_since_snapshot = 0,
                 _ => {}
             }
         }
     }
 
-    /// Fails what the holder before this one could not any more.
+    /// Fails the items that exhausted their attempts under the previous holder, which may have
+    /// lost the lease before it could record the failures.
     pub(super) fn fail_exhausted(&mut self, now: Now) {
-        let max = self.cfg.attempts_max;
+        let attempts_max = self.cfg.attempts_max;
         let mut exhausted = Vec::new();
         for (id, job) in self.shard.jobs() {
             let items = (0..).zip(&job.items);
-            let spent = items.filter(|(_, i)| i.phase == Phase::Pending && i.attempts >= max);
-            exhausted.extend(spent.map(|(item, slot)| (id.clone(), item, slot.attempts)));
+            let exhausted_items =
+                items.filter(|(_, i)| i.phase == Phase::Pending && i.attempts >= attempts_max);
+            exhausted.extend(
+                exhausted_items.map(|(item, item_state)| (id.clone(), item, item_state.attempts)),
+            );
         }
         for (job, item, attempts) in exhausted {
             let failure = Failure::AttemptsExhausted { attempts };
@@ -61,19 +66,20 @@
         }
     }
 
-    fn after_attempt(&mut self, job: &str, item: ItemIndex) {
-        let slot = self
+    /// Requeues an item after a failed attempt, or fails it if it has exhausted its attempts.
+    fn retry_or_fail(&mut self, job: &str, item: ItemIndex) {
+        let item_state = self
             .shard
             .jobs()
             .get(job)
             .and_then(|j| j.items.get(item as usize));
-        let Some(slot) = slot.filter(|i| i.phase == Phase::Pending) else {
+        let Some(item_state) = item_state.filter(|i| i.phase == Phase::Pending) else {
             return;
         };
-        let attempts = slot.attempts;
+        let attempts = item_state.attempts;
         if attempts < self.cfg.attempts_max {
             self.queue
-                .give_back(self.shard.jobs(), (job.to_owned(), item));
+                .requeue(self.shard.jobs(), (job.to_owned(), item));
             return;
         }
         let entry = Entry::Failed {
@@ -81,25 +87,25 @@
             item,
             failure: Failure::AttemptsExhausted { attempts },
         };
-        self.push(None, self.heard_at, entry);
+        self.push(None, self.lease_renewed_at, entry);
     }
 
-    pub(super) fn maybe_save(&mut self, now: Now) {
-        let many = self.records_since_snapshot >= self.cfg.snapshot_records;
+    pub(super) fn maybe_save_snapshot(&mut self, now: Now) {
+        let is_record_limit_reached = self.records_since_snapshot >= self.cfg.snapshot_records;
         let age_ms = now.unix_ms.saturating_sub(self.snapshot_unix_ms);
-        let old = age_ms >= millis(self.cfg.rewrite_after) && self.records_since_snapshot > 0;
-        if self.saving || !(many || old) {
+        let is_old = age_ms >= millis(self.cfg.rewrite_after) && self.records_since_snapshot > 0;
+        if self.is_writing_blobs || !(is_record_limit_reached || is_old) {
             return;
         }
-        self.saving = true;
+        self.is_writing_blobs = true;
         let upto = self.shard.next_offset().saturating_sub(1);
         let bytes = self.shard.encode();
         self.effects.push(Effect::SaveSnapshot { bytes, upto });
     }
 
-    pub(super) fn saved(&mut self, now: Now, parts: Vec<BlobId>, upto: Offset) {
-        self.saving = false;
-        if self.held.is_none() {
+    pub(super) fn snapshot_saved(&mut self, now: Now, parts: Vec<BlobId>, upto: Offset) {
+        self.is_writing_blobs = false;
+        if self.held_epoch.is_none() {
             return;
         }
         self.records_since_snapshot = 0;
@@ -107,8 +113,8 @@
         self.push(None, now.at, Entry::Snapshot { parts, upto });
     }
 
-    pub(super) fn carried(&mut self, now: Now, job: JobId, blobs: Vec<(BlobId, BlobId)>) {
-        self.saving = false;
+    pub(super) fn blobs_rewritten(&mut self, now: Now, job: JobId, blobs: Vec<(BlobId, BlobId)>) {
+        self.is_writing_blobs = false;
         let at_unix_ms = now.unix_ms;
         let entry = Entry::Moved {
             job,
@@ -118,52 +124,53 @@
         self.push(None, now.at, entry);
     }
 
-    /// Drops what need not be kept and carries forward what must.
-    pub(super) fn drop_expired(&mut self, now: Now) {
+    /// Removes expired input files, keys and finished jobs, and rewrites blobs of the remaining
+    /// jobs before they expire from the log.
+    pub(super) fn remove_expired(&mut self, now: Now) {
         if self.outstanding.is_some() || !self.pending.is_empty() {
             return;
         }
         let age = |since_ms: u64| Duration::from_millis(now.unix_ms.saturating_sub(since_ms));
-        let keep = self.cfg.retention;
-        let carry = self.cfg.rewrite_after;
+        let retention = self.cfg.retention;
+        let rewrite_after = self.cfg.rewrite_after;
         let files = self.shard.files().values();
         let files = files
-            .filter(|f| age(f.created_unix_ms) >= carry)
+            .filter(|f| age(f.created_unix_ms) >= rewrite_after)
             .map(|f| Dropped::File(f.id.clone()));
         let keys = self.shard.keys().iter();
         let keys = keys
-            .filter(|(_, key)| age(key.at_unix_ms) >= carry.min(keep))
+            .filter(|(_, key)| age(key.at_unix_ms) >= rewrite_after.min(retention))
             .map(|(id, _)| Dropped::Key(id.clone()));
         let jobs = self.shard.jobs().values();
         let jobs = jobs
-            .filter(|j| j.state() != State::InProgress && age(j.spec.created_unix_ms) >= keep)
+            .filter(|j| j.state() != State::InProgress && age(j.spec.created_unix_ms) >= retention)
             .map(|j| Dropped::Job(j.spec.id.clone()));
-        let dropped: Vec<Dropped> = files.chain(keys).chain(jobs).take(DROPS_MAX).collect();
-        for what in dropped {
-            self.push(None, now.at, Entry::Drop(what));
+        let removals: Vec<Dropped> = files.chain(keys).chain(jobs).take(REMOVALS_MAX).collect();
+        for removal in removals {
+            self.push(None, now.at, Entry::Drop(removal));
         }
-        self.maybe_carry(now);
+        self.maybe_rewrite_blobs(now);
     }
 
-    fn maybe_carry(&mut self, now: Now) {
-        if self.saving {
+    fn maybe_rewrite_blobs(&mut self, now: Now) {
+        if self.is_writing_blobs {
             return;
         }
-        let carry_ms = millis(self.cfg.rewrite_after);
-        let old = |j: &&Job| now.unix_ms.saturating_sub(j.blobs_unix_ms) >= carry_ms;
-        let Some(job) = self.shard.jobs().values().find(old) else {
+        let rewrite_after_ms = millis(self.cfg.rewrite_after);
+        let is_due = |j: &&Job| now.unix_ms.saturating_sub(j.blobs_unix_ms) >= rewrite_after_ms;
+        let Some(job) = self.shard.jobs().values().find(is_due) else {
             return;
         };
         let effect = Effect::RewriteBlobs {
             job: job.spec.id.clone(),
             blobs: blobs_of(job),
         };
-        self.saving = true;
+        self.is_writing_blobs = true;
         self.effects.push(effect);
     }
 }
 
-/// Returns the blobs that a job refers to, each once.
+/// Returns the blobs to which a job refers, without duplicates.
 fn blobs_of(job: &Job) -> Vec<BlobId> {
     let payloads = job.spec.manifest.chunks.iter().map(|c| c.blob);
     let done = job.items.iter().filter(|i| i.phase == Phase::Done);
@@ -171,11 +178,12 @@
         stream: i.result.stream,
         offset: i.result.offset,
     });
-    let all: std::collections::BTreeSet<(u16, Offset)> = payloads
+    let distinct: std::collections::BTreeSet<(u16, Offset)> = payloads
         .chain(results)
         .map(|b| (b.stream, b.offset))
         .collect();
-    all.into_iter()
+    distinct
+        .into_iter()
         .map(|(stream, offset)| BlobId { stream, offset })
         .collect()
 }
--- a/crates/ledger/src/owner/mod.rs
+++ b/crates/ledger/src/owner/mod.rs
@@ -1,8 +1,9 @@
-//! What a host decides about one shard: to claim it, to append, to answer.
+//! State machine of a host for one shard: claims the lease, appends records and replies to
+//! commands.
 //!
-//! Feed [`Owner::step`] with inputs and carry its effects out. It never trusts
-//! that an append took effect: a command is answered only when its record was
-//! read back from the log, in the order that the log gave.
+//! Pass each input to [`Owner::step`] and execute the returned effects. The response to an
+//! append is never taken as proof that it took effect: a command is answered only once its
+//! record was read back from the log, in the log's order.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -17,14 +18,14 @@
 //! assert!(matches!(effects[..], [Effect::Append(_)]));
 //! ```
 //!
-//! One append is outstanding at a time, and all that comes meanwhile goes into
-//! the next (group commit). That bounds a shard's appends to one for each
-//! commit interval, at the price of up to that interval in added latency.
+//! At most one append is outstanding, and all entries that arrive in the meantime go into the
+//! next one (group commit). This bounds a shard's appends to one per commit interval, at the
+//! cost of up to one interval of added latency.
 
-mod answer;
 mod command;
 mod commit;
-mod upkeep;
+mod execute;
+mod maintenance;
 
 use std::time::Duration;
 use std::time::Instant;
@@ -48,44 +49,45 @@
 pub use self::command::View;
 pub use self::command::Work;
 
-/// What identifies a command to whoever sent it.
+/// Correlates a command with its reply; chosen by the sender of the command.
 pub type Token = u64;
 
-/// A moment, on the clock that only goes forward and on the calendar.
+/// The current time of the monotonic and of the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// The moment, for leases and timeouts.
+    /// The monotonic time, for leases and timeouts.
     pub at: Instant,
-    /// Milliseconds since the Unix epoch, for what callers see and for expiry.
+    /// Milliseconds since the Unix epoch, for times shown to callers and for expiry.
     pub unix_ms: u64,
 }
 
-/// How an owner behaves.
+/// The configuration of an owner.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This host.
     pub host: HostId,
     /// This host's incarnation.
     pub incarnation: Incarnation,
-    /// Silence of a holder after which this host may claim.
+    /// Time without a record of the holder after which this host may claim the lease.
     pub lease_duration: Duration,
     /// Time between two renewals.
     pub renew_interval: Duration,
-    /// Least time between two appends.
+    /// Minimum time between two appends.
     pub commit_interval: Duration,
-    /// Time after which a command that waits for the log is answered anyway.
+    /// Time after which a command that waits for the log receives an error.
     pub reply_timeout: Duration,
-    /// Attempts after which an item fails for good.
+    /// Number of failed attempts after which an item fails permanently.
     pub attempts_max: u8,
-    /// Time after which an item is handed out again whatever its host says.
+    /// Time after which an item is assigned again regardless of reports by its host.
     pub item_timeout: Duration,
-    /// Time after a claim in which hosts report what they run.
+    /// Time after a claim during which hosts report the items that they run.
     pub takeover_grace: Duration,
-    /// Records between two snapshots.
+    /// Number of records between two snapshots.
     pub snapshot_records: u64,
-    /// Age of blobs and snapshots at which they are written again.
+    /// Age at which blobs and snapshots are rewritten, before they expire from the log.
     pub rewrite_after: Duration,
-    /// Time for which ended jobs and keys are kept.
+    /// Time since its acceptance after which a finished job is removed; also an upper bound on
+    /// the retention of keys.
     pub retention: Duration,
 }
 
@@ -109,154 +111,160 @@
     }
 }
 
-/// What happened.
+/// An event that an owner processes.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed.
+    /// Time has passed.
     Tick,
     /// A record was read from the shard's stream.
     RecordRead {
-        /// Its offset.
+        /// The record's offset.
         offset: Offset,
         /// The record.
         record: Record,
     },
     /// The reader of the stream has reached its end.
     CaughtUp,
-    /// The append sent last may or may not have taken effect.
+    /// It is unknown whether the last append took effect.
     AppendUnconfirmed,
-    /// Somebody asks something.
+    /// A command was received.
     Command {
-        /// What identifies the command.
+        /// The token of the reply.
         token: Token,
-        /// What is asked.
+        /// The command.
         command: Command,
     },
     /// Whether this host should hold the shard.
     Preferred(bool),
-    /// Least time between two appends, for the fleet to keep to its budget.
+    /// The minimum time between two appends that keeps the fleet within its append budget.
     AppendInterval(Duration),
-    /// A host is dead or has started again.
+    /// A host has failed or restarted.
     HostFailed {
         /// The host.
         host: HostId,
-        /// Its newest incarnation that is gone.
+        /// The newest incarnation of the host that no longer runs.
         incarnation: Incarnation,
     },
     /// A snapshot was written.
     SnapshotSaved {
-        /// Its parts.
+        /// The parts of the snapshot.
         parts: Vec<BlobId>,
-        /// The last offset that it covers.
+        /// The last offset that the snapshot includes.
         upto: Offset,
     },
     /// A snapshot or the blobs of a job could not be written.
     BlobWriteFailed,
-    /// The blobs of a job were written again.
+    /// The blobs of a job were rewritten.
     BlobsRewritten {
         /// The job.
         job: JobId,
-        /// Old and new places.
+        /// The old and new location of each blob record.
         blobs: Vec<(BlobId, BlobId)>,
     },
 }
 
-/// What is to be done.
+/// An action that the caller of [`Owner::step`] executes.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Append this record to the shard's stream.
     Append(Record),
-    /// Answer a command.
+    /// Reply to a command.
     Reply {
-        /// What identifies the command.
+        /// The token of the command.
         token: Token,
-        /// The answer.
+        /// The reply or the error.
         res: Result<Reply, CommandError>,
     },
-    /// Write these bytes as a snapshot, then say [`Input::SnapshotSaved`].
+    /// Write these bytes as a snapshot, then pass [`Input::SnapshotSaved`] or
+    /// [`Input::BlobWriteFailed`].
     SaveSnapshot {
-        /// The state.
+        /// The encoded state.
         bytes: Vec<u8>,
-        /// The last offset that it covers.
+        /// The last offset that the snapshot includes.
         upto: Offset,
     },
-    /// Write these blobs again, then say [`Input::BlobsRewritten`].
+    /// Rewrite these blobs, then pass [`Input::BlobsRewritten`] or
+    /// [`Input::BlobWriteFailed`].
     RewriteBlobs {
-        /// The job that they belong to.
+        /// The job to which the blobs belong.
         job: JobId,
         /// The blobs.
         blobs: Vec<BlobId>,
     },
 }
 
+/// An entry that waits for the next append, and the command that it completes.
 #[derive(Debug)]
 struct Pending {
     token: Option<Token>,
-    since: Instant,
+    pending_since: Instant,
     entry: Entry,
 }
 
+/// The append whose record has not been read back yet.
 #[derive(Debug)]
 struct Outstanding {
     record: Record,
+    /// The commands that the entries complete, in the order of the entries.
     tokens: Vec<Option<Token>>,
-    first_sent: Instant,
+    first_sent_at: Instant,
     resend_at: Option<Instant>,
-    pause: Duration,
+    resend_delay: Duration,
 }
 
-/// What a host knows and decides about one shard.
+/// The state of a host for one shard, whether or not it holds the lease.
 ///
-/// Invariant: at most one append is outstanding, and only its record or a
-/// later one can be the next of this incarnation.
+/// Invariant: at most one append is outstanding, so the next record of this incarnation in the
+/// stream is that of the outstanding append or of a later one.
 #[derive(Debug)]
 pub struct Owner {
     cfg: Config,
     shard: Shard,
     queue: Queue,
-    preferred: bool,
-    pace: Duration,
-    caught_up: bool,
-    held: Option<Epoch>,
+    is_preferred: bool,
+    append_interval: Duration,
+    is_caught_up: bool,
+    held_epoch: Option<Epoch>,
     held_since: Instant,
-    valid_until: Instant,
-    heard_at: Instant,
-    last_sent: Option<Instant>,
+    lease_valid_until: Instant,
+    /// The time at which a record last changed or renewed the lease.
+    lease_renewed_at: Instant,
+    last_append_at: Option<Instant>,
     next_seq: u64,
     pending: Vec<Pending>,
     outstanding: Option<Outstanding>,
     records_since_snapshot: u64,
     snapshot_unix_ms: u64,
-    saving: bool,
+    is_writing_blobs: bool,
     effects: Vec<Effect>,
 }
 
 impl Owner {
-    /// Returns an owner that knows nothing of its shard yet.
+    /// Returns an owner with an empty state.
     pub fn new(cfg: Config, now: Now) -> Self {
         Self::resume(cfg, Shard::default(), now)
     }
 
-    /// Returns an owner that starts from a snapshot.
+    /// Returns an owner that starts from the state of a snapshot.
     pub fn resume(cfg: Config, shard: Shard, now: Now) -> Self {
         Self {
             cfg,
             shard,
             queue: Queue::default(),
-            preferred: false,
-            pace: Duration::ZERO,
-            caught_up: false,
-            held: None,
+            is_preferred: false,
+            append_interval: Duration::ZERO,
+            is_caught_up: false,
+            held_epoch: None,
             held_since: now.at,
-            valid_until: now.at,
-            heard_at: now.at,
-            last_sent: None,
+            lease_valid_until: now.at,
+            lease_renewed_at: now.at,
+            last_append_at: None,
             next_seq: 1,
             pending: Vec::new(),
             outstanding: None,
             records_since_snapshot: 0,
             snapshot_unix_ms: now.unix_ms,
-            saving: false,
+            is_writing_blobs: false,
             effects: Vec::new(),
         }
     }
@@ -268,101 +276,103 @@
 
     /// Returns the epoch under which this host holds the shard, if it does.
     pub fn held_epoch(&self) -> Option<Epoch> {
-        self.held
+        self.held_epoch
     }
 
-    /// Returns the servings that have items to hand out.
+    /// Returns the servings that have queued items.
     pub fn pending_servings(&self) -> Vec<String> {
-        if self.held.is_none() {
+        if self.held_epoch.is_none() {
             return Vec::new();
         }
         self.queue.servings()
     }
 
-    /// Returns how many items hosts run.
+    /// Returns the number of items assigned to hosts.
     pub fn running_count(&self) -> usize {
-        self.queue.out_len()
+        self.queue.assigned_count()
     }
 
-    /// Takes an input in and returns what is to be done.
+    /// Processes an input and returns the effects to execute.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Effect> {
         match input {
             Input::Tick => self.tick(now),
-            Input::RecordRead { offset, record } => self.tail(now, offset, &record),
-            Input::CaughtUp => self.caught_up = true,
-            Input::AppendUnconfirmed => self.append_lost(now),
-            Input::Command { token, command } => self.ask(now, token, command),
-            Input::Preferred(preferred) => self.preferred = preferred,
-            Input::AppendInterval(pace) => self.pace = pace,
+            Input::RecordRead { offset, record } => self.apply_record(now, offset, &record),
+            Input::CaughtUp => self.is_caught_up = true,
+            Input::AppendUnconfirmed => self.schedule_resend(now),
+            Input::Command { token, command } => self.execute(now, token, command),
+            Input::Preferred(is_preferred) => self.is_preferred = is_preferred,
+            Input::AppendInterval(append_interval) => self.append_interval = append_interval,
             Input::HostFailed { host, incarnation } => {
-                self.queue.host_gone(self.shard.jobs(), &host, incarnation);
+                self.queue
+                    .requeue_host(self.shard.jobs(), &host, incarnation);
             }
-            Input::SnapshotSaved { parts, upto } => self.saved(now, parts, upto),
-            Input::BlobWriteFailed => self.saving = false,
-            Input::BlobsRewritten { job, blobs } => self.carried(now, job, blobs),
+            Input::SnapshotSaved { parts, upto } => self.snapshot_saved(now, parts, upto),
+            Input::BlobWriteFailed => self.is_writing_blobs = false,
+            Input::BlobsRewritten { job, blobs } => self.blobs_rewritten(now, job, blobs),
         }
         std::mem::take(&mut self.effects)
     }
 
     fn tick(&mut self, now: Now) {
-        self.answer_overdue(now);
+        self.time_out_commands(now);
         self.resend(now);
-        if self.held.is_none() {
+        if self.held_epoch.is_none() {
             self.maybe_claim(now);
             return;
         }
         self.queue
-            .expire(self.shard.jobs(), self.cfg.item_timeout, now.at);
-        self.drop_expired(now);
-        self.maybe_save(now);
-        if !self.preferred {
+            .requeue_expired(self.shard.jobs(), self.cfg.item_timeout, now.at);
+        self.remove_expired(now);
+        self.maybe_save_snapshot(now);
+        if !self.is_preferred {
             self.maybe_release(now);
         }
         self.flush(now);
     }
 
-    fn tail(&mut self, now: Now, offset: Offset, record: &Record) {
+    fn apply_record(&mut self, now: Now, offset: Offset, record: &Record) {
         if offset < self.shard.next_offset() {
             return;
         }
-        let was_last = self.shard.lease().map(|l| l.last);
-        // A gap cannot happen here: the shell reads every offset, and starts
-        // from a snapshot where the log has dropped some.
+        let previous_last = self.shard.lease().map(|l| l.last);
+        // Gaps cannot occur: the caller reads every offset, or starts from a snapshot if
+        // older records have expired.
         let Ok(outcomes) = self.shard.apply(offset, record) else {
             debug_assert!(false, "The reader skipped records.");
             return;
         };
         self.records_since_snapshot += 1;
-        if self.shard.lease().map(|l| l.last) != was_last {
-            self.heard_at = now.at;
+        if self.shard.lease().map(|l| l.last) != previous_last {
+            self.lease_renewed_at = now.at;
         }
-        let mine = self
+        let is_own = self
             .outstanding
             .as_ref()
             .is_some_and(|o| o.record.id == record.id);
-        self.notice_lease(now, mine);
-        self.track(record, &outcomes);
-        if mine {
+        self.update_lease(now, is_own);
+        self.update_queue(record, &outcomes);
+        if is_own {
             self.confirm(outcomes);
         }
     }
 
-    /// Compares the lease folded with the one held so far.
-    fn notice_lease(&mut self, now: Now, confirmed: bool) {
-        let mine = self.shard.lease().filter(|lease| {
+    /// Updates the state of this host's lease; `is_confirmed` is whether the outstanding append
+    /// was just read back.
+    fn update_lease(&mut self, now: Now, is_confirmed: bool) {
+        let own_lease = self.shard.lease().filter(|lease| {
             lease.holder == self.cfg.host && lease.incarnation == self.cfg.incarnation
         });
-        let epoch = mine.map(|lease| lease.epoch);
+        let epoch = own_lease.map(|lease| lease.epoch);
         if epoch.is_some()
-            && confirmed
+            && is_confirmed
             && let Some(outstanding) = &self.outstanding
         {
-            self.valid_until = outstanding.first_sent + self.cfg.lease_duration;
+            self.lease_valid_until = outstanding.first_sent_at + self.cfg.lease_duration;
         }
-        if epoch == self.held {
+        if epoch == self.held_epoch {
             return;
         }
-        self.held = epoch;
+        self.held_epoch = epoch;
         self.held_since = now.at;
         if epoch.is_some() {
             self.queue = Queue::rebuild(self.shard.jobs());
@@ -370,7 +380,7 @@
             return;
         }
         self.queue = Queue::default();
-        self.saving = false;
-        self.refuse_all();
+        self.is_writing_blobs = false;
+        self.reject_pending();
     }
 }
--- a/crates/ledger/src/queue.rs
+++ b/crates/ledger/src/queue.rs
@@ -1,10 +1,10 @@
-//! Which pending item of a shard goes out next.
+//! Selects the pending items of a shard that are assigned to hosts next.
 //!
-//! This exists apart from the fold because nothing in it lasts: after a
-//! takeover it is built again from the fold, and a wrong guess here costs a
-//! second run, never a second result. Tenants share by stride scheduling. A
-//! single first-come queue was rejected, since one lot of 230,000 items would
-//! then hold every later one back.
+//! The queue is separate from the fold because its state is not persistent: after a takeover
+//! it is rebuilt from the fold, and a wrong assignment can run an item twice but never
+//! records two results. Tenants share capacity by stride scheduling. A single
+//! first-in-first-out queue was rejected because one file of 230,000 items would delay all
+//! later ones.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -21,41 +21,45 @@
 use crate::record::ItemIndex;
 use crate::record::JobId;
 
-/// Virtual time that an item costs a tenant of weight one.
+/// Virtual time charged per item to a tenant of weight one.
 const STRIDE: u64 = 1 << 20;
 
-/// Time a host has to confirm that it received an item.
+/// Time within which a host must confirm that it received an item.
 const UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(5);
 
 type ItemKey = (JobId, ItemIndex);
 
+/// An item that a host runs.
 #[derive(Debug)]
-struct Out {
+struct Assignment {
     host: HostId,
     incarnation: Incarnation,
-    since: Instant,
-    confirmed: bool,
+    assigned_at: Instant,
+    is_confirmed: bool,
 }
 
+/// The progress of assigning a job's items in order.
 #[derive(Debug)]
 struct Cursor {
     job: JobId,
-    next: ItemIndex,
+    next_item: ItemIndex,
 }
 
+/// The queue of one tenant for one serving.
 #[derive(Debug, Default)]
-struct Lane {
+struct TenantQueue {
+    /// Virtual time of stride scheduling; the tenant with the lowest one is next.
     pass: u64,
     weight: u32,
     cursors: VecDeque<Cursor>,
-    returned: VecDeque<ItemKey>,
+    requeued: VecDeque<ItemKey>,
 }
 
-/// Pending items by serving and tenant, and items that hosts run.
+/// Pending items by serving and tenant, and the items assigned to hosts.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    servings: HashMap<String, BTreeMap<String, Lane>>,
-    out: HashMap<ItemKey, Out>,
+    servings: HashMap<String, BTreeMap<String, TenantQueue>>,
+    assigned: HashMap<ItemKey, Assignment>,
 }
 
 impl Queue {
@@ -73,35 +77,36 @@
     }
 
     pub(crate) fn add(&mut self, job: &Job) {
-        let lane = self.lane(job);
-        let known = lane.cursors.iter().any(|c| c.job == job.spec.id);
-        if !known {
-            lane.cursors.push_back(Cursor {
+        let tenant_queue = self.tenant_queue(job);
+        let is_queued = tenant_queue.cursors.iter().any(|c| c.job == job.spec.id);
+        if !is_queued {
+            tenant_queue.cursors.push_back(Cursor {
                 job: job.spec.id.clone(),
-                next: 0,
+                next_item: 0,
             });
         }
     }
 
-    /// Returns the servings that have items to hand out.
+    /// Returns the servings that have queued items.
     pub(crate) fn servings(&self) -> Vec<String> {
-        let busy = |lanes: &BTreeMap<String, Lane>| {
-            lanes
+        let is_nonempty = |tenants: &BTreeMap<String, TenantQueue>| {
+            tenants
                 .values()
-                .any(|l| !l.cursors.is_empty() || !l.returned.is_empty())
+                .any(|q| !q.cursors.is_empty() || !q.requeued.is_empty())
         };
         self.servings
             .iter()
-            .filter(|(_, lanes)| busy(lanes))
+            .filter(|(_, tenants)| is_nonempty(tenants))
             .map(|(serving, _)| serving.clone())
             .collect()
     }
 
-    pub(crate) fn out_len(&self) -> usize {
-        self.out.len()
+    pub(crate) fn assigned_count(&self) -> usize {
+        self.assigned.len()
     }
 
-    pub(crate) fn take(
+    /// Assigns up to `max` items of a serving to a host.
+    pub(crate) fn assign(
         &mut self,
         jobs: &HashMap<JobId, Job>,
         serving: &str,
@@ -114,127 +119,143 @@
             let Some(work) = self.next(jobs, serving) else {
                 break;
             };
-            let out = Out {
+            let assignment = Assignment {
                 host: host.0.clone(),
                 incarnation: host.1,
-                since: now,
-                confirmed: false,
+                assigned_at: now,
+                is_confirmed: false,
             };
-            self.out.insert((work.job.clone(), work.item), out);
+            self.assigned
+                .insert((work.job.clone(), work.item), assignment);
             works.push(work);
         }
         works
     }
 
-    /// Notes that a host says it runs an item, so that it is not handed out.
+    /// Records that a host reported running an item, so that it is not assigned again.
     pub(crate) fn mark_running(
         &mut self,
         key: ItemKey,
         host: (&HostId, Incarnation),
         now: Instant,
     ) {
-        let out = self.out.entry(key).or_insert_with(|| Out {
+        let assignment = self.assigned.entry(key).or_insert_with(|| Assignment {
             host: host.0.clone(),
             incarnation: host.1,
-            since: now,
-            confirmed: true,
+            assigned_at: now,
+            is_confirmed: true,
         });
-        if out.host == *host.0 {
-            out.confirmed = true;
+        if assignment.host == *host.0 {
+            assignment.is_confirmed = true;
         }
     }
 
-    pub(crate) fn settle(&mut self, job: &str, item: ItemIndex) {
-        self.out.remove(&(job.to_owned(), item));
+    /// Ends the assignment of an item that has a final outcome.
+    pub(crate) fn finish(&mut self, job: &str, item: ItemIndex) {
+        self.assigned.remove(&(job.to_owned(), item));
     }
 
-    pub(crate) fn give_back(&mut self, jobs: &HashMap<JobId, Job>, key: ItemKey) {
-        self.out.remove(&key);
+    /// Ends the assignment of an item and queues it again if it is still to be run.
+    pub(crate) fn requeue(&mut self, jobs: &HashMap<JobId, Job>, key: ItemKey) {
+        self.assigned.remove(&key);
         let Some(job) = jobs.get(&key.0) else {
             return;
         };
-        if is_open(job, key.1) {
-            self.lane(job).returned.push_back(key);
+        if is_runnable(job, key.1) {
+            self.tenant_queue(job).requeued.push_back(key);
         }
     }
 
-    pub(crate) fn host_gone(
+    /// Requeues the items assigned to a host up to an incarnation.
+    pub(crate) fn requeue_host(
         &mut self,
         jobs: &HashMap<JobId, Job>,
         host: &str,
         incarnation: Incarnation,
     ) {
-        self.give_back_where(jobs, |out| {
-            out.host == host && out.incarnation <= incarnation
+        self.requeue_where(jobs, |assignment| {
+            assignment.host == host && assignment.incarnation <= incarnation
         });
     }
 
-    pub(crate) fn expire(&mut self, jobs: &HashMap<JobId, Job>, timeout: Duration, now: Instant) {
-        let limit = |out: &Out| {
-            if out.confirmed {
+    /// Requeues items that have been assigned for too long.
+    pub(crate) fn requeue_expired(
+        &mut self,
+        jobs: &HashMap<JobId, Job>,
+        timeout: Duration,
+        now: Instant,
+    ) {
+        let limit = |assignment: &Assignment| {
+            if assignment.is_confirmed {
                 timeout
             } else {
                 UNCONFIRMED_TIMEOUT
             }
         };
-        self.give_back_where(jobs, |out| now.duration_since(out.since) >= limit(out));
+        self.requeue_where(jobs, |assignment| {
+            now.duration_since(assignment.assigned_at) >= limit(assignment)
+        });
     }
 
-    fn give_back_where(&mut self, jobs: &HashMap<JobId, Job>, lost: impl Fn(&Out) -> bool) {
+    fn requeue_where(&mut self, jobs: &HashMap<JobId, Job>, is_lost: impl Fn(&Assignment) -> bool) {
         let keys: Vec<ItemKey> = self
-            .out
+            .assigned
             .iter()
-            .filter(|(_, out)| lost(out))
+            .filter(|(_, assignment)| is_lost(assignment))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
-            self.give_back(jobs, key);
+            self.requeue(jobs, key);
         }
     }
 
-    fn lane(&mut self, job: &Job) -> &mut Lane {
-        let lanes = self
+    fn tenant_queue(&mut self, job: &Job) -> &mut TenantQueue {
+        let tenants = self
             .servings
             .entry(job.spec.manifest.serving.clone())
             .or_default();
-        let floor = lanes.values().map(|l| l.pass).min().unwrap_or(0);
-        let lane = lanes.entry(job.spec.tenant.clone()).or_default();
-        if lane.cursors.is_empty() && lane.returned.is_empty() {
-            // A tenant that was idle must not catch up on the time it missed.
-            lane.pass = lane.pass.max(floor);
+        let min_pass = tenants.values().map(|q| q.pass).min().unwrap_or(0);
+        let tenant_queue = tenants.entry(job.spec.tenant.clone()).or_default();
+        if tenant_queue.cursors.is_empty() && tenant_queue.requeued.is_empty() {
+            // A tenant gains no credit for the time during which it was idle.
+            tenant_queue.pass = tenant_queue.pass.max(min_pass);
         }
-        lane.weight = job.spec.weight.max(1);
-        lane
+        tenant_queue.weight = job.spec.weight.max(1);
+        tenant_queue
     }
 
     fn next(&mut self, jobs: &HashMap<JobId, Job>, serving: &str) -> Option<Work> {
-        let lanes = self.servings.get_mut(serving)?;
+        let tenants = self.servings.get_mut(serving)?;
         loop {
-            let tenant = lanes
+            let tenant = tenants
                 .iter()
-                .min_by_key(|(_, lane)| lane.pass)
+                .min_by_key(|(_, tenant_queue)| tenant_queue.pass)
                 .map(|(tenant, _)| tenant.clone())?;
-            let lane = lanes.get_mut(&tenant)?;
-            if let Some(work) = lane.next(jobs, &self.out) {
-                lane.pass += STRIDE / u64::from(lane.weight);
+            let tenant_queue = tenants.get_mut(&tenant)?;
+            if let Some(work) = tenant_queue.next(jobs, &self.assigned) {
+                tenant_queue.pass += STRIDE / u64::from(tenant_queue.weight);
                 return Some(work);
             }
-            lanes.remove(&tenant);
+            tenants.remove(&tenant);
         }
     }
 }
 
-impl Lane {
-    fn next(&mut self, jobs: &HashMap<JobId, Job>, out: &HashMap<ItemKey, Out>) -> Option<Work> {
-        while let Some((id, item)) = self.returned.pop_front() {
-            let job = jobs.get(&id).filter(|job| is_open(job, item));
-            if let Some(work) = job.and_then(|job| work(job, item)) {
+impl TenantQueue {
+    fn next(
+        &mut self,
+        jobs: &HashMap<JobId, Job>,
+        assigned: &HashMap<ItemKey, Assignment>,
+    ) -> Option<Work> {
+        while let Some((id, item)) = self.requeued.pop_front() {
+            let job = jobs.get(&id).filter(|job| is_runnable(job, item));
+            if let Some(work) = job.and_then(|job| work_of(job, item)) {
                 return Some(work);
             }
         }
         while let Some(cursor) = self.cursors.front_mut() {
             let job = jobs.get(&cursor.job);
-            if let Some(work) = job.and_then(|job| cursor.advance(job, out)) {
+            if let Some(work) = job.and_then(|job| cursor.advance(job, assigned)) {
                 return Some(work);
             }
             self.cursors.pop_front();
@@ -244,25 +265,26 @@
 }
 
 impl Cursor {
-    fn advance(&mut self, job: &Job, out: &HashMap<ItemKey, Out>) -> Option<Work> {
-        while self.next < job.counts.total {
-            let item = self.next;
-            self.next += 1;
-            let running = out.contains_key(&(self.job.clone(), item));
-            if !running && is_open(job, item) {
-                return work(job, item);
+    /// Returns the next item that is neither assigned nor finished.
+    fn advance(&mut self, job: &Job, assigned: &HashMap<ItemKey, Assignment>) -> Option<Work> {
+        while self.next_item < job.counts.total {
+            let item = self.next_item;
+            self.next_item += 1;
+            let is_assigned = assigned.contains_key(&(self.job.clone(), item));
+            if !is_assigned && is_runnable(job, item) {
+                return work_of(job, item);
             }
         }
         None
     }
 }
 
-fn is_open(job: &Job, item: ItemIndex) -> bool {
-    let pending = |i: &crate::job::Item| i.phase == Phase::Pending;
-    job.state() == State::InProgress && job.items.get(item as usize).is_some_and(pending)
+fn is_runnable(job: &Job, item: ItemIndex) -> bool {
+    let is_pending = |i: &crate::job::Item| i.phase == Phase::Pending;
+    job.state() == State::InProgress && job.items.get(item as usize).is_some_and(is_pending)
 }
 
-fn work(job: &Job, item: ItemIndex) -> Option<Work> {
+fn work_of(job: &Job, item: ItemIndex) -> Option<Work> {
     let place = job.spec.manifest.place(item)?;
     let attempts = job.items.get(item as usize)?.attempts;
     Some(Work {
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,7 +1,7 @@
-//! Records as they stand in the log, and their codec.
+//! Records as stored in the log, and their codec.
 //!
-//! A record is one append. Its offset is known only once the log has taken it,
-//! so nothing in a record speaks of its own offset.
+//! A record is one append. Its offset is known only once the log has accepted it, so a
+//! record never contains its own offset.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,50 +15,50 @@
 pub type HostId = String;
 /// The name of a target.
 pub type TargetId = String;
-/// A number that grows with each start of a process.
+/// A number that increases with each start of a process.
 pub type Incarnation = u64;
 /// A position in a stream.
 pub type Offset = u64;
-/// The offset of the claim that began a lease, which is its fencing number.
+/// The offset of the claim that started a lease, which is the lease's fencing token.
 pub type Epoch = Offset;
 /// The number of a shard.
 pub type ShardId = u32;
 /// The name of a job.
 pub type JobId = String;
-/// The name of an uploaded lot.
+/// The name of an uploaded input file.
 pub type FileId = String;
-/// A tenant's idempotency key, with the tenant's name in front.
+/// A tenant's idempotency key, prefixed with the tenant's name.
 pub type KeyId = String;
-/// The position of an item in its lot.
+/// The position of an item in its input file.
 pub type ItemIndex = u32;
 
-/// What makes an append idempotent: no two records share it.
+/// The unique identifier of a record, which makes its append idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecordId {
     /// The host that wrote the record.
     pub host: HostId,
     /// The host's incarnation.
     pub incarnation: Incarnation,
-    /// A number that grows with each record of this incarnation and stream.
+    /// A number that increases with each record of this incarnation and stream.
     pub seq: u64,
 }
 
-/// One append to a stream of the system's own.
+/// One append to the stream of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// What makes the append idempotent.
+    /// The unique identifier, which makes the append idempotent.
     pub id: RecordId,
-    /// The lease under which it was written; none for claims.
+    /// The epoch of the lease under which the record was written; `None` for claims.
     pub epoch: Option<Epoch>,
-    /// The offset of the newest snapshot that the writer knew of.
+    /// The offset of the newest snapshot known to the writer.
     pub snapshot: Option<Offset>,
-    /// What it says, in order.
+    /// The entries, in the order in which they are applied.
     pub entries: Vec<Entry>,
 }
 
 impl Record {
-    /// Returns a record that says nothing, in whose stead a reader folds one
-    /// that it cannot decode.
+    /// Returns a record without entries, which readers apply in place of one that cannot be
+    /// decoded.
     pub fn empty() -> Self {
         Self {
             id: RecordId {
@@ -73,136 +73,136 @@
     }
 }
 
-/// The place of a payload or result in the blob streams.
+/// The location of a payload or result in the blob streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Place {
     /// The offset of the blob record.
     pub offset: Offset,
     /// The number of the blob stream.
     pub stream: u16,
-    /// The position within the blob record.
+    /// The index of the part within the blob record.
     pub index: u16,
 }
 
-/// One statement in a record.
+/// One operation in a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// The writer wants the lease.
+    /// The writer requests the lease.
     Claim {
-        /// The epoch that the claim would end, if the shard is held.
+        /// The epoch of the lease that the claim would end; `None` if there is none.
         supersedes: Option<Epoch>,
-        /// The newest record of the holder that the writer had seen.
+        /// The offset of the holder's newest record that the writer had read.
         seen: Offset,
     },
-    /// The holder gives the lease back.
+    /// The holder releases the lease.
     Release,
-    /// The holder is alive.
+    /// The holder renews the lease.
     Renew,
-    /// A lot was uploaded whole.
+    /// An input file was uploaded completely.
     File(File),
     /// A job was accepted.
     Job(Spec),
-    /// An item ran to its end.
+    /// An item was completed.
     Done {
         /// The job.
         job: JobId,
         /// The item.
         item: ItemIndex,
-        /// Where the result stands.
+        /// The location of the result.
         place: Place,
     },
-    /// An item's target failed while the item ran on it.
+    /// A target failed while it was running an item.
     Attempt {
         /// The job.
         job: JobId,
         /// The item.
         item: ItemIndex,
-        /// The number of attempts that failed before this one, so that a
-        /// report made twice counts once.
+        /// The number of earlier failed attempts, so that a duplicate report counts only
+        /// once.
         before: u8,
     },
-    /// An item can never be done.
+    /// An item failed permanently.
     Failed {
         /// The job.
         job: JobId,
         /// The item.
         item: ItemIndex,
-        /// Why.
+        /// The reason.
         failure: Failure,
     },
-    /// A caller cancelled a job.
+    /// The caller cancelled a job.
     Cancel {
         /// The job.
         job: JobId,
     },
-    /// A call that must not be repeated is about to be sent.
+    /// A call with an idempotency key is about to be sent.
     KeyStart {
         /// The key.
         key: KeyId,
         /// The digest of the call's method, path and body.
         digest: String,
-        /// When, in milliseconds since the Unix epoch.
+        /// The start time, in milliseconds since the Unix epoch.
         at_unix_ms: u64,
     },
-    /// A call that must not be repeated was answered.
+    /// A call with an idempotency key was answered.
     KeyEnd {
         /// The key.
         key: KeyId,
-        /// Where the answer stands.
+        /// The location of the response.
         place: Place,
     },
-    /// A call that must not be repeated was never sent.
+    /// A call with an idempotency key was never sent.
     KeyUnsent {
         /// The key.
         key: KeyId,
     },
-    /// A lot, job or key is no longer kept.
+    /// An input file, job or key is removed.
     Drop(Dropped),
-    /// Blobs were written again before the log dropped them.
+    /// Blobs of a job were rewritten before they expired from the log.
     Moved {
-        /// The job whose blobs moved.
+        /// The job.
         job: JobId,
-        /// Old and new places of whole blob records.
+        /// The old and new location of each blob record.
         blobs: Vec<(BlobId, BlobId)>,
-        /// When, in milliseconds since the Unix epoch.
+        /// The time of the rewrite, in milliseconds since the Unix epoch.
         at_unix_ms: u64,
     },
-    /// The state up to an offset stands in blobs.
+    /// A snapshot of the state was written to blobs.
     Snapshot {
         /// The parts, in order.
         parts: Vec<BlobId>,
-        /// The last offset that it covers.
+        /// The last offset that the snapshot includes.
         upto: Offset,
     },
 }
 
-/// The place of a whole blob record.
+/// The location of a blob record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BlobId {
     /// The number of the blob stream.
     pub stream: u16,
-    /// The offset in it.
+    /// The offset of the blob record.
     pub offset: Offset,
 }
 
-/// What is no longer kept.
+/// An object that is removed from the state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Dropped {
-    /// A lot.
+    /// An input file.
     File(FileId),
-    /// An ended job with its results.
+    /// A finished job with its results.
     Job(JobId),
-    /// A key.
+    /// An idempotency key.
     Key(KeyId),
 }
 
-/// A blob record: payloads or results that belong to many items.
+/// A blob record: payloads or results of many items.
 ///
-/// Blobs need no lease: any host appends them, and only a reference in a shard
-/// makes one count. One that nothing refers to expires with the log.
+/// Writing blobs requires no lease: any host appends them, and a blob has an effect only
+/// once an entry of a shard refers to it. An unreferenced blob expires with the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Blob {
-    /// What the parts contain, one after the other.
+    /// The contents of the parts, in order.
     pub parts: Vec<Vec<u8>>,
 }
 
@@ -210,16 +210,16 @@
 ///
 /// # Panics
 ///
-/// Never: the types hold nothing that the codec cannot represent.
+/// Never: the codec can represent every value of these types.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_stdvec(value).expect("Records are always representable.")
+    postcard::to_stdvec(value).expect("Records can always be encoded.")
 }
 
 /// Decodes a record or blob.
 ///
 /// # Errors
 ///
-/// Returns [`FoldError::Undecodable`] if the bytes are not of that type.
+/// Returns [`FoldError::Undecodable`] if the bytes are not a valid encoding of the type.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, FoldError> {
     postcard::from_bytes(bytes).map_err(|_| FoldError::Undecodable)
 }
--- a/crates/ledger/src/shard.rs
+++ b/crates/ledger/src/shard.rs
@@ -1,7 +1,8 @@
-//! The fold over one shard's stream: lease, lots, jobs, items and keys.
+//! Fold over the stream of one shard: its lease, input files, jobs, items and idempotency
+//! keys.
 //!
-//! Use [`Shard::apply`] on every record in offset order. Hosts that fold the
-//! same records hold the same state, whatever they believed before.
+//! Call [`Shard::apply`] with every record in order of offset. Hosts that apply the same
+//! records reach the same state.
 //!
 //! ```
 //! use notchwharf_ledger::record::{Entry, Record, RecordId};
@@ -14,8 +15,8 @@
 //! assert_eq!(shard.lease().unwrap().epoch, 4);
 //! ```
 //!
-//! Time does not enter: a lease ends only by a record. Who may write that
-//! record, and when, is for [`crate::owner`] to decide.
+//! The fold does not depend on time: a lease ends only by a record. [`crate::owner`] decides
+//! when a host may write that record.
 
 use std::collections::HashMap;
 
@@ -39,14 +40,14 @@
 use crate::record::Place;
 use crate::record::Record;
 
-/// The lease in force on a shard.
+/// The current lease on a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// The host that holds it.
     pub holder: HostId,
     /// That host's incarnation.
     pub incarnation: Incarnation,
-    /// The offset of its claim.
+    /// The offset of the claim.
     pub epoch: Epoch,
     /// The offset of the holder's newest record.
     pub last: Offset,
@@ -54,20 +55,20 @@
     pub last_seq: u64,
 }
 
-/// A call that must not be repeated.
+/// The state of a call with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Key {
     /// The digest of the call.
     pub digest: String,
-    /// When it started, in milliseconds since the Unix epoch.
+    /// The start time, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// The epoch under which it started.
+    /// The epoch of the lease under which the call started.
     pub epoch: Epoch,
-    /// Where its answer stands, once it has one.
+    /// The location of the response; `None` until one is recorded.
     pub end: Option<Place>,
 }
 
-/// What became of one entry.
+/// The outcome of one entry.
 pub type Outcome = Result<(), Ignored>;
 
 /// The state of one shard.
@@ -82,12 +83,12 @@
 }
 
 impl Shard {
-    /// Returns the lease in force.
+    /// Returns the current lease.
     pub fn lease(&self) -> Option<&Lease> {
         self.lease.as_ref()
     }
 
-    /// Returns the offset that follows the newest record folded.
+    /// Returns the offset that follows the newest applied record.
     pub fn next_offset(&self) -> Offset {
         self.next
     }
@@ -97,7 +98,7 @@
         self.snapshot
     }
 
-    /// Returns the lots.
+    /// Returns the input files.
     pub fn files(&self) -> &HashMap<FileId, File> {
         &self.files
     }
@@ -112,10 +113,10 @@
         &self.keys
     }
 
-    /// Folds a record in and returns what became of each entry.
+    /// Applies a record and returns the outcome of each entry.
     ///
-    /// A record of an epoch that is over gives [`Ignored::Fenced`] for every
-    /// entry. A record at an offset already folded gives an empty list.
+    /// A record of an epoch that has ended returns [`Ignored::Fenced`] for every entry. A
+    /// record at an offset that was already applied returns an empty list.
     ///
     /// # Errors
     ///
@@ -124,8 +125,8 @@
         if offset < self.next {
             return Ok(Vec::new());
         }
-        // An empty shard may start anywhere: older records have expired only
-        // after an owner wrote a snapshot, which the reader loads first.
+        // An empty shard may start at any offset: older records expire only after an owner
+        // has written a snapshot, which the reader loads first.
         if self.next != 0 && offset != self.next {
             return Err(FoldError::Gap {
                 expected: self.next,
@@ -136,26 +137,26 @@
         Ok(self.apply_entries(offset, record))
     }
 
-    /// Returns the state as bytes, for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         crate::record::encode(self)
     }
 
-    /// Returns the state that bytes from [`Shard::encode`] hold.
+    /// Decodes a state from the output of [`Shard::encode`].
     ///
     /// # Errors
     ///
-    /// Returns [`FoldError::Undecodable`] if the bytes hold no such state.
+    /// Returns [`FoldError::Undecodable`] if the bytes are not an encoded state.
     pub fn decode(bytes: &[u8]) -> Result<Self, FoldError> {
         crate::record::decode(bytes)
     }
 
     fn apply_entries(&mut self, offset: Offset, record: &Record) -> Vec<Outcome> {
         if let Some(Entry::Claim { supersedes, seen }) = record.entries.first() {
-            let res = self.claim(offset, record, *supersedes, *seen);
-            return vec![res];
+            let outcome = self.claim(offset, record, *supersedes, *seen);
+            return vec![outcome];
         }
-        if let Err(ignored) = self.fence(offset, record) {
+        if let Err(ignored) = self.renew(offset, record) {
             return vec![Err(ignored); record.entries.len()];
         }
         record
@@ -195,7 +196,8 @@
         Ok(())
     }
 
-    fn fence(&mut self, offset: Offset, record: &Record) -> Outcome {
+    /// Checks that a record was written under the current lease, and renews the lease.
+    fn renew(&mut self, offset: Offset, record: &Record) -> Outcome {
         let lease = self.lease.as_mut().ok_or(Ignored::Fenced)?;
         if record.epoch != Some(lease.epoch) {
             return Err(Ignored::Fenced);
@@ -235,8 +237,8 @@
                 at_unix_ms,
             } => self.start_key(key, digest, *at_unix_ms),
             Entry::KeyEnd { key, place } => self.end_key(key, *place),
-            Entry::KeyUnsent { key } => self.drop_unsent(key),
-            Entry::Drop(dropped) => self.drop_kept(dropped),
+            Entry::KeyUnsent { key } => self.remove_unsent_key(key),
+            Entry::Drop(dropped) => self.remove_dropped(dropped),
             Entry::Moved {
                 job,
                 blobs,
@@ -277,13 +279,13 @@
             return Err(Ignored::Started);
         }
         let epoch = self.lease.as_ref().map_or(0, |l| l.epoch);
-        let state = Key {
+        let started = Key {
             digest: digest.into(),
             at_unix_ms,
             epoch,
             end: None,
         };
-        self.keys.insert(key.into(), state);
+        self.keys.insert(key.into(), started);
         Ok(())
     }
 
@@ -296,7 +298,7 @@
         Ok(())
     }
 
-    fn drop_unsent(&mut self, key: &str) -> Outcome {
+    fn remove_unsent_key(&mut self, key: &str) -> Outcome {
         let known = self.keys.get(key).ok_or(Ignored::Unknown)?;
         if known.end.is_some() {
             return Err(Ignored::Settled);
@@ -305,12 +307,12 @@
         Ok(())
     }
 
-    fn drop_kept(&mut self, dropped: &Dropped) -> Outcome {
-        let found = match dropped {
+    fn remove_dropped(&mut self, dropped: &Dropped) -> Outcome {
+        let was_present = match dropped {
             Dropped::File(id) => self.files.remove(id).is_some(),
             Dropped::Job(id) => self.jobs.remove(id).is_some(),
             Dropped::Key(id) => self.keys.remove(id).is_some(),
         };
-        found.then_some(()).ok_or(Ignored::Unknown)
+        was_present.then_some(()).ok_or(Ignored::Unknown)
     }
 }
--- a/crates/ledger/tests/fold.rs
+++ b/crates/ledger/tests/fold.rs
@@ -1,8 +1,10 @@
-//! The rules of the fold, one by one and under arbitrary records.
+//! Tests the rules of the folds individually and with arbitrary records.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod cluster;
 
+use cluster::place;
+use cluster::spec;
 use notchwharf_ledger::error::FoldError;
 use notchwharf_ledger::error::Ignored;
 use notchwharf_ledger::fleet;
@@ -16,8 +18,6 @@
 use notchwharf_ledger::shard::Shard;
 use proptest::prelude::*;
 use rstest::rstest;
-use world::place;
-use world::spec;
 
 fn id(host: &str, seq: u64) -> RecordId {
     RecordId {
@@ -48,8 +48,8 @@
     }
 }
 
-/// A shard held by host `a` under epoch 1, with a job of two items.
-fn held() -> Shard {
+/// Returns a shard held by host `a` under epoch 1, with a job of two items.
+fn held_shard() -> Shard {
     let mut shard = Shard::default();
     shard.apply(1, &claim("a", 1, None, 0)).unwrap();
     let job = vec![Entry::Job(spec("job", 2))];
@@ -58,26 +58,29 @@
 }
 
 #[rstest]
-#[case::second_copy(record("a", 2, 1, vec![Entry::Renew]), Err(Ignored::Copy))]
+#[case::duplicate(record("a", 2, 1, vec![Entry::Renew]), Err(Ignored::Copy))]
 #[case::older_epoch(record("a", 3, 0, vec![Entry::Renew]), Err(Ignored::Fenced))]
-#[case::own_claim_again(claim("a", 1, None, 0), Err(Ignored::Copy))]
-#[case::claim_on_held(claim("b", 1, None, 0), Err(Ignored::StaleClaim))]
-#[case::claim_on_other_epoch(claim("b", 1, Some(0), 9), Err(Ignored::StaleClaim))]
-#[case::claim_too_early(claim("b", 1, Some(1), 1), Err(Ignored::HolderAlive))]
-#[case::claim_in_time(claim("b", 1, Some(1), 2), Ok(()))]
+#[case::duplicate_claim(claim("a", 1, None, 0), Err(Ignored::Copy))]
+#[case::claim_without_superseding_the_lease(claim("b", 1, None, 0), Err(Ignored::StaleClaim))]
+#[case::claim_superseding_another_epoch(claim("b", 1, Some(0), 9), Err(Ignored::StaleClaim))]
+#[case::claim_before_reading_the_newest_record(
+    claim("b", 1, Some(1), 1),
+    Err(Ignored::HolderAlive)
+)]
+#[case::claim_after_reading_the_newest_record(claim("b", 1, Some(1), 2), Ok(()))]
 #[case::unknown_job(record("a", 3, 1, vec![done("none", 0, 1)]), Err(Ignored::Unknown))]
 #[case::unknown_item(record("a", 3, 1, vec![done("job", 2, 1)]), Err(Ignored::Unknown))]
 #[case::done(record("a", 3, 1, vec![done("job", 1, 1)]), Ok(()))]
-fn a_record_counts_or_is_ignored_for_a_reason(
+fn a_record_is_applied_or_ignored_with_a_reason(
     #[case] record: Record,
     #[case] expected: Result<(), Ignored>,
 ) {
-    assert_eq!(held().apply(3, &record), Ok(vec![expected]));
+    assert_eq!(held_shard().apply(3, &record), Ok(vec![expected]));
 }
 
 #[rstest]
-fn nothing_of_a_cancelled_job_counts() {
-    let mut shard = held();
+fn entries_of_a_cancelled_job_are_ignored() {
+    let mut shard = held_shard();
     let cancel = Entry::Cancel { job: "job".into() };
     let outcomes = shard.apply(3, &record("a", 3, 1, vec![cancel, done("job", 0, 5)]));
     assert_eq!(outcomes, Ok(vec![Ok(()), Err(Ignored::Cancelled)]));
@@ -87,8 +90,8 @@
 #[rstest]
 #[case::same_call("d", Ignored::Started)]
 #[case::other_call("e", Ignored::OtherBody)]
-fn a_key_starts_once(#[case] digest: &str, #[case] expected: Ignored) {
-    let mut shard = held();
+fn a_call_with_a_key_starts_once(#[case] digest: &str, #[case] expected: Ignored) {
+    let mut shard = held_shard();
     let start = |digest: &str| Entry::KeyStart {
         key: "k".into(),
         digest: digest.into(),
@@ -99,8 +102,8 @@
 }
 
 #[rstest]
-fn the_first_final_answer_of_an_item_stands() {
-    let mut shard = held();
+fn the_first_final_outcome_of_an_item_is_kept() {
+    let mut shard = held_shard();
     let failed = Entry::Failed {
         job: "job".into(),
         item: 0,
@@ -116,29 +119,29 @@
 }
 
 #[rstest]
-fn a_missing_record_is_noticed() {
+fn a_missing_record_is_detected() {
     let expected = Err(FoldError::Gap {
         expected: 3,
         found: 5,
     });
     assert_eq!(
-        held().apply(5, &record("a", 3, 1, vec![Entry::Renew])),
+        held_shard().apply(5, &record("a", 3, 1, vec![Entry::Renew])),
         expected
     );
 }
 
 #[rstest]
-fn a_record_folded_twice_changes_nothing() {
-    let mut shard = held();
+fn a_record_at_an_offset_already_applied_has_no_effect() {
+    let mut shard = held_shard();
     let before = shard.clone();
-    let again = record("a", 2, 1, vec![Entry::Cancel { job: "job".into() }]);
-    assert_eq!(shard.apply(2, &again), Ok(Vec::new()));
+    let repeated = record("a", 2, 1, vec![Entry::Cancel { job: "job".into() }]);
+    assert_eq!(shard.apply(2, &repeated), Ok(Vec::new()));
     assert_eq!(shard, before);
 }
 
 #[rstest]
-fn a_target_held_by_a_live_host_is_not_taken() {
-    let say = |host: &str, seq, entries| fleet::Record {
+fn a_target_held_by_a_live_host_cannot_be_claimed() {
+    let fleet_record = |host: &str, seq, entries| fleet::Record {
         id: id(host, seq),
         entries,
     };
@@ -149,29 +152,32 @@
         }]
     };
     let mut fleet = Fleet::default();
-    assert_eq!(fleet.apply(1, &say("a", 1, claim(None))), [Ok(())]);
-    let (seen, over) = fleet.observed_lease("t");
-    assert!(!over);
-    fleet.apply(2, &say("a", 2, Vec::new()));
-    let early = fleet.apply(3, &say("b", 1, claim(seen)));
-    assert_eq!(early, [Err(Ignored::HolderAlive)]);
-    let (seen, _) = fleet.observed_lease("t");
-    assert_eq!(fleet.apply(4, &say("b", 2, claim(seen))), [Ok(())]);
+    assert_eq!(fleet.apply(1, &fleet_record("a", 1, claim(None))), [Ok(())]);
+    let (observed, is_over) = fleet.observed_lease("t");
+    assert!(!is_over);
+    fleet.apply(2, &fleet_record("a", 2, Vec::new()));
+    let early_outcomes = fleet.apply(3, &fleet_record("b", 1, claim(observed)));
+    assert_eq!(early_outcomes, [Err(Ignored::HolderAlive)]);
+    let (observed, _) = fleet.observed_lease("t");
+    assert_eq!(
+        fleet.apply(4, &fleet_record("b", 2, claim(observed))),
+        [Ok(())]
+    );
     assert_eq!(fleet.lease("t").unwrap().epoch, 4);
     let stale = fleet::Entry::Keep {
         target: "t".into(),
         epoch: 1,
     };
-    fleet.apply(5, &say("a", 3, vec![stale]));
+    fleet.apply(5, &fleet_record("a", 3, vec![stale]));
     assert_eq!(
         fleet.lease("t").unwrap().epoch,
         4,
-        "An old holder does not return."
+        "An older epoch does not replace the current lease."
     );
 }
 
 #[rstest]
-fn a_restarted_host_has_lost_its_targets() {
+fn targets_of_a_restarted_host_can_be_claimed_immediately() {
     let mut fleet = Fleet::default();
     let claim = fleet::Entry::Claim {
         target: "t".into(),
@@ -182,11 +188,20 @@
         entries: vec![claim],
     };
     fleet.apply(1, &first);
-    let mut next = id("a", 1);
-    next.incarnation = 2;
+    let mut restarted = id("a", 1);
+    restarted.incarnation = 2;
     let entries = Vec::new();
-    fleet.apply(2, &fleet::Record { id: next, entries });
-    assert!(fleet.observed_lease("t").1, "Nobody need wait for it.");
+    fleet.apply(
+        2,
+        &fleet::Record {
+            id: restarted,
+            entries,
+        },
+    );
+    assert!(
+        fleet.observed_lease("t").1,
+        "The session of the previous incarnation is over."
+    );
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
@@ -230,39 +245,39 @@
 }
 
 proptest! {
-    /// A reader that starts from a snapshot agrees with one that read all.
+    /// A reader that starts from a snapshot reaches the same state as one that read all records.
     #[test]
-    fn a_snapshot_and_the_tail_give_what_all_records_give(
+    fn a_snapshot_and_later_records_give_the_same_state_as_all_records(
         records in proptest::collection::vec(any_record(), 1..60),
-        cut in 0..60_usize,
+        snapshot_index in 0..60_usize,
     ) {
-        let mut whole = Shard::default();
+        let mut complete = Shard::default();
         let mut resumed = Shard::default();
         for (i, record) in records.iter().enumerate() {
             let offset = i as u64 + 1;
-            if i == cut {
+            if i == snapshot_index {
                 resumed = Shard::decode(&resumed.encode()).unwrap();
             }
-            let a = whole.apply(offset, record);
-            let b = resumed.apply(offset, record);
-            prop_assert_eq!(a, b);
+            let complete_outcomes = complete.apply(offset, record);
+            let resumed_outcomes = resumed.apply(offset, record);
+            prop_assert_eq!(complete_outcomes, resumed_outcomes);
         }
-        prop_assert_eq!(whole, resumed);
+        prop_assert_eq!(complete, resumed);
     }
 
-    /// Counts are what counting would give, and a settled item never changes.
+    /// The count of completed items is correct, and an item with a final outcome never changes.
     #[test]
-    fn settled_items_never_change(records in proptest::collection::vec(any_record(), 1..80)) {
+    fn finished_items_never_change(records in proptest::collection::vec(any_record(), 1..80)) {
         let mut shard = Shard::default();
-        let mut settled = std::collections::HashMap::new();
+        let mut finished = std::collections::HashMap::new();
         for (i, record) in records.iter().enumerate() {
             shard.apply(i as u64 + 1, record).unwrap();
             for (id, job) in shard.jobs() {
                 let done = job.items.iter().filter(|i| i.phase == notchwharf_ledger::job::Phase::Done);
                 prop_assert_eq!(done.count(), job.counts.done as usize);
-                for (n, item) in job.items.iter().enumerate() {
+                for (index, item) in job.items.iter().enumerate() {
                     if item.phase != notchwharf_ledger::job::Phase::Pending {
-                        let first = settled.entry((id.clone(), n)).or_insert(*item);
+                        let first = finished.entry((id.clone(), index)).or_insert(*item);
                         prop_assert_eq!(*first, *item);
                     }
                 }
@@ -270,10 +285,11 @@
         }
     }
 
-    /// Records survive their codec, and arbitrary bytes do no harm.
+    /// Encoding and decoding a record returns the same record, and decoding arbitrary bytes does
+    /// not panic.
     #[test]
-    fn records_survive_their_codec(record in any_record(), junk in proptest::collection::vec(any::<u8>(), 0..64)) {
+    fn records_round_trip_through_the_codec(record in any_record(), arbitrary_bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
         prop_assert_eq!(decode::<Record>(&encode(&record)), Ok(record));
-        let _ = decode::<Record>(&junk);
+        let _ = decode::<Record>(&arbitrary_bytes);
     }
 }
--- a/crates/ledger/tests/jobs.rs
+++ b/crates/ledger/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The fold of the job records.
+//! Tests the fold over job records.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use notchwharf_ledger::jobs::Accepted;
@@ -15,7 +15,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const MAX: u64 = 100;
+const WAITING_TOKENS_MAX: u64 = 100;
 
 fn accepted(job: u8, attempt: u64, items: u32, tokens: u32) -> Record {
     let items = (0..items).map(|number| ItemSpec {
@@ -27,15 +27,15 @@
         attempt,
         host: "a1".into(),
         route: "r".into(),
-        tokens_max: Some(MAX),
+        tokens_max: Some(WAITING_TOKENS_MAX),
         submitted_unix_ms: 0,
         items: items.collect(),
         payload: vec![],
     })
 }
 
-fn listed(job: u8, item: u32, done: bool) -> Record {
-    let outcome = match done {
+fn listed(job: u8, item: u32, is_completed: bool) -> Record {
+    let outcome = match is_completed {
         true => Outcome::Completed(vec![]),
         false => Outcome::Failed(Reason::Impossible),
     };
@@ -61,23 +61,23 @@
 }
 
 #[rstest]
-#[case::second_copy(vec![accepted(1, 1, 1, 9), accepted(1, 1, 1, 9)], Applied::Accepted)]
-#[case::another_try(vec![accepted(1, 1, 1, 9), accepted(1, 2, 1, 9)], Applied::Duplicate)]
-#[case::full(vec![accepted(1, 1, 1, 60), accepted(2, 2, 1, 41)], Applied::OverQuota { waiting: 60 })]
-#[case::fits_to_the_token(vec![accepted(1, 1, 1, 60), accepted(2, 2, 1, 40)], Applied::Accepted)]
-#[case::room_after_an_item(
+#[case::duplicate_record(vec![accepted(1, 1, 1, 9), accepted(1, 1, 1, 9)], Applied::Accepted)]
+#[case::another_attempt(vec![accepted(1, 1, 1, 9), accepted(1, 2, 1, 9)], Applied::Duplicate)]
+#[case::over_the_limit(vec![accepted(1, 1, 1, 60), accepted(2, 2, 1, 41)], Applied::OverQuota { waiting: 60 })]
+#[case::exactly_at_the_limit(vec![accepted(1, 1, 1, 60), accepted(2, 2, 1, 40)], Applied::Accepted)]
+#[case::capacity_after_an_item_is_listed(
     vec![accepted(1, 1, 2, 30), listed(1, 0, true), accepted(2, 2, 1, 70)],
     Applied::Accepted
 )]
-#[case::room_after_an_end(
+#[case::capacity_after_a_job_is_ended(
     vec![accepted(1, 1, 2, 30), ended(1), accepted(2, 2, 1, 100)],
     Applied::Accepted
 )]
-#[case::late_copy_of_a_refused_try(
+#[case::late_duplicate_of_a_refused_attempt(
     vec![accepted(1, 1, 1, 60), accepted(2, 2, 1, 60), ended(1), accepted(2, 2, 1, 60)],
     Applied::OverQuota { waiting: 0 }
 )]
-#[case::new_try_of_a_refused_job(
+#[case::new_attempt_of_a_refused_job(
     vec![accepted(1, 1, 1, 60), accepted(2, 2, 1, 60), ended(1), accepted(2, 3, 1, 60)],
     Applied::Accepted
 )]
@@ -91,13 +91,16 @@
     vec![accepted(1, 1, 1, 9), ended(1), ended(1)],
     Applied::Ignored(Ignored::AlreadyEnded)
 )]
-#[case::taken(vec![accepted(1, 1, 1, 9), taken(1, 0)], Applied::Taken)]
-#[case::taken_by_another_first(
+#[case::taken_over(vec![accepted(1, 1, 1, 9), taken(1, 0)], Applied::Taken)]
+#[case::already_taken_over_by_another_host(
     vec![accepted(1, 1, 1, 9), taken(1, 0), taken(1, 0)],
     Applied::Ignored(Ignored::StaleEpoch)
 )]
-#[case::taken_again(vec![accepted(1, 1, 1, 9), taken(1, 0), taken(1, 1)], Applied::Taken)]
-fn the_last_record_does(#[case] records: Vec<Record>, #[case] expected: Applied) {
+#[case::taken_over_again(vec![accepted(1, 1, 1, 9), taken(1, 0), taken(1, 1)], Applied::Taken)]
+fn the_last_record_has_the_expected_effect(
+    #[case] records: Vec<Record>,
+    #[case] expected: Applied,
+) {
     let mut jobs = Jobs::default();
     let applied = (0..)
         .zip(records)
@@ -106,7 +109,7 @@
 }
 
 #[test]
-fn a_record_reads_back_as_it_was_and_anything_else_does_not() {
+fn records_round_trip_and_other_bytes_are_rejected() {
     for record in [
         accepted(1, 2, 3, 4),
         listed(1, 2, false),
@@ -122,13 +125,17 @@
 fn any_record() -> impl Strategy<Value = Record> {
     prop_oneof![
         (0..4u8, 0..6u64, 1..4u32, 1..60u32).prop_map(|(j, a, i, t)| accepted(j, a, i, t)),
-        (0..4u8, 0..4u32, any::<bool>()).prop_map(|(j, i, done)| listed(j, i, done)),
+        (0..4u8, 0..4u32, any::<bool>()).prop_map(|(j, i, is_completed)| listed(
+            j,
+            i,
+            is_completed
+        )),
         (0..4u8, 0..20u64).prop_map(|(j, epoch)| taken(j, epoch)),
         (0..4u8).prop_map(ended),
     ]
 }
 
-/// What callers can see of jobs.
+/// Returns the state that is visible to callers.
 fn view(jobs: &Jobs) -> Vec<String> {
     let mut view: Vec<String> = jobs
         .iter()
@@ -145,26 +152,28 @@
 }
 
 proptest! {
-    /// A record whose append had no answer stands a second time, anywhere
-    /// later: nothing that was seen changes.
+    /// A record whose append received no response may be appended again anywhere later in the
+    /// stream; the duplicate does not change the visible state.
     #[test]
-    fn a_second_copy_changes_nothing_that_was_seen(
+    fn a_duplicate_record_does_not_change_the_visible_state(
         records in vec(any_record(), 1..40),
-        copied in any::<prop::sample::Index>(),
+        original_index in any::<prop::sample::Index>(),
     ) {
-        let copied = copied.index(records.len());
-        let copy = records[copied].clone();
+        let original_index = original_index.index(records.len());
+        let duplicate = records[original_index].clone();
         let mut jobs = Jobs::default();
         let applied = (0..).zip(records).map(|(offset, record)| jobs.apply(offset, record));
         let applied: Vec<Applied> = applied.collect();
-        // What a record that came too early did not do, its copy may.
-        prop_assume!(!matches!(applied[copied], Applied::Ignored(_)));
+        // The duplicate of a record that was ignored may take effect, for example if the
+        // original preceded the acceptance of its job.
+        prop_assume!(!matches!(applied[original_index], Applied::Ignored(_)));
         let before = view(&jobs);
-        jobs.apply(applied.len() as u64, copy);
+        jobs.apply(applied.len() as u64, duplicate);
         prop_assert_eq!(before, view(&jobs));
     }
 
-    /// What waits is never more than the limit, and is what open items make.
+    /// The waiting tokens equal the tokens of unfinished items of open jobs and never exceed the
+    /// limit.
     #[test]
     fn waiting_tokens_are_those_of_open_items_and_within_the_limit(
         records in vec(any_record(), 0..60),
@@ -178,69 +187,69 @@
             });
             let open: u64 = open.sum();
             prop_assert_eq!(jobs.waiting_tokens("r"), open);
-            prop_assert!(open <= MAX);
+            prop_assert!(open <= WAITING_TOKENS_MAX);
         }
     }
 
-    /// A host that takes the state over from another one folds on as if it had
-    /// read all records itself.
+    /// A host that starts from the snapshot of another host continues as if it had read all
+    /// records itself.
     #[test]
-    fn a_state_that_was_handed_over_is_the_same_from_then_on(
+    fn a_restored_snapshot_continues_like_the_original_state(
         records in vec(any_record(), 1..60),
-        handed_over in any::<prop::sample::Index>(),
+        snapshot_offset in any::<prop::sample::Index>(),
     ) {
-        let handed_over = handed_over.index(records.len());
-        let mut read = Jobs::default();
-        let mut taken_over = Jobs::default();
+        let snapshot_offset = snapshot_offset.index(records.len());
+        let mut original = Jobs::default();
+        let mut resumed = Jobs::default();
         for (offset, record) in records.into_iter().enumerate() {
-            if offset == handed_over {
-                let bytes = postcard::to_stdvec(&read.snapshot()).unwrap();
-                taken_over = Jobs::restore(postcard::from_bytes(&bytes).unwrap());
+            if offset == snapshot_offset {
+                let bytes = postcard::to_stdvec(&original.snapshot()).unwrap();
+                resumed = Jobs::restore(postcard::from_bytes(&bytes).unwrap());
             }
-            let applied = read.apply(offset as u64, record.clone());
-            if offset >= handed_over {
-                prop_assert_eq!(taken_over.apply(offset as u64, record), applied);
-                prop_assert_eq!(view(&taken_over), view(&read));
+            let applied = original.apply(offset as u64, record.clone());
+            if offset >= snapshot_offset {
+                prop_assert_eq!(resumed.apply(offset as u64, record), applied);
+                prop_assert_eq!(view(&resumed), view(&original));
             }
         }
-        prop_assert_eq!(taken_over.snapshot(), read.snapshot());
+        prop_assert_eq!(resumed.snapshot(), original.snapshot());
     }
 }
 
-/// A workspace's job as it stands in the stream, and one of another.
-fn of_workspace(workspace: Option<&str>, tokens: u32) -> Record {
+/// Returns the acceptance of a workspace's job; the job has the same name in every workspace.
+fn accepted_of(workspace: Option<&str>, tokens: u32) -> Record {
     let Record::Accepted(accepted) = accepted(1, u64::from(tokens), 1, tokens) else {
-        unreachable!("It is an acceptance.");
+        unreachable!("The record is an acceptance.");
     };
     let job = job_id(workspace, &accepted.job);
     Record::Accepted(Accepted { job, ..accepted })
 }
 
 #[test]
-fn what_waits_is_counted_by_workspace_and_a_name_belongs_to_each() {
+fn waiting_tokens_and_job_names_are_separate_for_each_workspace() {
     let mut jobs = Jobs::default();
     let applied = |jobs: &mut Jobs, record| jobs.apply(jobs.end(), record);
     assert_eq!(
-        applied(&mut jobs, of_workspace(Some("choir"), 90)),
+        applied(&mut jobs, accepted_of(Some("choir"), 90)),
         Applied::Accepted
     );
     assert_eq!(
-        applied(&mut jobs, of_workspace(Some("strings"), 80)),
+        applied(&mut jobs, accepted_of(Some("strings"), 80)),
         Applied::Accepted
     );
-    // One that was accepted before workspaces were told is counted by itself.
-    assert_eq!(
-        applied(&mut jobs, of_workspace(None, 70)),
-        Applied::Accepted
-    );
-    let more = Record::Accepted(Accepted {
+    // Jobs of versions without workspaces are counted separately.
+    assert_eq!(applied(&mut jobs, accepted_of(None, 70)), Applied::Accepted);
+    let over_quota = Record::Accepted(Accepted {
         job: job_id(Some("choir"), "more"),
-        ..match of_workspace(Some("choir"), 20) {
+        ..match accepted_of(Some("choir"), 20) {
             Record::Accepted(accepted) => accepted,
-            _ => unreachable!("It is an acceptance."),
+            _ => unreachable!("The record is an acceptance."),
         }
     });
-    assert_eq!(applied(&mut jobs, more), Applied::OverQuota { waiting: 90 });
+    assert_eq!(
+        applied(&mut jobs, over_quota),
+        Applied::OverQuota { waiting: 90 }
+    );
     let restored = Jobs::restore(jobs.snapshot());
     for jobs in [&jobs, &restored] {
         assert_eq!(jobs.waiting_tokens_of(Some("choir"), "r"), 90);
@@ -249,18 +258,19 @@
     }
 }
 
-/// Records of versions that knew no workspaces lie in the log, byte for byte like this.
+/// Logs still contain records written, in exactly this encoding, by versions without
+/// workspaces.
 #[test]
-fn a_record_without_a_workspace_is_read_as_it_was_written() {
-    let written = [
+fn a_record_without_a_workspace_can_still_be_decoded() {
+    let encoded = [
         0, 2, b'j', b'1', 7, 2, b'a', b'1', 1, b'r', 1, 100, 5, 1, 2, b'i', b'1', 90, 0,
     ];
-    let Some(Record::Accepted(read)) = Record::decode(&written) else {
-        panic!("It is an acceptance.");
+    let Some(Record::Accepted(decoded)) = Record::decode(&encoded) else {
+        panic!("The record is an acceptance.");
     };
-    assert_eq!((read.job.as_str(), read.route.as_str()), ("j1", "r"));
-    assert_eq!(workspace_of(&read.job), None);
+    assert_eq!((decoded.job.as_str(), decoded.route.as_str()), ("j1", "r"));
+    assert_eq!(workspace_of(&decoded.job), None);
     let mut jobs = Jobs::default();
-    assert_eq!(jobs.apply(0, Record::Accepted(read)), Applied::Accepted);
+    assert_eq!(jobs.apply(0, Record::Accepted(decoded)), Applied::Accepted);
     assert_eq!(jobs.waiting_tokens("r"), 90);
 }
--- a/crates/ledger/tests/matrix.rs
+++ b/crates/ledger/tests/matrix.rs
@@ -1,11 +1,19 @@
-//! Every fault at every step of a job and of a keyed call, and pairs of faults.
+//! Fault injection: every fault, and pairs of faults, at every append of a job and of a call
+//! with an idempotency key.
 //!
-//! After each case the promises are checked against what callers were told and
-//! what folding the log gives.
+//! Each case checks the guarantees against the replies to callers and the state folded from
+//! the log.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod cluster;
 
+use cluster::Cluster;
+use cluster::Fault;
+use cluster::LEASE_MS;
+use cluster::done_command;
+use cluster::place;
+use cluster::spec;
+use cluster::take_command;
 use notchwharf_ledger::error::CommandError;
 use notchwharf_ledger::error::Ignored;
 use notchwharf_ledger::job::Phase;
@@ -16,20 +24,13 @@
 use notchwharf_ledger::record::Entry;
 use notchwharf_ledger::record::Record;
 use rstest::rstest;
-use world::Fate;
-use world::LEASE_MS;
-use world::World;
-use world::done;
-use world::place;
-use world::spec;
-use world::take;
 
 const ITEMS: u16 = 4;
-const PAST_LEASE_MS: u64 = 2 * LEASE_MS;
+const AFTER_LEASE_MS: u64 = 2 * LEASE_MS;
 
-/// A step at which a fault strikes: the append that holds this entry.
+/// The append into which a fault is injected: one that contains this entry.
 #[derive(Clone, Copy, Debug)]
-enum Step {
+enum FaultPoint {
     Claim,
     Accept,
     Done,
@@ -41,79 +42,83 @@
     Release,
 }
 
-fn holds(record: &Record, wanted: fn(&Entry) -> bool) -> bool {
-    record.entries.iter().any(wanted)
+fn contains(record: &Record, is_match: fn(&Entry) -> bool) -> bool {
+    record.entries.iter().any(is_match)
 }
 
-impl Step {
-    fn applies(self) -> fn(&Record) -> bool {
+impl FaultPoint {
+    fn filter(self) -> fn(&Record) -> bool {
         match self {
-            Self::Claim => |r| holds(r, |e| matches!(e, Entry::Claim { .. })),
-            Self::Accept => |r| holds(r, |e| matches!(e, Entry::Job(_))),
-            Self::Done => |r| holds(r, |e| matches!(e, Entry::Done { .. })),
-            Self::Attempt => |r| holds(r, |e| matches!(e, Entry::Attempt { .. })),
-            Self::Cancel => |r| holds(r, |e| matches!(e, Entry::Cancel { .. })),
-            Self::KeyStart => |r| holds(r, |e| matches!(e, Entry::KeyStart { .. })),
-            Self::KeyEnd => |r| holds(r, |e| matches!(e, Entry::KeyEnd { .. })),
-            Self::Renew => |r| holds(r, |e| matches!(e, Entry::Renew)),
-            Self::Release => |r| holds(r, |e| matches!(e, Entry::Release)),
+            Self::Claim => |r| contains(r, |e| matches!(e, Entry::Claim { .. })),
+            Self::Accept => |r| contains(r, |e| matches!(e, Entry::Job(_))),
+            Self::Done => |r| contains(r, |e| matches!(e, Entry::Done { .. })),
+            Self::Attempt => |r| contains(r, |e| matches!(e, Entry::Attempt { .. })),
+            Self::Cancel => |r| contains(r, |e| matches!(e, Entry::Cancel { .. })),
+            Self::KeyStart => |r| contains(r, |e| matches!(e, Entry::KeyStart { .. })),
+            Self::KeyEnd => |r| contains(r, |e| matches!(e, Entry::KeyEnd { .. })),
+            Self::Renew => |r| contains(r, |e| matches!(e, Entry::Renew)),
+            Self::Release => |r| contains(r, |e| matches!(e, Entry::Release)),
         }
     }
 }
 
-/// Runs a job to its end, each item at least once, and checks it.
-fn run_job(world: &mut World, fates: &[Fate], step: Step) {
-    world.applies = step.applies();
-    world.fates.extend(fates);
+/// Runs a job to completion, each item at least once, and checks the results.
+fn complete_job(cluster: &mut Cluster, faults: &[Fault], point: FaultPoint) {
+    cluster.fault_filter = point.filter();
+    cluster.faults.extend(faults);
     let create = Command::CreateJob(spec("job", ITEMS));
-    let Ok(Reply::Job(view)) = world.insist(&create) else {
-        panic!("The job is accepted in the end.");
+    let Ok(Reply::Job(view)) = cluster.send_until_final(&create) else {
+        panic!("The job is eventually accepted.");
     };
     assert_eq!(view.counts.total, u32::from(ITEMS));
 
     let mut runs = 0;
-    let mut acked = Vec::new();
-    let mut failed_once = false;
+    let mut acknowledged = Vec::new();
+    let mut has_failed_once = false;
     for round in 0..2_000 {
-        let works = match world.ask(take(2, "w")) {
-            Ok(Reply::Work(works)) => works,
+        let assigned = match cluster.send(take_command(2, "w")) {
+            Ok(Reply::Work(assigned)) => assigned,
             _ => Vec::new(),
         };
-        for work in works {
+        for work in assigned {
             runs += 1;
-            if !failed_once {
-                failed_once = true;
-                let _ = world.insist(&attempt(&work));
+            if !has_failed_once {
+                has_failed_once = true;
+                let _ = cluster.send_until_final(&attempt_command(&work));
                 continue;
             }
-            let at = 100 + runs;
-            match world.insist(&done(&work, at)) {
-                Ok(_) => acked.push((work.item, at)),
+            let result_offset = 100 + runs;
+            match cluster.send_until_final(&done_command(&work, result_offset)) {
+                Ok(_) => acknowledged.push((work.item, result_offset)),
                 Err(CommandError::Invalid(Ignored::Settled)) => {}
                 other => panic!("{other:?}"),
             }
         }
-        world.step();
-        if world.folded().jobs()["job"].state() == State::Completed {
+        cluster.tick();
+        if cluster.fold_log().jobs()["job"].state() == State::Completed {
             break;
         }
-        assert!(round < 1_999, "The job ends.");
+        assert!(round < 1_999, "The job completes.");
     }
-    world.settle_down();
-    let shard = world.folded();
+    cluster.recover();
+    let shard = cluster.fold_log();
     let job = &shard.jobs()["job"];
     assert_eq!(job.counts.done, u32::from(ITEMS));
-    for (item, at) in acked {
-        // What was acknowledged is what stays readable; a settled item may
-        // have been acknowledged only once.
-        assert_eq!(job.items[item as usize].result, place(at), "item {item}");
+    for (item, result_offset) in acknowledged {
+        // An acknowledged result remains readable; only one result of an item may have been
+        // acknowledged.
+        assert_eq!(
+            job.items[item as usize].result,
+            place(result_offset),
+            "item {item}"
+        );
     }
-    // A resent job is the same job.
-    let again = world.insist(&create);
-    assert!(matches!(again, Ok(Reply::Job(view)) if view.state == State::Completed));
+    // Resubmitting the job returns the same job.
+    let repeated = cluster.send_until_final(&create);
+    assert!(matches!(repeated, Ok(Reply::Job(view)) if view.state == State::Completed));
 }
 
-fn attempt(work: &Work) -> Command {
+fn attempt_command(work: &Work) -> Command {
     Command::Settle {
         job: work.job.clone(),
         item: work.item,
@@ -125,326 +130,373 @@
 
 #[rstest]
 fn a_job_completes_exactly_once_with_one_fault(
-    #[values(Step::Claim, Step::Accept, Step::Done, Step::Attempt, Step::Renew)] step: Step,
     #[values(
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Slow(30),
-        Fate::Slow(PAST_LEASE_MS),
-        Fate::KilledBefore,
-        Fate::KilledAfter,
-        Fate::PausedAfter(100),
-        Fate::PausedAfter(PAST_LEASE_MS)
+        FaultPoint::Claim,
+        FaultPoint::Accept,
+        FaultPoint::Done,
+        FaultPoint::Attempt,
+        FaultPoint::Renew
+    )]
+    point: FaultPoint,
+    #[values(
+        Fault::RequestLost,
+        Fault::ResponseLost,
+        Fault::Delayed(30),
+        Fault::Delayed(AFTER_LEASE_MS),
+        Fault::CrashBefore,
+        Fault::CrashAfter,
+        Fault::PauseAfter(100),
+        Fault::PauseAfter(AFTER_LEASE_MS)
     )]
-    fate: Fate,
+    fault: Fault,
 ) {
-    run_job(&mut World::new(3), &[fate], step);
+    complete_job(&mut Cluster::new(3), &[fault], point);
 }
 
 #[rstest]
 fn a_job_completes_exactly_once_with_two_faults(
-    #[values(Step::Claim, Step::Accept, Step::Done, Step::Attempt, Step::Renew)] step: Step,
     #[values(
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Slow(PAST_LEASE_MS),
-        Fate::KilledBefore,
-        Fate::KilledAfter,
-        Fate::PausedAfter(PAST_LEASE_MS)
+        FaultPoint::Claim,
+        FaultPoint::Accept,
+        FaultPoint::Done,
+        FaultPoint::Attempt,
+        FaultPoint::Renew
     )]
-    first: Fate,
+    point: FaultPoint,
     #[values(
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Slow(PAST_LEASE_MS),
-        Fate::KilledBefore,
-        Fate::KilledAfter,
-        Fate::PausedAfter(PAST_LEASE_MS)
+        Fault::RequestLost,
+        Fault::ResponseLost,
+        Fault::Delayed(AFTER_LEASE_MS),
+        Fault::CrashBefore,
+        Fault::CrashAfter,
+        Fault::PauseAfter(AFTER_LEASE_MS)
     )]
-    second: Fate,
+    first: Fault,
+    #[values(
+        Fault::RequestLost,
+        Fault::ResponseLost,
+        Fault::Delayed(AFTER_LEASE_MS),
+        Fault::CrashBefore,
+        Fault::CrashAfter,
+        Fault::PauseAfter(AFTER_LEASE_MS)
+    )]
+    second: Fault,
 ) {
-    run_job(&mut World::new(4), &[first, second], step);
+    complete_job(&mut Cluster::new(4), &[first, second], point);
 }
 
 #[rstest]
 fn a_job_completes_exactly_once_through_an_outage(
     #[values(0, 200, 3_000)] begins_after_ms: u64,
     #[values(300, 5_000)] lasts_ms: u64,
-    #[values(Fate::Taken, Fate::LostAfter, Fate::KilledAfter)] fate: Fate,
+    #[values(Fault::Delivered, Fault::ResponseLost, Fault::CrashAfter)] fault: Fault,
 ) {
-    let mut world = World::new(3);
-    world.run_for(begins_after_ms);
-    world.log_down_until_ms = world.now_ms + lasts_ms;
-    run_job(&mut world, &[fate], Step::Done);
+    let mut cluster = Cluster::new(3);
+    cluster.run_for(begins_after_ms);
+    cluster.log_down_until_ms = cluster.now_ms + lasts_ms;
+    complete_job(&mut cluster, &[fault], FaultPoint::Done);
 }
 
-/// A call with a key, as the server makes it: it is sent only after the start
-/// was confirmed, and its end is recorded until that is confirmed.
-fn run_keyed(world: &mut World, sends: &mut u32) -> Result<Reply, CommandError> {
+/// Makes a call with an idempotency key as the server does: sends it only after its start was
+/// confirmed, and retries recording its end until that is confirmed.
+fn call_with_key(cluster: &mut Cluster, send_count: &mut u32) -> Result<Reply, CommandError> {
     let start = Command::KeyStart {
         key: "school/k".into(),
         digest: "d".into(),
     };
-    let Some(index) = world.holder() else {
-        world.step();
+    let Some(index) = cluster.holder() else {
+        cluster.tick();
         return Err(CommandError::NotOwner { holder: None });
     };
-    let res = world.ask_host(index, start)?;
+    let res = cluster.send_to(index, start)?;
     if res != Reply::Done {
         return Ok(res);
     }
-    *sends += 1;
+    *send_count += 1;
     let end = Command::KeyEnd {
         key: "school/k".into(),
         place: place(9),
     };
-    world.insist(&end)
+    cluster.send_until_final(&end)
 }
 
 #[rstest]
 fn a_keyed_call_is_sent_at_most_once(
-    #[values(Step::Claim, Step::KeyStart, Step::KeyEnd, Step::Renew)] step: Step,
     #[values(
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Slow(PAST_LEASE_MS),
-        Fate::KilledBefore,
-        Fate::KilledAfter,
-        Fate::PausedAfter(PAST_LEASE_MS)
+        FaultPoint::Claim,
+        FaultPoint::KeyStart,
+        FaultPoint::KeyEnd,
+        FaultPoint::Renew
+    )]
+    point: FaultPoint,
+    #[values(
+        Fault::RequestLost,
+        Fault::ResponseLost,
+        Fault::Delayed(AFTER_LEASE_MS),
+        Fault::CrashBefore,
+        Fault::CrashAfter,
+        Fault::PauseAfter(AFTER_LEASE_MS)
     )]
-    first: Fate,
+    first: Fault,
     #[values(
-        Fate::Taken,
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Slow(PAST_LEASE_MS),
-        Fate::KilledBefore,
-        Fate::KilledAfter,
-        Fate::PausedAfter(PAST_LEASE_MS)
+        Fault::Delivered,
+        Fault::RequestLost,
+        Fault::ResponseLost,
+        Fault::Delayed(AFTER_LEASE_MS),
+        Fault::CrashBefore,
+        Fault::CrashAfter,
+        Fault::PauseAfter(AFTER_LEASE_MS)
     )]
-    second: Fate,
+    second: Fault,
 ) {
-    let mut world = World::new(4);
-    world.applies = step.applies();
-    world.fates.extend([first, second]);
-    let mut sends = 0;
-    // The caller asks again whatever it hears, as an impatient one would.
+    let mut cluster = Cluster::new(4);
+    cluster.fault_filter = point.filter();
+    cluster.faults.extend([first, second]);
+    let mut send_count = 0;
+    // The caller retries regardless of the reply.
     for _ in 0..200 {
-        let res = run_keyed(&mut world, &mut sends);
+        let res = call_with_key(&mut cluster, &mut send_count);
         if matches!(res, Ok(Reply::Ended(_))) {
             break;
         }
-        world.step();
+        cluster.tick();
     }
-    assert!(sends <= 1, "It was sent {sends} times.");
-    world.settle_down();
-    let shard = world.folded();
-    let ended = shard
+    assert!(send_count <= 1, "The call was sent {send_count} times.");
+    cluster.recover();
+    let shard = cluster.fold_log();
+    let has_ended = shard
         .keys()
         .get("school/k")
         .is_some_and(|k| k.end.is_some());
-    assert!(!ended || sends == 1, "It has an end only if it was sent.");
+    assert!(
+        !has_ended || send_count == 1,
+        "The call has an end only if it was sent."
+    );
 }
 
 #[rstest]
-fn a_cancelled_job_stops(
+fn a_cancelled_job_runs_no_more_items(
     #[values(
-        Fate::Taken,
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Slow(PAST_LEASE_MS),
-        Fate::KilledBefore,
-        Fate::KilledAfter,
-        Fate::PausedAfter(PAST_LEASE_MS)
+        Fault::Delivered,
+        Fault::RequestLost,
+        Fault::ResponseLost,
+        Fault::Delayed(AFTER_LEASE_MS),
+        Fault::CrashBefore,
+        Fault::CrashAfter,
+        Fault::PauseAfter(AFTER_LEASE_MS)
     )]
-    first: Fate,
-    #[values(Fate::Taken, Fate::LostAfter, Fate::KilledAfter)] second: Fate,
+    first: Fault,
+    #[values(Fault::Delivered, Fault::ResponseLost, Fault::CrashAfter)] second: Fault,
 ) {
-    let mut world = World::new(4);
-    world
-        .insist(&Command::CreateJob(spec("job", ITEMS)))
+    let mut cluster = Cluster::new(4);
+    cluster
+        .send_until_final(&Command::CreateJob(spec("job", ITEMS)))
         .unwrap();
-    world.run_for(100);
-    let Ok(Reply::Work(works)) = world.insist(&take(1, "w")) else {
-        panic!("An item is handed out.");
+    cluster.run_for(100);
+    let Ok(Reply::Work(assigned)) = cluster.send_until_final(&take_command(1, "w")) else {
+        panic!("An item is assigned.");
     };
-    world.applies = Step::Cancel.applies();
-    world.fates.extend([first, second]);
+    cluster.fault_filter = FaultPoint::Cancel.filter();
+    cluster.faults.extend([first, second]);
     let cancel = Command::CancelJob {
         job: "job".into(),
         tenant: Some("school".into()),
     };
-    let Ok(Reply::Job(view)) = world.insist(&cancel) else {
-        panic!("The job is cancelled in the end.");
+    let Ok(Reply::Job(view)) = cluster.send_until_final(&cancel) else {
+        panic!("The job is eventually cancelled.");
     };
     assert_eq!(view.state, State::Cancelled);
-    let late = world.insist(&done(&works[0], 1));
-    assert_eq!(late, Err(CommandError::Invalid(Ignored::Cancelled)));
-    world.settle_down();
-    let Ok(Reply::Work(more)) = world.insist(&take(9, "w")) else {
-        panic!("The owner answers.");
+    let late_report = cluster.send_until_final(&done_command(&assigned[0], 1));
+    assert_eq!(late_report, Err(CommandError::Invalid(Ignored::Cancelled)));
+    cluster.recover();
+    let Ok(Reply::Work(remaining)) = cluster.send_until_final(&take_command(9, "w")) else {
+        panic!("The owner replies.");
     };
-    assert!(more.is_empty(), "Nothing of a cancelled job is handed out.");
-    let shard = world.folded();
-    let finished = shard.jobs()["job"].items.iter();
-    assert!(finished.clone().all(|i| i.phase == Phase::Pending));
+    assert!(
+        remaining.is_empty(),
+        "No item of a cancelled job is assigned."
+    );
+    let shard = cluster.fold_log();
+    let item_states = shard.jobs()["job"].items.iter();
+    assert!(item_states.clone().all(|i| i.phase == Phase::Pending));
 }
 
 #[rstest]
-fn a_refusal_that_says_not_run_is_true(
+fn a_command_reported_as_not_executed_never_takes_effect(
     #[values(0, 1)] first_offset: usize,
-    #[values(Step::Accept, Step::Renew, Step::Claim, Step::Release)] step: Step,
     #[values(
-        Fate::Taken,
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Slow(30),
-        Fate::Slow(700),
-        Fate::Slow(PAST_LEASE_MS),
-        Fate::PausedAfter(PAST_LEASE_MS),
-        Fate::PausedAndLate(PAST_LEASE_MS, PAST_LEASE_MS + 100)
+        FaultPoint::Accept,
+        FaultPoint::Renew,
+        FaultPoint::Claim,
+        FaultPoint::Release
     )]
-    fate: Fate,
+    point: FaultPoint,
+    #[values(
+        Fault::Delivered,
+        Fault::RequestLost,
+        Fault::ResponseLost,
+        Fault::Delayed(30),
+        Fault::Delayed(700),
+        Fault::Delayed(AFTER_LEASE_MS),
+        Fault::PauseAfter(AFTER_LEASE_MS),
+        Fault::PauseAndDelay(AFTER_LEASE_MS, AFTER_LEASE_MS + 100)
+    )]
+    fault: Fault,
     #[values(0, 100, 700, 1_500)] outage_ms: u64,
 ) {
-    let mut world = World::new(3);
-    // The first record of a stream has offset zero, like no other epoch.
-    world.log.extend(vec![Record::empty(); first_offset]);
-    world.run_for(300);
-    world.applies = step.applies();
-    world.fates.push_back(fate);
-    world.log_down_until_ms = world.now_ms + outage_ms;
+    let mut cluster = Cluster::new(3);
+    // Without a preceding record, the first claim has offset zero, so its epoch is zero.
+    cluster.log.extend(vec![Record::empty(); first_offset]);
+    cluster.run_for(300);
+    cluster.fault_filter = point.filter();
+    cluster.faults.push_back(fault);
+    cluster.log_down_until_ms = cluster.now_ms + outage_ms;
     for i in 0..6 {
         let id = format!("job-{i}");
-        let res = world.ask_host(0, Command::CreateJob(spec(&id, 1)));
-        world.run_for(40);
-        let Err(refused) = res else { continue };
-        if !refused.is_not_run() {
+        let res = cluster.send_to(0, Command::CreateJob(spec(&id, 1)));
+        cluster.run_for(40);
+        let Err(error) = res else { continue };
+        if !error.is_not_run() {
             continue;
         }
-        let mut later = world.folded_after(3 * LEASE_MS);
-        later.retain(|job| *job == id);
+        let mut later_jobs = cluster.jobs_after(3 * LEASE_MS);
+        later_jobs.retain(|job| *job == id);
         assert!(
-            later.is_empty(),
-            "{id} was refused with {refused:?}, and ran."
+            later_jobs.is_empty(),
+            "{id} was refused with {error:?}, but took effect."
         );
     }
 }
 
 #[rstest]
-fn a_leaving_owner_hands_over(
+fn an_owner_that_is_not_preferred_releases_the_lease(
     #[values(
-        Fate::Taken,
-        Fate::LostBefore,
-        Fate::LostAfter,
-        Fate::Slow(PAST_LEASE_MS)
+        Fault::Delivered,
+        Fault::RequestLost,
+        Fault::ResponseLost,
+        Fault::Delayed(AFTER_LEASE_MS)
     )]
-    fate: Fate,
+    fault: Fault,
 ) {
-    let mut world = World::new(2);
-    world
-        .insist(&Command::CreateJob(spec("job", ITEMS)))
+    let mut cluster = Cluster::new(2);
+    cluster
+        .send_until_final(&Command::CreateJob(spec("job", ITEMS)))
         .unwrap();
-    // Host 0 comes back as one that should hold the shard: host 1 took over
-    // while it was away and must release.
-    world.kill(0);
-    world.run_for(3 * LEASE_MS);
-    assert_eq!(world.holder(), Some(1));
-    world.applies = Step::Release.applies();
-    world.fates.push_back(fate);
-    world.restart(0);
-    world.run_for(4 * LEASE_MS);
-    assert_eq!(world.holder(), Some(0));
-    assert!(world.folded().jobs().contains_key("job"));
+    // Host 1 takes over while host 0 is down, and must release the shard once host 0, which is
+    // preferred, has restarted.
+    cluster.crash(0);
+    cluster.run_for(3 * LEASE_MS);
+    assert_eq!(cluster.holder(), Some(1));
+    cluster.fault_filter = FaultPoint::Release.filter();
+    cluster.faults.push_back(fault);
+    cluster.restart(0);
+    cluster.run_for(4 * LEASE_MS);
+    assert_eq!(cluster.holder(), Some(0));
+    assert!(cluster.fold_log().jobs().contains_key("job"));
 }
 
 #[rstest]
-fn an_item_that_kills_its_target_gets_its_final_answer() {
-    let mut world = World::new(1);
-    world.insist(&Command::CreateJob(spec("job", 1))).unwrap();
-    world.run_for(100);
+fn an_item_that_crashes_targets_fails_at_the_attempt_limit() {
+    let mut cluster = Cluster::new(1);
+    cluster
+        .send_until_final(&Command::CreateJob(spec("job", 1)))
+        .unwrap();
+    cluster.run_for(100);
     for attempts in 0..3 {
-        let Ok(Reply::Work(works)) = world.insist(&take(1, "w")) else {
-            panic!("The owner answers.");
+        let Ok(Reply::Work(assigned)) = cluster.send_until_final(&take_command(1, "w")) else {
+            panic!("The owner replies.");
         };
-        assert_eq!(works[0].attempts, attempts);
-        world.insist(&attempt(&works[0])).unwrap();
-        world.run_for(50);
+        assert_eq!(assigned[0].attempts, attempts);
+        cluster
+            .send_until_final(&attempt_command(&assigned[0]))
+            .unwrap();
+        cluster.run_for(50);
     }
-    let shard = world.folded();
+    let shard = cluster.fold_log();
     let job = &shard.jobs()["job"];
     assert_eq!(job.state(), State::Completed);
     assert_eq!(job.failures.len(), 1);
 }
 
 #[rstest]
-fn an_item_at_its_limit_gets_its_final_answer_after_a_takeover() {
-    let mut world = World::new(2);
-    world.insist(&Command::CreateJob(spec("job", 1))).unwrap();
-    world.run_for(100);
-    world.applies = Step::Attempt.applies();
-    world
-        .fates
-        .extend([Fate::Taken, Fate::Taken, Fate::KilledAfter]);
+fn a_new_owner_fails_items_at_the_attempt_limit() {
+    let mut cluster = Cluster::new(2);
+    cluster
+        .send_until_final(&Command::CreateJob(spec("job", 1)))
+        .unwrap();
+    cluster.run_for(100);
+    cluster.fault_filter = FaultPoint::Attempt.filter();
+    cluster
+        .faults
+        .extend([Fault::Delivered, Fault::Delivered, Fault::CrashAfter]);
     for _ in 0..3 {
-        let Ok(Reply::Work(works)) = world.insist(&take(1, "w")) else {
-            panic!("The owner answers.");
+        let Ok(Reply::Work(assigned)) = cluster.send_until_final(&take_command(1, "w")) else {
+            panic!("The owner replies.");
         };
-        let _ = world.ask(attempt(&works[0]));
-        world.run_for(50);
+        let _ = cluster.send(attempt_command(&assigned[0]));
+        cluster.run_for(50);
     }
-    world.run_for(3 * LEASE_MS);
-    assert_eq!(world.holder(), Some(1));
-    assert_eq!(world.folded().jobs()["job"].state(), State::Completed);
+    cluster.run_for(3 * LEASE_MS);
+    assert_eq!(cluster.holder(), Some(1));
+    assert_eq!(cluster.fold_log().jobs()["job"].state(), State::Completed);
 }
 
 #[rstest]
-fn a_report_made_twice_hands_an_item_out_once() {
-    let mut world = World::new(1);
-    world.insist(&Command::CreateJob(spec("job", 1))).unwrap();
-    world.run_for(100);
-    let Ok(Reply::Work(works)) = world.insist(&take(1, "w")) else {
-        panic!("The owner answers.");
+fn a_duplicate_failure_report_requeues_an_item_once() {
+    let mut cluster = Cluster::new(1);
+    cluster
+        .send_until_final(&Command::CreateJob(spec("job", 1)))
+        .unwrap();
+    cluster.run_for(100);
+    let Ok(Reply::Work(assigned)) = cluster.send_until_final(&take_command(1, "w")) else {
+        panic!("The owner replies.");
     };
-    world.insist(&attempt(&works[0])).unwrap();
-    world.insist(&take(1, "v")).unwrap();
-    let again = world.insist(&attempt(&works[0]));
-    assert_eq!(again, Err(CommandError::Invalid(Ignored::Counted)));
-    let Ok(Reply::Work(more)) = world.insist(&take(1, "v")) else {
-        panic!("The owner answers.");
+    cluster
+        .send_until_final(&attempt_command(&assigned[0]))
+        .unwrap();
+    cluster.send_until_final(&take_command(1, "v")).unwrap();
+    let repeated = cluster.send_until_final(&attempt_command(&assigned[0]));
+    assert_eq!(repeated, Err(CommandError::Invalid(Ignored::Counted)));
+    let Ok(Reply::Work(remaining)) = cluster.send_until_final(&take_command(1, "v")) else {
+        panic!("The owner replies.");
     };
-    assert!(more.is_empty(), "The item runs at `v` already.");
+    assert!(remaining.is_empty(), "The item already runs on `v`.");
 }
 
 #[rstest]
-fn nothing_is_accepted_while_the_log_is_down() {
-    let mut world = World::new(1);
-    world.run_for(100);
-    world.log_down_until_ms = u64::MAX;
-    world.run_for(LEASE_MS);
-    let res = world.ask(Command::CreateJob(spec("job", 1)));
+fn no_job_is_accepted_while_the_log_is_down() {
+    let mut cluster = Cluster::new(1);
+    cluster.run_for(100);
+    cluster.log_down_until_ms = u64::MAX;
+    cluster.run_for(LEASE_MS);
+    let res = cluster.send(Command::CreateJob(spec("job", 1)));
     assert_eq!(res, Err(CommandError::LogDown));
-    world.settle_down();
-    assert!(world.folded().jobs().is_empty(), "Not run means not run.");
+    cluster.recover();
+    assert!(
+        cluster.fold_log().jobs().is_empty(),
+        "A command reported as not executed has no effect."
+    );
 }
 
 #[rstest]
-fn items_of_a_dead_host_run_again_at_once() {
-    let mut world = World::new(1);
-    world.insist(&Command::CreateJob(spec("job", 2))).unwrap();
-    world.run_for(100);
-    world.insist(&take(2, "w")).unwrap();
-    let Ok(Reply::Work(none)) = world.insist(&take(2, "v")) else {
-        panic!("The owner answers.");
+fn items_of_a_failed_host_are_reassigned_immediately() {
+    let mut cluster = Cluster::new(1);
+    cluster
+        .send_until_final(&Command::CreateJob(spec("job", 2)))
+        .unwrap();
+    cluster.run_for(100);
+    cluster.send_until_final(&take_command(2, "w")).unwrap();
+    let Ok(Reply::Work(unassigned)) = cluster.send_until_final(&take_command(2, "v")) else {
+        panic!("The owner replies.");
     };
-    assert!(none.is_empty());
-    let gone = notchwharf_ledger::owner::Input::HostFailed {
+    assert!(unassigned.is_empty());
+    let failed_host = notchwharf_ledger::owner::Input::HostFailed {
         host: "w".into(),
         incarnation: 1,
     };
-    world.feed(0, gone);
-    let Ok(Reply::Work(again)) = world.insist(&take(2, "v")) else {
-        panic!("The owner answers.");
+    cluster.deliver(0, failed_host);
+    let Ok(Reply::Work(reassigned)) = cluster.send_until_final(&take_command(2, "v")) else {
+        panic!("The owner replies.");
     };
-    assert_eq!(again.len(), 2);
+    assert_eq!(reassigned.len(), 2);
 }
