--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,8 @@
-//! Orders to targets that bring the fleet to the bundle in force.
+//! Orders to targets that bring the fleet to the current bundle.
 //!
-//! [`plan`] says which servings each target should hold, the same on every
-//! host that sees the same targets. [`reconcile`] compares that with what one
-//! target reports and names the next order to it.
+//! [`plan`] computes the servings that each target should hold; all hosts that know the same
+//! targets compute the same plan. [`reconcile`] compares the plan with the state reported by
+//! one target and determines the next order to it.
 
 pub mod plan;
 pub mod reconcile;
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,10 +1,9 @@
-//! Which target should hold which serving.
+//! Assignment of servings (model deployments) to targets.
 //!
-//! Every host computes the plan for itself from the bundle and the targets it
-//! sees; nothing is agreed on beforehand. Two hosts that see different targets
-//! may differ for a while, and then some serving has a replica too many or too
-//! few until they agree: orders are idempotent, and the holder of a target is
-//! the only one to give it orders.
+//! Every host computes the plan independently, from the bundle and the targets known to it.
+//! Hosts that know different targets may temporarily compute different plans, and a serving
+//! then has too many or too few replicas until they converge. This is safe because orders are
+//! idempotent and only the holder of a target sends orders to it.
 //!
 //! ```
 //! use notchwharf_config::bundle::Serving;
@@ -26,37 +25,38 @@
 /// The servings that each target should hold, by target.
 pub type Plan<'a> = BTreeMap<&'a str, Vec<&'a Serving>>;
 
-/// Returns which servings each of `targets` should hold.
+/// Returns the servings that each of `targets` should hold.
 ///
-/// A serving takes the targets that have the fewest servings so far, and among
-/// those the best by rendezvous hashing, so that a target that comes or goes
-/// moves little.
+/// A serving is assigned to the targets that have the fewest servings so far, and among those
+/// to the ones ranked first by rendezvous hashing, so that adding or removing a target moves
+/// few servings.
 pub fn plan<'a>(servings: &'a [Serving], targets: &[&'a str]) -> Plan<'a> {
     let mut plan: Plan<'a> = targets.iter().map(|t| (*t, Vec::new())).collect();
-    let mut order: Vec<&Serving> = servings.iter().collect();
-    order.sort_by(|a, b| b.replicas.cmp(&a.replicas).then(a.name.cmp(&b.name)));
-    for serving in order {
-        for target in preferred(serving, &plan) {
-            if let Some(held) = plan.get_mut(target) {
-                held.push(serving);
+    let mut by_replicas: Vec<&Serving> = servings.iter().collect();
+    by_replicas.sort_by(|a, b| b.replicas.cmp(&a.replicas).then(a.name.cmp(&b.name)));
+    for serving in by_replicas {
+        for target in preferred_targets(serving, &plan) {
+            if let Some(assigned) = plan.get_mut(target) {
+                assigned.push(serving);
             }
         }
     }
     plan
 }
 
-fn preferred<'a>(serving: &Serving, plan: &Plan<'a>) -> Vec<&'a str> {
-    let mut scored: Vec<(usize, u64, &str)> = plan
+fn preferred_targets<'a>(serving: &Serving, plan: &Plan<'a>) -> Vec<&'a str> {
+    let mut ranked: Vec<(usize, u64, &str)> = plan
         .iter()
-        .map(|(target, held)| (held.len(), score(&serving.model, target), *target))
+        .map(|(target, assigned)| (assigned.len(), rank_hash(&serving.model, target), *target))
         .collect();
-    scored.sort_unstable();
+    ranked.sort_unstable();
     let count = usize::try_from(serving.replicas).unwrap_or(usize::MAX);
-    let chosen = scored.into_iter().take(count);
-    chosen.map(|(_, _, target)| target).collect()
+    let selected = ranked.into_iter().take(count);
+    selected.map(|(_, _, target)| target).collect()
 }
 
-/// The score leaves the version out, so that a roll-out stays on its targets.
-fn score(model: &str, target: &str) -> u64 {
+/// Returns the rendezvous hash of a target for a model; the lowest ranks first. It excludes the
+/// version, so that a new version is rolled out on the same targets.
+fn rank_hash(model: &str, target: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(format!("{model}\u{0}{target}").as_bytes())
 }
--- a/crates/placement/src/reconcile.rs
+++ b/crates/placement/src/reconcile.rs
@@ -1,49 +1,52 @@
-//! The next order to one target.
+//! Determines the next order to one target.
 //!
-//! Level-triggered: what a target reports is compared with what it should
-//! hold, and the first difference becomes an order. Nothing is remembered
-//! between two looks, so a lost order, a lost answer and a restarted target
-//! are all the same case.
+//! Reconciliation is level-triggered: the state reported by a target is compared with the
+//! desired state, and the first difference becomes an order. No state is kept between calls,
+//! so a lost order, a lost response and a restarted target need no separate handling.
 
-/// What one target holds, by fingerprint.
+/// The state reported by a target, as fingerprints of servings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetState {
-    /// What it can serve.
+    /// The servings that the target has loaded.
     pub loaded: Vec<String>,
-    /// What it is loading.
+    /// The servings that the target is loading.
     pub loading: Vec<String>,
 }
 
-/// An order to a target.
+/// An order that changes which servings a target holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Load this.
+    /// Load the serving with this fingerprint.
     Load(String),
-    /// Drop this.
+    /// Unload the serving with this fingerprint.
     Unload(String),
 }
 
 /// Returns the next order to a target, if there is one.
 ///
-/// `others` tells how many other ready targets hold a fingerprint, and
-/// `in_force` whether the bundle in force still names it. Loads come before
-/// unloads, one at a time: the weight store is shared by all. Something that
-/// the bundle names is unloaded only if another ready target holds it, so a
-/// roll-out never removes the last.
+/// `desired` are the fingerprints of the servings that the target should hold. `other_replicas`
+/// returns the number of other ready targets that hold a fingerprint, and `is_current` whether
+/// the current bundle contains it.
+///
+/// Servings are loaded before others are unloaded, and one at a time because all targets share
+/// the store of model weights. A serving of the current bundle is unloaded only if another
+/// ready target holds it, so a rollout never removes the last replica.
 pub fn next_step(
-    wanted: &[String],
+    desired: &[String],
     state: &TargetState,
-    others: impl Fn(&str) -> usize,
-    in_force: impl Fn(&str) -> bool,
+    other_replicas: impl Fn(&str) -> usize,
+    is_current: impl Fn(&str) -> bool,
 ) -> Option<Step> {
     if !state.loading.is_empty() {
         return None;
     }
-    let missing = wanted.iter().find(|w| !state.loaded.contains(w));
+    let missing = desired.iter().find(|f| !state.loaded.contains(f));
     if let Some(missing) = missing {
         return Some(Step::Load(missing.clone()));
     }
-    let surplus = state.loaded.iter().filter(|h| !wanted.contains(h));
-    let mut removable = surplus.filter(|h| !in_force(h) || others(h) > 0);
-    removable.next().map(|held| Step::Unload(held.clone()))
+    let surplus = state.loaded.iter().filter(|f| !desired.contains(f));
+    let mut removable = surplus.filter(|f| !is_current(f) || other_replicas(f) > 0);
+    removable
+        .next()
+        .map(|fingerprint| Step::Unload(fingerprint.clone()))
 }
