--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,19 +1,18 @@
-//! Whether this host takes a request at all.
+//! Admission control with weighted fair shares per tenant.
 //!
-//! Up to three quarters of what the host carries, everyone is welcome. Above,
-//! a tenant that already has more than its weighted share is refused first, so
-//! that one tenant's flood does not keep the others out. A refusal comes at
-//! once and says when to come back.
+//! Up to three quarters of the host's capacity, all requests are admitted. Above that, requests of
+//! tenants that exceed their weighted share are rejected first, so that one tenant cannot exclude
+//! the others. A rejection is immediate and includes a retry delay.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Share of the host's requests above which shares count, in percent.
-const FREE_PERCENT: usize = 75;
-/// When to come back after a refusal.
+/// Percentage of the capacity above which fair shares are enforced.
+const UNRESTRICTED_PERCENT: usize = 75;
+/// Retry delay after a rejection.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Requests that the host carries.
+/// The requests in flight at this host.
 #[derive(Debug)]
 pub struct Admission {
     max: usize,
@@ -28,15 +27,15 @@
     in_flight: usize,
 }
 
-/// The request was not taken.
+/// The request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shed {
-    /// When to come back.
+    /// Time after which to retry.
     pub retry_after: Duration,
 }
 
 impl Admission {
-    /// Returns an admission of at most `max` requests at once.
+    /// Returns an admission control for at most `max` concurrent requests.
     pub fn new(max: usize) -> Self {
         Self {
             max,
@@ -51,11 +50,11 @@
         self.total
     }
 
-    /// Takes a request in.
+    /// Admits a request.
     ///
     /// # Errors
     ///
-    /// Returns [`Shed`] if the request is not to be run.
+    /// Returns [`Shed`] if the request must be rejected.
     pub fn admit(&mut self, tenant: &str, weight: u32) -> Result<(), Shed> {
         let shed = Shed {
             retry_after: RETRY_AFTER,
@@ -63,8 +62,8 @@
         if self.total >= self.max {
             return Err(shed);
         }
-        let crowded = self.total * 100 >= self.max * FREE_PERCENT;
-        if crowded && self.above_share(tenant, weight) {
+        let is_restricted = self.total * 100 >= self.max * UNRESTRICTED_PERCENT;
+        if is_restricted && self.exceeds_share(tenant, weight) {
             return Err(shed);
         }
         self.total += 1;
@@ -81,10 +80,10 @@
         Ok(())
     }
 
-    /// Notes that a request has ended.
+    /// Records the end of a request.
     pub fn release(&mut self, tenant: &str) {
         let Some(share) = self.tenants.get_mut(tenant) else {
-            debug_assert!(false, "A tenant leaves only after it entered.");
+            debug_assert!(false, "A request is released only after it was admitted.");
             return;
         };
         share.in_flight -= 1;
@@ -95,12 +94,12 @@
         }
     }
 
-    fn above_share(&self, tenant: &str, weight: u32) -> bool {
+    fn exceeds_share(&self, tenant: &str, weight: u32) -> bool {
         let Some(share) = self.tenants.get(tenant) else {
             return false;
         };
-        let all = self.weights.max(1);
-        let fair = self.max as u64 * u64::from(weight) / all;
-        share.in_flight as u64 >= fair.max(1)
+        let weights = self.weights.max(1);
+        let fair_share = self.max as u64 * u64::from(weight) / weights;
+        share.in_flight as u64 >= fair_share.max(1)
     }
 }
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,30 +1,29 @@
-//! Balancer of targets, as hosts that share all targets see them.
+//! Load balancing among hosts that share all targets.
 //!
-//! A target runs so many requests at once, its places, and queues the rest in
-//! the order of arrival. Every host counts what it runs itself and is told what
-//! its peers run, so each knows within milliseconds where places are free, and
-//! nobody asks targets. Online requests go where a place is free; where none is,
-//! an item of a job is cut to make one, since it can go on elsewhere later.
+//! A target runs a fixed number of requests concurrently, its slots, and queues the rest in
+//! order of arrival. Every host counts the requests that it runs itself and receives the counts
+//! of its peers, so each host knows within milliseconds which slots are free, without querying
+//! targets. Online requests are sent to a target with a free slot. If there is none, an item
+//! of a batch job is preempted to free one, since it can be resumed later on any target.
 //!
 //! ```
 //! use std::time::Instant;
 //! use notchwharf_routing::balancer::{Config, Balancer, SlotSource, Spec, Criteria};
 //!
 //! let now = Instant::now();
-//! let mut places = Balancer::new(Config { reserve: 0, ..Config::default() }, 7);
+//! let mut balancer = Balancer::new(Config { reserve: 0, ..Config::default() }, 7);
 //! let spec = Spec { service: "s".into(), data_centre: "d".into(), slots: 1, ..Spec::default() };
-//! places.upsert("t1", spec);
-//! let want = Criteria { service: "s", data_centre: "d", affinity: 0, tried: &[], objective: None, ahead: Default::default() };
-//! let item = places.choose_batch(&want, now).unwrap();
-//! places.begin_batch(&item);
-//! let choice = places.choose_online(&want, now).unwrap();
+//! balancer.upsert("t1", spec);
+//! let criteria = Criteria { service: "s", data_centre: "d", affinity: 0, tried: &[], objective: None, ahead: Default::default() };
+//! let item = balancer.choose_batch(&criteria, now).unwrap();
+//! balancer.begin_batch(&item);
+//! let choice = balancer.choose_online(&criteria, now).unwrap();
 //! assert_eq!(choice.room, SlotSource::PreemptOwn);
 //! ```
 //!
-//! Asking targets for their load was rejected: what they report is some hundred
-//! milliseconds old, and each question is a request. A holder for each target,
-//! as [`crate::slots`] has it, was rejected for this use: a place that it gives
-//! away costs a message there and back before the request goes out.
+//! Alternatives rejected: querying targets for their load (each query is a request, and the
+//! reported load is some hundred milliseconds old), and a lease holder per target as in
+//! [`crate::slots`] (assigning a slot costs a round trip before the request is sent).
 
 mod choice;
 mod closed;
@@ -54,31 +53,30 @@
 pub type TargetId = String;
 /// The name of a host.
 pub type HostId = String;
-/// A short form of a target's name, for messages between hosts.
+/// A hash of a target's name, which identifies the target in messages between hosts.
 pub type TargetKey = u32;
 
-/// Time for which no item is started at a target that online requests had filled:
-/// in a burst its places are taken again within that time, and an item costs its
-/// prompt anew with each start. It is as long as a place of eight takes to fall
-/// free there; with 200 ms, a tenth of the time between bursts went by before
-/// items ran again. A target that items have filled is as good as any: resting
-/// there too left places idle all the time that items waited.
-const REST: Duration = Duration::from_millis(60);
-/// Time for which places are left to other hosts whose items come first: twice
-/// what their news takes between data centres, so that a host that does not
-/// take its turn, being slow or frozen, holds nobody up.
-const TURN: Duration = Duration::from_millis(30);
-/// Share of a new measurement in the running mean of durations.
+/// Time for which no item is started at a target whose slots online requests had filled.
+///
+/// During a burst the slots are taken again within this time, and every restart of an item
+/// processes its prompt again. It is the time after which one of eight slots is released; with
+/// 200 ms, items paused for a tenth of the time between bursts. A target filled by items has no
+/// such cooldown, which left slots idle while items were waiting.
+const FULL_COOLDOWN: Duration = Duration::from_millis(60);
+/// Time for which free slots are left to hosts with earlier items: twice the delay of updates
+/// between data centres, so that a slow or frozen host does not block the others.
+const YIELD_TIMEOUT: Duration = Duration::from_millis(30);
+/// Weight of a new measurement in the moving average of request durations.
 const DURATION_WEIGHT: f64 = 0.05;
 
-/// How places are given away.
+/// Configuration of a [`Balancer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Balancer of each target that items leave free for online requests.
+    /// Slots of each target that items leave free for online requests.
     pub reserve: u32,
-    /// Requests that may wait in a target's queue, for each of its places,
-    /// before more are refused. 3 by default: a place falls free several
-    /// times a second, so a longer queue outlasts any objective.
+    /// Requests that may wait in a target's queue per slot before further ones are rejected.
+    /// 3 by default: a slot is released several times a second, so the wait in a longer queue
+    /// exceeds any latency objective.
     pub queue_per_slot: u32,
 }
 
@@ -91,21 +89,21 @@
     }
 }
 
-/// What is known of a target.
+/// The properties of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spec {
-    /// The service that it offers.
+    /// The service that it provides.
     pub service: String,
-    /// Where it stands.
+    /// The data centre in which it runs.
     pub data_centre: String,
-    /// Where it answers.
+    /// The address at which it accepts requests.
     pub addr: SocketAddr,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it must get nothing new.
+    /// Whether it is shutting down and must not receive new requests.
     pub is_leaving: bool,
-    /// The time of day at which it started, if it tells; another one under the
-    /// same name means that it started anew and knows nothing of before.
+    /// The wall-clock time at which it started, if reported. A different value under the same
+    /// name means that the target restarted and lost its state.
     pub started_unix_ms: Option<u64>,
     /// Remaining time for which the target is cold and sustains a lower request rate.
     pub cold_left: Duration,
@@ -125,34 +123,33 @@
     }
 }
 
-/// What is wanted of a target.
+/// The criteria by which a target is chosen for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
-    /// The service.
+    /// The requested service.
     pub service: &'a str,
-    /// Where the host stands.
+    /// The data centre of this host.
     pub data_centre: &'a str,
-    /// A hash of the prompt's shared beginning.
+    /// A hash of the prompt prefix shared among requests.
     pub affinity: u64,
-    /// Targets that were tried already.
+    /// Targets that were already tried and are excluded.
     pub tried: &'a [TargetId],
-    /// Time to the first event that the caller hopes for; nothing if any will
-    /// do.
+    /// The time to the first event that the caller expects at most; `None` if there is no limit.
     pub objective: Option<Duration>,
-    /// Items of other hosts to which free places are left.
+    /// Earlier items of other hosts, for which free slots are left.
     pub ahead: Ahead,
 }
 
-/// How the request finds room.
+/// How a request obtains a slot of the chosen target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotSource {
-    /// A place is free.
+    /// A slot is free.
     Free,
-    /// An item of this host is to be cut.
+    /// An item of this host must be preempted.
     PreemptOwn,
-    /// An item of that peer is to be cut.
+    /// An item of the given peer must be preempted.
     PreemptPeer(HostId),
-    /// It waits in the target's queue.
+    /// The request waits in the target's queue.
     Queue,
 }
 
@@ -161,23 +158,23 @@
 pub struct Choice {
     /// The target.
     pub target: TargetId,
-    /// Where it answers.
+    /// The address at which it accepts requests.
     pub addr: SocketAddr,
-    /// How the request finds room there.
+    /// How the request obtains a slot there.
     pub slot_source: SlotSource,
 }
 
-/// Why no target was chosen; nothing was sent.
+/// Why no target was chosen. The request was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No target offers the service.
+    /// No target provides the service.
     NoTarget {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// Every target that offers it is full.
+    /// Every target that provides the service is full.
     Full {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
 }
@@ -192,11 +189,13 @@
     /// The maximum number of concurrent requests; below `spec.slots` while the target is cold
     /// and its rate is limited.
     slots: u32,
+    /// Requests of this host.
     own: Load,
+    /// Requests of all other hosts, as last reported.
     others: Load,
-    /// Peers at which it fails.
-    failing_at: u32,
-    /// When online requests had all its places, as far as known.
+    /// Number of peers that report the target as failing.
+    failing_peers: u32,
+    /// When online requests were last known to occupy all slots.
     full_at: Option<Instant>,
     health: Health,
 }
@@ -209,25 +208,25 @@
     }
 
     fn is_ejected(&self, now: Instant) -> bool {
-        self.failing_at > 0 || self.health.is_ejected(now)
+        self.failing_peers > 0 || self.health.is_ejected(now)
     }
 
-    fn note_load(&mut self, now: Instant) {
+    fn update_full_at(&mut self, now: Instant) {
         if self.load().online >= self.slots {
             self.full_at = Some(now);
         }
     }
 
-    /// Returns whether online requests filled it a moment ago: an item that starts there is
-    /// likely to be cut before it gets anywhere.
-    fn was_full(&self, now: Instant) -> bool {
-        let since = self.full_at.map(|at| now.saturating_duration_since(at));
-        since.is_some_and(|since| since < REST)
+    /// Returns whether online requests recently filled it, in which case an item started there
+    /// is likely to be preempted before it makes progress.
+    fn was_recently_full(&self, now: Instant) -> bool {
+        let elapsed = self.full_at.map(|at| now.saturating_duration_since(at));
+        elapsed.is_some_and(|elapsed| elapsed < FULL_COOLDOWN)
     }
 
-    /// Returns how many places are open to items.
-    fn open(&self, now: Instant) -> u32 {
-        if self.was_full(now) {
+    /// Returns the number of free slots that items may take.
+    fn free_for_items(&self, now: Instant) -> u32 {
+        if self.was_recently_full(now) {
             return 0;
         }
         self.free()
@@ -244,14 +243,14 @@
     }
 }
 
-/// Balancer as one host sees them.
+/// The targets, their load and their health as known to one host.
 #[derive(Debug)]
 pub struct Balancer {
     cfg: Config,
     targets: HashMap<TargetId, Target>,
     keys: HashMap<TargetKey, TargetId>,
     /// Targets at which this host runs requests.
-    busy: HashSet<TargetId>,
+    active: HashSet<TargetId>,
     /// Data centres whose targets receive no new requests.
     evacuated: HashSet<String>,
     /// The times until which targets are cold.
@@ -259,29 +258,29 @@
     /// The rates that cold targets of a service sustain, in requests per second.
     cold_rates: HashMap<String, f64>,
     peers: HashMap<HostId, Peer>,
-    /// What the hosts of other cells run, by the cell's name.
+    /// The total load of the hosts of each other cell, by cell name.
     cells: HashMap<String, Peer>,
-    /// How long online requests of a service usually take, in seconds.
+    /// The average duration of online requests by service, in seconds.
     durations_s: HashMap<String, f64>,
-    /// Since when items have found places at a service's targets.
+    /// The time since which a service's targets have had slots for items.
     open_since: HashMap<String, Instant>,
     rng: ChaCha8Rng,
 }
 
-/// Returns the short form of a target's name.
+/// Returns the key of a target.
 pub fn key_of(id: &str) -> TargetKey {
-    // The low half is as good a hash as the whole.
+    // The low half of the hash is as uniformly distributed as the whole.
     xxh3_64(id.as_bytes()) as TargetKey
 }
 
 impl Balancer {
-    /// Returns places without targets.
+    /// Returns a balancer without targets.
     pub fn new(cfg: Config, seed: u64) -> Self {
         Self {
             cfg,
             targets: HashMap::new(),
             keys: HashMap::new(),
-            busy: HashSet::new(),
+            active: HashSet::new(),
             evacuated: HashSet::new(),
             cold_until: HashMap::new(),
             cold_rates: HashMap::new(),
@@ -293,7 +292,7 @@
         }
     }
 
-    /// Takes in what is known of a target.
+    /// Adds a target or updates its properties.
     pub fn upsert(&mut self, id: &str, spec: Spec) {
         let is_closed = spec.is_leaving || self.evacuated.contains(&spec.data_centre);
         if let Some(target) = self.targets.get_mut(id) {
@@ -302,7 +301,7 @@
                 target.slots = spec.slots;
             }
             if target.spec.started_unix_ms != spec.started_unix_ms {
-                // How it answered, and that it was full, was before it started anew.
+                // The target restarted: earlier responses and load don't apply any more.
                 target.health = Health::default();
                 target.full_at = None;
             }
@@ -311,10 +310,10 @@
         }
         let key = key_of(id);
         let mut others = Load::default();
-        let mut failing_at = 0;
+        let mut failing_peers = 0;
         for peer in self.peers.values() {
             others.add(peer.load(key).unwrap_or_default());
-            failing_at += u32::from(peer.failing.contains(&key));
+            failing_peers += u32::from(peer.failing.contains(&key));
         }
         for cell in self.cells.values() {
             others.add(cell.load(key).unwrap_or_default());
@@ -326,7 +325,7 @@
             spec,
             own: Load::default(),
             others,
-            failing_at,
+            failing_peers,
             full_at: None,
             health: Health::default(),
         };
@@ -334,21 +333,21 @@
         self.targets.insert(id.to_owned(), target);
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn remove(&mut self, id: &str) {
         if let Some(target) = self.targets.remove(id) {
             self.keys.remove(&target.key);
-            self.busy.remove(id);
+            self.active.remove(id);
             self.cold_until.remove(id);
         }
     }
 
-    /// Returns what is known of a target.
+    /// Returns the properties of a target.
     pub fn spec(&self, id: &str) -> Option<&Spec> {
         self.targets.get(id).map(|t| &t.spec)
     }
 
-    /// Returns the name behind the short form of a target.
+    /// Returns the name of the target with the given key.
     pub fn id_of(&self, key: TargetKey) -> Option<&TargetId> {
         self.keys.get(&key)
     }
@@ -358,36 +357,36 @@
         self.targets.keys()
     }
 
-    /// Notes that a target could not be reached or broke off.
+    /// Records that a target could not be reached or closed the connection mid-response.
     pub fn record_connection_failure(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.health.failed(now);
+            target.health.record_connection_failure(now);
         }
     }
 
-    /// Notes that a target answered that it failed an online request.
+    /// Records that a target responded to an online request with a failure.
     pub fn record_request_failure(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.health.failed_request(now);
+            target.health.record_request_failure(now);
         }
     }
 
-    /// Notes that a target answered that it failed an item, which may be the
-    /// item's fault.
+    /// Records that a target responded to an item with a failure, which the item itself may
+    /// have caused.
     pub fn record_item_failure(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.health.failed_item(now);
+            target.health.record_item_failure(now);
         }
     }
 
-    /// Notes that a target was full and ran nothing of the request.
+    /// Records that a target rejected a request because it was full.
     pub fn record_rejection(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.health.refused(now);
+            target.health.record_rejection(now);
         }
     }
 
-    /// Notes how long a whole online request of a service took.
+    /// Records the total duration of an online request of a service.
     pub fn record_duration(&mut self, service: &str, took: Duration) {
         let took = took.as_secs_f64();
         match self.durations_s.get_mut(service) {
@@ -398,11 +397,11 @@
         }
     }
 
-    /// Notes that a target answered, and the time to its first event if there
-    /// was nothing else in the request's way.
+    /// Records that a target responded normally, with the time to the first event if nothing
+    /// but the target delayed it.
     pub fn record_success(&mut self, id: &str, first_event: Option<Duration>) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.health.answered(first_event);
+            target.health.record_success(first_event);
         }
     }
 }
--- a/crates/routing/src/balancer/choice.rs
+++ b/crates/routing/src/balancer/choice.rs
@@ -1,7 +1,7 @@
-//! Which target gets a request, and which item gives way.
+//! Selects the target of a request and the item that is preempted for it.
 //!
-//! Targets are compared by costs whose differences say what one thing is worth
-//! against another; only their order counts.
+//! Targets are compared by additive costs. The differences between the costs express how the
+//! criteria are weighed against each other; only the resulting order matters.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -17,44 +17,44 @@
 use super::HostId;
 use super::Refusal;
 use super::SlotSource;
-use super::TURN;
 use super::Target;
 use super::TargetId;
+use super::YIELD_TIMEOUT;
 use crate::items::peer_queues::Ahead;
 
-/// Cost of taking the last free place: another host may take it just now.
-const LAST_PLACE_COST: f64 = 1.0;
+/// Cost of taking the last free slot, which another host may be taking at the same time.
+const LAST_SLOT_COST: f64 = 1.0;
 
-/// Cost of a target in another data centre: bytes between data centres, a
-/// longer way, and news of its places that comes later. It exceeds the cost of
-/// a last place near by, which this host knows of at once.
+/// Cost of a target in another data centre: traffic between data centres, higher latency, and
+/// delayed load updates. It exceeds the cost of the last free slot in the own data centre, whose
+/// load is known sooner.
 const REMOTE_COST: f64 = 1.6;
 
-/// Free places by which a target in another data centre must exceed one near
-/// by to be given an item: half a target's places.
+/// Free slots by which a target in another data centre must exceed a local one to be chosen for
+/// an item: half of a target's slots.
 const REMOTE_BATCH_COST: f64 = 4.0;
 
-/// Greatest cost of a target that is unlikely to have the prompt's beginning.
+/// Maximum cost of a target that is unlikely to have the prompt prefix cached.
 const AFFINITY_COST: f64 = 0.5;
 
-/// Cost of a target that answers much slower than the others of its service.
+/// Cost of a target that responds much more slowly than the others of its service.
 const SLOW_COST: f64 = 5.0;
 
-/// Cost of cutting an item, above any free place.
-const CUT_COST: f64 = 10.0;
+/// Cost of preempting an item; exceeds that of any free slot.
+const PREEMPT_COST: f64 = 10.0;
 
-/// Cost of waiting in a target's queue, above any item to cut.
+/// Cost of waiting in a target's queue; exceeds that of any preemption.
 const QUEUE_COST: f64 = 100.0;
 
-/// Cost of each online request that the target has already, beside the above.
+/// Additional cost per online request already at the target.
 const ONLINE_COST: f64 = 0.05;
 
-/// Ejection counts as long as one in so many targets is ejected at most: what
-/// happens to more is not for each of them to answer for.
-const EJECTED_PART_MAX: usize = 2;
+/// Divisor of the number of targets that may be ejected at most. If more are, the cause is
+/// probably not the targets, and ejection is ignored.
+const EJECTED_DIVISOR: usize = 2;
 
-/// When to come back if no target takes the request: bursts last some seconds,
-/// and callers that come back together are the next one, so the time is drawn.
+/// Range of the random retry delay of rejected requests. Bursts last some seconds, and callers
+/// that retry at the same time cause the next one.
 const RETRY_AFTER_MS: Range<u64> = 300..1_200;
 
 impl Balancer {
@@ -62,18 +62,28 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal if no target is to be asked.
-    pub fn choose_online(&mut self, want: &Criteria<'_>, now: Instant) -> Result<Choice, Refusal> {
-        let usual = self.usual(want.service);
-        let all = self.are_most_ejected(want.service, now);
+    /// Returns a [`Refusal`] if no target is available.
+    pub fn choose_online(
+        &mut self,
+        criteria: &Criteria<'_>,
+        now: Instant,
+    ) -> Result<Choice, Refusal> {
+        let typical = self.typical(criteria.service);
+        let with_ejected = self.are_most_ejected(criteria.service, now);
         let best = self
-            .best(want, now, all, |t| online_cost(t, want, usual, self.cfg))
-            .or_else(|| self.best(want, now, true, |t| online_cost(t, want, usual, self.cfg)))
+            .best(criteria, now, with_ejected, |t| {
+                online_cost(t, criteria, typical, self.cfg)
+            })
+            .or_else(|| {
+                self.best(criteria, now, true, |t| {
+                    online_cost(t, criteria, typical, self.cfg)
+                })
+            })
             .cloned();
         let Some(id) = best else {
             let retry_after = Duration::from_millis(self.rng.random_range(RETRY_AFTER_MS));
             let mut targets = self.targets.values();
-            if targets.any(|t| t.spec.service == want.service && !t.is_closed) {
+            if targets.any(|t| t.spec.service == criteria.service && !t.is_closed) {
                 return Err(Refusal::Full { retry_after });
             }
             return Err(Refusal::NoTarget { retry_after });
@@ -81,50 +91,50 @@
         Ok(self.choice_at(id))
     }
 
-    /// Returns the choice of a target that is known.
+    /// Returns the choice of a known target.
     pub(super) fn choice_at(&self, id: TargetId) -> Choice {
         let target = &self.targets[&id];
         Choice {
             addr: target.spec.addr,
-            slot_source: self.room(target),
+            slot_source: self.slot_source(target),
             target: id,
         }
     }
 
-    /// Chooses the target of an item: one with places beyond the reserve.
-    pub fn choose_batch(&mut self, want: &Criteria<'_>, now: Instant) -> Option<TargetId> {
-        let all = self.are_most_ejected(want.service, now);
-        let targets = self.targets_of(want.service, all, now);
-        let spare = spare(targets.map(|(_, t)| t), self.cfg.reserve, now);
-        let open_since = self.note_open(want.service, spare > 0, now)?;
-        if spare <= want.ahead.items && !is_left_over(open_since, want.ahead, now) {
+    /// Chooses the target of an item: one with free slots beyond the reserve.
+    pub fn choose_batch(&mut self, criteria: &Criteria<'_>, now: Instant) -> Option<TargetId> {
+        let with_ejected = self.are_most_ejected(criteria.service, now);
+        let targets = self.targets_of(criteria.service, with_ejected, now);
+        let available = available_for_items(targets.map(|(_, t)| t), self.cfg.reserve, now);
+        let open_since = self.update_open_since(criteria.service, available > 0, now)?;
+        if available <= criteria.ahead.items && !is_unclaimed(open_since, criteria.ahead, now) {
             return None;
         }
-        let pace = self.usual_pace(want.service);
-        let draw: u64 = self.rng.random();
-        let best = self.best(want, now, all, |t| {
-            let spare = t.open(now);
-            if spare == 0 {
+        let typical = self.typical_first_event(criteria.service);
+        let seed: u64 = self.rng.random();
+        let best = self.best(criteria, now, with_ejected, |t| {
+            let free = t.free_for_items(now);
+            if free == 0 {
                 return None;
             }
-            let slow = if t.health.is_slow(pace) {
+            let slow = if t.health.is_slow(typical) {
                 SLOW_COST
             } else {
                 0.0
             };
-            let chance = unit(xxh3_64_with_seed(&t.key.to_le_bytes(), draw));
-            let far = if is_remote(t, want) {
+            let tie_break = unit(xxh3_64_with_seed(&t.key.to_le_bytes(), seed));
+            let remote = if is_remote(t, criteria) {
                 REMOTE_BATCH_COST
             } else {
                 0.0
             };
-            Some(slow - f64::from(spare) + far + chance)
+            Some(slow - f64::from(free) + remote + tie_break)
         });
         best.cloned()
     }
 
-    /// Notes whether items find places; returns since when they do.
-    fn note_open(&mut self, service: &str, is_open: bool, now: Instant) -> Option<Instant> {
+    /// Records whether slots are available for items; returns since when they have been.
+    fn update_open_since(&mut self, service: &str, is_open: bool, now: Instant) -> Option<Instant> {
         if !is_open {
             self.open_since.remove(service);
             return None;
@@ -136,21 +146,22 @@
         Some(now)
     }
 
-    /// Returns the targets at which this host should cut an item: there are
-    /// more requests than places, and no host has more items there.
+    /// Returns the targets at which this host should preempt an item: they have more requests
+    /// than slots, and no other host has more items there.
     pub fn overcommitted(&self, host: &str) -> Vec<TargetId> {
-        let busy = self
-            .busy
+        let active = self
+            .active
             .iter()
             .filter_map(|id| self.targets.get_key_value(id));
-        let mine = busy.filter(|(_, t)| t.own.batch > 0);
-        let over =
-            mine.filter(|(_, t)| t.load().total() > t.slots && self.most_items(t, host).is_none());
-        over.map(|(id, _)| id.clone()).collect()
+        let with_items = active.filter(|(_, t)| t.own.batch > 0);
+        let overcommitted = with_items.filter(|(_, t)| {
+            t.load().total() > t.slots && self.peer_with_most_items(t, host).is_none()
+        });
+        overcommitted.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns the peer that has more items at a target than this host, if any.
-    fn most_items(&self, target: &Target, host: &str) -> Option<&HostId> {
+    /// Returns the peer with the most items at a target, if it has more than this host.
+    fn peer_with_most_items(&self, target: &Target, host: &str) -> Option<&HostId> {
         let own = (target.own.batch, host);
         let peers = self.peers.iter().filter_map(|(id, peer)| {
             let load = peer.load(target.key)?;
@@ -161,14 +172,14 @@
         is_more.then_some(most.1)
     }
 
-    fn room(&self, target: &Target) -> SlotSource {
+    fn slot_source(&self, target: &Target) -> SlotSource {
         if target.free() > 0 {
             return SlotSource::Free;
         }
         if target.own.batch > 0 {
             return SlotSource::PreemptOwn;
         }
-        match self.most_items(target, "") {
+        match self.peer_with_most_items(target, "") {
             Some(host) => SlotSource::PreemptPeer(host.clone()),
             None => SlotSource::Queue,
         }
@@ -176,20 +187,20 @@
 
     pub(super) fn best(
         &self,
-        want: &Criteria<'_>,
+        criteria: &Criteria<'_>,
         now: Instant,
         with_ejected: bool,
         cost: impl Fn(&Target) -> Option<f64>,
     ) -> Option<&TargetId> {
-        let targets = self.targets_of(want.service, with_ejected, now);
-        let open = targets.filter(|(id, _)| !want.tried.contains(id));
+        let targets = self.targets_of(criteria.service, with_ejected, now);
+        let open = targets.filter(|(id, _)| !criteria.tried.contains(id));
         let costs = open.filter_map(|(id, t)| Some((cost(t)?, id)));
         let least = costs.min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
         least.map(|(_, id)| id)
     }
 
-    /// Returns a service's targets that get something new, without those that
-    /// are left alone unless these are to be asked too.
+    /// Returns a service's targets that receive new requests, including ejected ones only if
+    /// `with_ejected`.
     pub(super) fn targets_of(
         &self,
         service: &str,
@@ -201,91 +212,96 @@
         })
     }
 
-    /// Returns whether so many targets of a service are left alone that the
-    /// fault is more likely not theirs.
+    /// Returns whether so many targets of a service are ejected that the cause is probably not
+    /// the targets.
     pub(super) fn are_most_ejected(&self, service: &str, now: Instant) -> bool {
         let (mut all, mut ejected) = (0, 0);
         for (_, target) in self.targets_of(service, true, now) {
             all += 1;
             ejected += usize::from(target.is_ejected(now));
         }
-        ejected * EJECTED_PART_MAX > all
+        ejected * EJECTED_DIVISOR > all
     }
 
-    /// Returns what is usual at a service's targets.
-    pub(super) fn usual(&self, service: &str) -> Typical {
+    /// Returns the typical response times of a service's targets.
+    pub(super) fn typical(&self, service: &str) -> Typical {
         Typical {
-            pace: self.usual_pace(service),
+            first_event: self.typical_first_event(service),
             duration_s: self.durations_s.get(service).copied(),
         }
     }
 
-    /// Returns the usual time to a first event at a service's targets.
-    pub(super) fn usual_pace(&self, service: &str) -> Option<Duration> {
+    /// Returns the median time to the first event of a service's targets.
+    pub(super) fn typical_first_event(&self, service: &str) -> Option<Duration> {
         let of_service = self.targets.values().filter(|t| t.spec.service == service);
-        let mut paces: Vec<Duration> = of_service.filter_map(|t| t.health.pace()).collect();
-        let middle = paces.len() / 2;
-        let (_, median, _) = (!paces.is_empty()).then(|| paces.select_nth_unstable(middle))?;
+        let mut times: Vec<Duration> = of_service
+            .filter_map(|t| t.health.first_event_time())
+            .collect();
+        let middle = times.len() / 2;
+        let (_, median, _) = (!times.is_empty()).then(|| times.select_nth_unstable(middle))?;
         Some(*median)
     }
 }
 
-/// Returns whether those whose turn it was have not taken the places: these have
-/// been open for some time, and none of those has started an item.
-fn is_left_over(open_since: Instant, ahead: Ahead, now: Instant) -> bool {
+/// Returns whether the hosts with earlier items have not used the free slots: these have been
+/// available for some time, and none of those hosts has started an item since.
+fn is_unclaimed(open_since: Instant, ahead: Ahead, now: Instant) -> bool {
     let since = ahead
         .last_start_at
         .map_or(open_since, |at| at.max(open_since));
-    now.saturating_duration_since(since) >= TURN
+    now.saturating_duration_since(since) >= YIELD_TIMEOUT
 }
 
-/// Returns how many places of a service's targets items may take.
+/// Returns the number of slots of a service's targets that items may take.
 ///
-/// What stays free is shared by all of them and follows the online load: as
-/// many places as the number of requests that run varies by from moment to
-/// moment, its square root where they come independently. One of each target,
-/// whatever the load, left an eighth of all places idle while items were late.
-/// Steps of the load are larger; for these items are cut.
-fn spare<'a>(targets: impl Iterator<Item = &'a Target>, reserve: u32, now: Instant) -> u32 {
-    let (mut open, mut online, mut count) = (0, 0, 0);
+/// The reserve is shared by all targets and follows the online load: it is the standard
+/// deviation of the number of running requests, which is its square root if requests arrive
+/// independently. A fixed reserve of one slot per target left an eighth of all slots idle while
+/// items were late. Bursts exceed the reserve; items are preempted for them.
+fn available_for_items<'a>(
+    targets: impl Iterator<Item = &'a Target>,
+    reserve: u32,
+    now: Instant,
+) -> u32 {
+    let (mut free, mut online, mut count) = (0, 0, 0);
     for target in targets {
-        open += target.open(now);
+        free += target.free_for_items(now);
         online += target.load().online;
         count += 1;
     }
-    let varies_by = f64::from(online).sqrt().ceil() as u32;
-    open.saturating_sub(varies_by.clamp(reserve, reserve * count.max(1)))
+    let deviation = f64::from(online).sqrt().ceil() as u32;
+    free.saturating_sub(deviation.clamp(reserve, reserve * count.max(1)))
 }
 
-/// What is usual at the targets of a service.
+/// Typical response times of a service's targets.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Typical {
-    /// Time to a first event.
-    pace: Option<Duration>,
-    /// Time of a whole online request, in seconds.
+    /// Time to the first event.
+    first_event: Option<Duration>,
+    /// Duration of an online request, in seconds.
     duration_s: Option<f64>,
 }
 
 impl Typical {
-    /// Returns whether a request that waits behind others at a target is
-    /// likely to have its first event too late. Refused at once, its caller
-    /// may be served in time later, and those before it are.
-    fn is_too_late(self, target: &Target, objective: Option<Duration>) -> bool {
+    /// Returns whether a request queued at a target is likely to miss its objective. If it is
+    /// rejected immediately, the caller may be served in time on a retry, and the requests queued
+    /// before it are served in time.
+    fn would_miss_objective(self, target: &Target, objective: Option<Duration>) -> bool {
         let (Some(objective), Some(duration_s)) = (objective, self.duration_s) else {
             return false;
         };
         let slots = target.slots;
-        let behind = (target.load().online + 1).saturating_sub(slots);
-        let wait_s = f64::from(behind) * duration_s / f64::from(slots.max(1));
-        let pace = self.pace.unwrap_or_default();
-        behind > 0 && wait_s > objective.saturating_sub(pace).as_secs_f64()
+        let position = (target.load().online + 1).saturating_sub(slots);
+        let wait_s = f64::from(position) * duration_s / f64::from(slots.max(1));
+        let first_event = self.first_event.unwrap_or_default();
+        position > 0 && wait_s > objective.saturating_sub(first_event).as_secs_f64()
     }
 }
 
 pub(super) fn online_cost(
     target: &Target,
-    want: &Criteria<'_>,
-    usual: Typical,
+    criteria: &Criteria<'_>,
+    typical: Typical,
     cfg: Config,
 ) -> Option<f64> {
     let load = target.load();
@@ -298,33 +314,33 @@
     if load.online >= slots * (1 + queue_per_slot) {
         return None;
     }
-    if usual.is_too_late(target, want.objective) {
+    if typical.would_miss_objective(target, criteria.objective) {
         return None;
     }
-    let spread = target.key.to_le_bytes();
-    let likely = unit(xxh3_64_with_seed(&spread, want.affinity));
-    let mut cost = likely * AFFINITY_COST;
-    if is_remote(target, want) {
+    let key = target.key.to_le_bytes();
+    let distance = unit(xxh3_64_with_seed(&key, criteria.affinity));
+    let mut cost = distance * AFFINITY_COST;
+    if is_remote(target, criteria) {
         cost += REMOTE_COST;
     }
     cost += f64::from(load.online) * ONLINE_COST;
-    if target.health.is_slow(usual.pace) {
+    if target.health.is_slow(typical.first_event) {
         cost += SLOW_COST;
     }
     cost += match target.free() {
-        0 if load.online < slots => CUT_COST,
+        0 if load.online < slots => PREEMPT_COST,
         0 => QUEUE_COST * f64::from(load.total() + 1 - slots),
-        1 => LAST_PLACE_COST,
+        1 => LAST_SLOT_COST,
         _ => 0.0,
     };
     Some(cost)
 }
 
-pub(super) fn is_remote(target: &Target, want: &Criteria<'_>) -> bool {
-    target.spec.data_centre != want.data_centre
+pub(super) fn is_remote(target: &Target, criteria: &Criteria<'_>) -> bool {
+    target.spec.data_centre != criteria.data_centre
 }
 
-/// Returns a hash as a fraction from zero to one.
+/// Maps a hash to a fraction between zero and one.
 fn unit(hash: u64) -> f64 {
     hash as f64 / u64::MAX as f64
 }
--- a/crates/routing/src/balancer/free.rs
+++ b/crates/routing/src/balancer/free.rs
@@ -1,10 +1,10 @@
-//! Balancer that a host may take as free, and how soon others fall free.
+//! Slots that are reliably free, and the rate at which others are released.
 //!
-//! What runs at targets near by is known within milliseconds. What runs elsewhere is up to
-//! some tenths of a second old, and a place that was free then has mostly been taken when
-//! all places are short: a request that is sent there waits in the target's queue, behind
-//! those of the hosts near it. So a target elsewhere has room only beyond the places that
-//! are likely to have been taken since.
+//! The load of targets in the same data centre is known within milliseconds. The load of remote
+//! targets is up to some tenths of a second old, and when slots are scarce, one that was free
+//! then has mostly been taken since: a request sent there waits in the target's queue behind
+//! those of the target's local hosts. A remote target is therefore considered free only beyond
+//! the slots that have probably been taken since its last update.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,128 +20,127 @@
 use super::choice::is_remote;
 use super::choice::online_cost;
 
-/// Part of a target's places that may have been taken since the news of it, if it stands
-/// elsewhere: a request runs for some half a second or more, and news is a tenth or two
-/// old.
-const DOUBT_PART: u32 = 4;
+/// Divisor of a remote target's slots that may have been taken since its last update: a request
+/// runs for half a second or more, and an update is one or two tenths of a second old.
+const STALE_DIVISOR: u32 = 4;
 
-/// What a request that waits for a place can count on.
+/// Slots that a waiting request can expect to obtain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Availability {
-    /// Targets near by, or all if none is near, at which online requests have not taken all
-    /// places, with the number of these.
+    /// Targets whose slots are not all taken by online requests, with the number of remaining
+    /// slots; only local targets, unless there are none.
     pub free: Vec<(TargetKey, u32)>,
-    /// Balancer near by that fall free in a second when all are taken; nothing if nobody
-    /// knows how long requests take.
+    /// Slots that the considered targets release per second when all are taken; `None` if the
+    /// request duration is unknown.
     pub releases_per_s: Option<f64>,
-    /// Whether there are targets in the host's own data centre.
+    /// Whether there are targets in the data centre of this host.
     pub has_local: bool,
 }
 
 impl Balancer {
-    /// Chooses a target for an online request at which a place is free for certain, or is
-    /// an item's; nothing if there is none. `spoken_for` says how many places of a target,
-    /// by its data centre, are for other requests.
+    /// Chooses a target for an online request with a slot that is reliably free or occupied by
+    /// an item. `reserved` returns the number of slots of a target, given its data centre, that
+    /// are reserved for other requests.
     pub fn choose_free(
         &mut self,
-        want: &Criteria<'_>,
-        spoken_for: impl Fn(TargetKey, &str) -> u32,
+        criteria: &Criteria<'_>,
+        reserved: impl Fn(TargetKey, &str) -> u32,
         now: Instant,
     ) -> Option<Choice> {
-        let usual = self.usual(want.service);
-        let all = self.are_most_ejected(want.service, now);
-        let has_near = self.has_near(want, all, now);
-        let id = self.best(want, now, all, |t| {
-            let is_far = has_near && is_remote(t, want);
-            let doubt = if is_far { t.slots / DOUBT_PART } else { 0 };
-            let others = spoken_for(t.key, &t.spec.data_centre).saturating_add(doubt);
-            let has_room = t.load().online.saturating_add(others) < t.slots;
-            has_room.then(|| online_cost(t, want, usual, self.cfg))?
+        let typical = self.typical(criteria.service);
+        let with_ejected = self.are_most_ejected(criteria.service, now);
+        let has_local = self.has_local(criteria, with_ejected, now);
+        let id = self.best(criteria, now, with_ejected, |t| {
+            let is_stale = has_local && is_remote(t, criteria);
+            let taken_since = if is_stale { t.slots / STALE_DIVISOR } else { 0 };
+            let unavailable = reserved(t.key, &t.spec.data_centre).saturating_add(taken_since);
+            let is_free = t.load().online.saturating_add(unavailable) < t.slots;
+            is_free.then(|| online_cost(t, criteria, typical, self.cfg))?
         });
         Some(self.choice_at(id?.clone()))
     }
 
-    /// Returns the choice of a place that was handed to a request; nothing if that target is
-    /// not for it.
+    /// Returns the choice of a target whose slot another host transferred to a request, or `None`
+    /// if the target does not meet the criteria.
     pub fn choose_transferred(
         &self,
-        want: &Criteria<'_>,
+        criteria: &Criteria<'_>,
         id: &TargetId,
         now: Instant,
     ) -> Option<Choice> {
         let target = self.targets.get(id)?;
-        let is_for_it = target.spec.service == want.service && !want.tried.contains(id);
-        if !is_for_it || target.is_closed || target.is_ejected(now) {
+        let is_suitable = target.spec.service == criteria.service && !criteria.tried.contains(id);
+        if !is_suitable || target.is_closed || target.is_ejected(now) {
             return None;
         }
         let mut choice = self.choice_at(id.clone());
         if choice.slot_source == SlotSource::Queue {
-            // The host that hands it over has not told yet that its request has ended.
+            // The host that transferred the slot has not yet reported the end of its request.
             choice.slot_source = SlotSource::Free;
         }
         Some(choice)
     }
 
-    /// Returns whether a place of a target may be handed to a request that waits: one is
-    /// free of online requests.
+    /// Returns whether a slot of a target may be transferred to a waiting request: the target is
+    /// local and online requests don't occupy all of its slots.
     pub fn can_transfer(&self, id: &str, data_centre: &str, now: Instant) -> bool {
         let target = self.targets.get(id);
         target.is_some_and(|t| {
-            let is_near = t.spec.data_centre == data_centre;
-            is_near && !t.is_closed && !t.is_ejected(now) && t.load().online < t.slots
+            let is_local = t.spec.data_centre == data_centre;
+            is_local && !t.is_closed && !t.is_ejected(now) && t.load().online < t.slots
         })
     }
 
-    /// Returns what this host runs at targets elsewhere, by data centre.
+    /// Returns the load of this host at remote targets, by data centre.
     pub fn own_remote_loads(&self, data_centre: &str) -> BTreeMap<String, Vec<(TargetKey, Load)>> {
-        let mut elsewhere: BTreeMap<String, Vec<(TargetKey, Load)>> = BTreeMap::new();
-        let targets = self.busy.iter().filter_map(|id| self.targets.get(id));
+        let mut remote: BTreeMap<String, Vec<(TargetKey, Load)>> = BTreeMap::new();
+        let targets = self.active.iter().filter_map(|id| self.targets.get(id));
         for target in targets.filter(|t| t.spec.data_centre != data_centre) {
-            let loads = elsewhere.entry(target.spec.data_centre.clone());
+            let loads = remote.entry(target.spec.data_centre.clone());
             loads.or_default().push((target.key, target.own));
         }
-        elsewhere
+        remote
     }
 
-    /// Returns whether a request could be sent anywhere that it was not sent before.
-    pub fn has_untried(&self, want: &Criteria<'_>) -> bool {
+    /// Returns whether there is a target that has not been tried for a request.
+    pub fn has_untried(&self, criteria: &Criteria<'_>) -> bool {
         self.targets.iter().any(|(id, t)| {
-            t.spec.service == want.service && !t.is_closed && !want.tried.contains(id)
+            t.spec.service == criteria.service && !t.is_closed && !criteria.tried.contains(id)
         })
     }
 
-    /// Returns what a request that waits for a place can count on.
-    pub fn availability(&self, want: &Criteria<'_>, now: Instant) -> Availability {
-        let all = self.are_most_ejected(want.service, now);
-        let has_near = self.has_near(want, all, now);
-        let mut open = Vec::new();
+    /// Returns the slots that a waiting request can expect to obtain.
+    pub fn availability(&self, criteria: &Criteria<'_>, now: Instant) -> Availability {
+        let with_ejected = self.are_most_ejected(criteria.service, now);
+        let has_local = self.has_local(criteria, with_ejected, now);
+        let mut free = Vec::new();
         let mut slots = 0;
-        for (_, target) in self.targets_of(want.service, all, now) {
-            if has_near && is_remote(target, want) {
+        for (_, target) in self.targets_of(criteria.service, with_ejected, now) {
+            if has_local && is_remote(target, criteria) {
                 continue;
             }
-            let free = target.slots.saturating_sub(target.load().online);
-            if free > 0 {
-                open.push((target.key, free));
+            let remaining = target.slots.saturating_sub(target.load().online);
+            if remaining > 0 {
+                free.push((target.key, remaining));
             }
             slots += target.slots;
         }
-        let duration_s = self.durations_s.get(want.service);
+        let duration_s = self.durations_s.get(criteria.service);
         let duration_s = duration_s.filter(|duration_s| **duration_s > 0.0);
         Availability {
-            free: open,
+            free,
             releases_per_s: duration_s.map(|duration_s| f64::from(slots) / duration_s),
-            has_local: has_near,
+            has_local,
         }
     }
 
-    /// Returns the usual time to a first event once a request has begun.
+    /// Returns the median time to the first event of a service's targets, from the start of a run.
     pub fn typical_first_event_time(&self, service: &str) -> Duration {
-        self.usual_pace(service).unwrap_or_default()
+        self.typical_first_event(service).unwrap_or_default()
     }
 
-    fn has_near(&self, want: &Criteria<'_>, with_ejected: bool, now: Instant) -> bool {
-        let mut targets = self.targets_of(want.service, with_ejected, now);
-        targets.any(|(_, t)| !is_remote(t, want))
+    fn has_local(&self, criteria: &Criteria<'_>, with_ejected: bool, now: Instant) -> bool {
+        let mut targets = self.targets_of(criteria.service, with_ejected, now);
+        targets.any(|(_, t)| !is_remote(t, criteria))
     }
 }
--- a/crates/routing/src/balancer/health.rs
+++ b/crates/routing/src/balancer/health.rs
@@ -1,73 +1,74 @@
-//! Whether a target is worth asking, judged by what requests met there.
+//! Passive health checking: outlier detection based on the responses of a target.
 //!
-//! Health checks were rejected: they cost a request each, and a target can
-//! answer them well and its callers badly.
+//! Active health checks were rejected: each costs a request, and a target can pass them while
+//! failing its callers.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// First pause after a target failed: about ten objectives' worth of requests
-/// go elsewhere meanwhile.
+/// Duration of the first ejection after a failure; the requests of about ten latency objectives
+/// go to other targets meanwhile.
 const EJECT_MIN: Duration = Duration::from_millis(400);
-/// Longest pause after a target failed again and again.
+/// Maximum duration of an ejection after repeated failures.
 const EJECT_MAX: Duration = Duration::from_secs(5);
-/// Pause after a target was full: its queue moves several times a second.
-const FULL_PAUSE: Duration = Duration::from_millis(60);
-/// Share of a new measurement in the running mean.
-const PACE_WEIGHT: f64 = 0.3;
-/// How many times slower than usual a target is before it counts as slow.
+/// Duration of an ejection after the target was full: its queue advances several times a second.
+const FULL_EJECT: Duration = Duration::from_millis(60);
+/// Weight of a new measurement in the moving average of first-event times.
+const FIRST_EVENT_WEIGHT: f64 = 0.3;
+/// Factor by which a target's first-event time exceeds the service's median if it is slow.
 const SLOW_FACTOR: f64 = 2.5;
-/// Share of a new answer in the running share of failures.
-const FAULT_WEIGHT: f64 = 0.25;
-/// The same for a failed online request. Sound targets hardly ever fail one,
-/// and a target that fails at once draws more than its share of the next.
-const ONLINE_FAULT_WEIGHT: f64 = 0.45;
-/// Share of failures from which a target is left alone: one failed online
-/// request reaches it, or two failed items in a row; items that fail wherever
-/// they run do not.
-const FAULT_MAX: f64 = 0.4;
-/// Share of failures below which a target's earlier ones are forgotten.
-const FAULT_FORGOTTEN: f64 = 0.1;
-
-/// What requests met at a target.
+/// Weight of a new response in the moving average of the failure rate.
+const FAILURE_WEIGHT: f64 = 0.25;
+/// Weight of a failed online request. Healthy targets hardly ever fail one, and a target that
+/// fails immediately looks idle and attracts more than its share of the following requests.
+const ONLINE_FAILURE_WEIGHT: f64 = 0.45;
+/// Failure rate above which a target is ejected. One failed online request or two failed items
+/// in a row exceed it; items that fail on any target do not.
+const FAILURE_RATE_MAX: f64 = 0.4;
+/// Failure rate below which the ejection backoff is reset.
+const FAILURE_RATE_RESET: f64 = 0.1;
+
+/// The health of a target, derived from its responses.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
     ejected_until: Option<Instant>,
-    /// Ejections since the target was last sound.
+    /// Ejections since the target was last healthy.
     ejections: u32,
-    faults: f64,
-    pace_s: Option<f64>,
-    /// Whether the pause is for failures, and not for a full queue.
+    failure_rate: f64,
+    /// Moving average of the time to the first event, in seconds.
+    first_event_s: Option<f64>,
+    /// Whether the current ejection is due to failures rather than a full queue.
     is_failing: bool,
 }
 
 impl Health {
-    /// Notes that it could not be reached or broke off.
-    pub(super) fn failed(&mut self, now: Instant) {
-        self.faults = self.faults.max(FAULT_MAX);
+    /// Records that the target could not be reached or closed the connection mid-response.
+    pub(super) fn record_connection_failure(&mut self, now: Instant) {
+        self.failure_rate = self.failure_rate.max(FAILURE_RATE_MAX);
         self.eject(now);
     }
 
-    /// Notes that it answered an online request that it failed.
-    pub(super) fn failed_request(&mut self, now: Instant) {
-        self.note_fault(ONLINE_FAULT_WEIGHT, now);
+    /// Records that the target responded to an online request with a failure.
+    pub(super) fn record_request_failure(&mut self, now: Instant) {
+        self.record_weighted_failure(ONLINE_FAILURE_WEIGHT, now);
     }
 
-    /// Notes that it answered that it failed an item, which may be the item's
-    /// fault.
-    pub(super) fn failed_item(&mut self, now: Instant) {
-        self.note_fault(FAULT_WEIGHT, now);
+    /// Records that the target responded to an item with a failure, which the item itself may
+    /// have caused.
+    pub(super) fn record_item_failure(&mut self, now: Instant) {
+        self.record_weighted_failure(FAILURE_WEIGHT, now);
     }
 
-    /// Notes that it fails a peer: the next failure here is not the first.
-    pub(super) fn suspected(&mut self) {
-        self.faults = self.faults.max(FAULT_MAX);
+    /// Records that a peer reports failures of the target, so that the next failure at this host
+    /// counts as a repeated one.
+    pub(super) fn record_peer_failure(&mut self) {
+        self.failure_rate = self.failure_rate.max(FAILURE_RATE_MAX);
         self.ejections = self.ejections.max(1);
     }
 
-    fn note_fault(&mut self, weight: f64, now: Instant) {
-        self.faults += (1.0 - self.faults) * weight;
-        if self.faults > FAULT_MAX {
+    fn record_weighted_failure(&mut self, weight: f64, now: Instant) {
+        self.failure_rate += (1.0 - self.failure_rate) * weight;
+        if self.failure_rate > FAILURE_RATE_MAX {
             self.eject(now);
         }
     }
@@ -76,55 +77,55 @@
         if self.is_ejected(now) && self.is_failing {
             return;
         }
-        let pause = EJECT_MIN * 2u32.saturating_pow(self.ejections.min(8));
+        let duration = EJECT_MIN * 2u32.saturating_pow(self.ejections.min(8));
         self.ejections = self.ejections.saturating_add(1);
         self.is_failing = true;
-        self.pause(now + pause.min(EJECT_MAX));
+        self.extend_ejection(now + duration.min(EJECT_MAX));
     }
 
-    /// Notes that it was full.
-    pub(super) fn refused(&mut self, now: Instant) {
+    /// Records that the target rejected a request because it was full.
+    pub(super) fn record_rejection(&mut self, now: Instant) {
         if !self.is_ejected(now) {
             self.is_failing = false;
         }
-        self.pause(now + FULL_PAUSE);
+        self.extend_ejection(now + FULL_EJECT);
     }
 
-    fn pause(&mut self, until: Instant) {
+    fn extend_ejection(&mut self, until: Instant) {
         self.ejected_until = self.ejected_until.max(Some(until));
     }
 
-    /// Notes that it answered well.
-    pub(super) fn answered(&mut self, first_event: Option<Duration>) {
-        self.faults *= 1.0 - FAULT_WEIGHT;
-        if self.faults < FAULT_FORGOTTEN {
+    /// Records that the target responded normally.
+    pub(super) fn record_success(&mut self, first_event: Option<Duration>) {
+        self.failure_rate *= 1.0 - FAILURE_WEIGHT;
+        if self.failure_rate < FAILURE_RATE_RESET {
             self.ejections = 0;
         }
         let Some(took) = first_event else {
             return;
         };
         let took = took.as_secs_f64();
-        let mean = self.pace_s.unwrap_or(took);
-        self.pace_s = Some(mean + (took - mean) * PACE_WEIGHT);
+        let mean = self.first_event_s.unwrap_or(took);
+        self.first_event_s = Some(mean + (took - mean) * FIRST_EVENT_WEIGHT);
     }
 
     pub(super) fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether it is left alone since it fails.
+    /// Returns whether the target is ejected because of failures.
     pub(super) fn is_failing(&self, now: Instant) -> bool {
         self.is_failing && self.is_ejected(now)
     }
 
-    pub(super) fn pace(&self) -> Option<Duration> {
-        self.pace_s.map(Duration::from_secs_f64)
+    pub(super) fn first_event_time(&self) -> Option<Duration> {
+        self.first_event_s.map(Duration::from_secs_f64)
     }
 
-    pub(super) fn is_slow(&self, usual: Option<Duration>) -> bool {
-        let (Some(pace), Some(usual)) = (self.pace_s, usual) else {
+    pub(super) fn is_slow(&self, typical: Option<Duration>) -> bool {
+        let (Some(own), Some(typical)) = (self.first_event_s, typical) else {
             return false;
         };
-        pace > usual.as_secs_f64() * SLOW_FACTOR
+        own > typical.as_secs_f64() * SLOW_FACTOR
     }
 }
--- a/crates/routing/src/items.rs
+++ b/crates/routing/src/items.rs
@@ -1,9 +1,9 @@
-//! Which item of a job runs next, and which gives way.
+//! Scheduling and preemption of batch job items.
 //!
-//! Decisions on items are here, without I/O or clocks, so that a test or a load
-//! player runs the code that runs in production. [`queue`] orders the items of
-//! one host, [`turn`] the hosts when a place falls free, [`spare`] tells which
-//! running item gives way, and [`usual`] how long one still takes.
+//! These decisions use neither I/O nor clocks, so that tests and load simulations run the
+//! production code. [`queue`] orders the items of one host, [`peer_queues`] decides which host may
+//! take a free slot, [`preemption`] selects the running item to preempt, and [`estimate`]
+//! predicts the remaining duration of an item.
 
 pub mod estimate;
 pub mod peer_queues;
--- a/crates/routing/src/items/peer_queues.rs
+++ b/crates/routing/src/items/peer_queues.rs
@@ -1,30 +1,29 @@
-//! Whose turn it is when a place falls free.
+//! Ordering of items across hosts by deadline.
 //!
-//! Each host runs the items of its own jobs, and jobs come unevenly: one host
-//! has ten seconds of work waiting while another has none. If whoever sees a
-//! free place takes it, items that have just come overtake those that have
-//! waited long, and the latter are late though there was room for all. So hosts
-//! tell one another which of their items wait and when they are due, and a host
-//! leaves free places to as many items as are due before its own.
+//! Each host runs the items of its own jobs, and jobs are unevenly distributed: one host may have
+//! ten seconds of work queued while another has none. If any host took any free slot, recently
+//! added items would overtake earlier ones, which would be late although there was capacity for
+//! all. Hosts therefore exchange the due times of their queued items, and a host leaves as many
+//! slots free as there are items at other hosts due before its own.
 //!
-//! The load that this answers: places nearly all taken for some ten seconds,
-//! jobs at some hosts only. Without it a third of the items came late there.
+//! This matters if nearly all slots are taken for some ten seconds and only some hosts have jobs.
+//! Without it, a third of the items were late under such a load.
 //!
-//! A common queue was rejected: whoever holds it is a step more for each item,
-//! and its death stops all. So was running items at other hosts than the one
-//! that has the job: what an item generated would have to be handed over.
+//! Alternatives rejected: a shared queue (its owner adds a hop for each item and is a single point
+//! of failure) and running items at hosts other than the owner of the job (the generated output
+//! would have to be transferred).
 //!
 //! ```
 //! use std::time::Instant;
 //! use notchwharf_routing::items::peer_queues::{PeerQueues, QueuedItems};
 //!
 //! let now = Instant::now();
-//! let mut line = PeerQueues::default();
-//! line.tell("a2", vec![QueuedItems { due_unix_ms: 900, items: 3 }], now);
-//! line.tell("a3", vec![QueuedItems { due_unix_ms: 500, items: 2 }], now);
-//! assert_eq!(line.ahead(800).items, 2);
-//! line.forget("a3");
-//! assert_eq!(line.ahead(800).items, 0);
+//! let mut queues = PeerQueues::default();
+//! queues.update("a2", vec![QueuedItems { due_unix_ms: 900, items: 3 }], now);
+//! queues.update("a3", vec![QueuedItems { due_unix_ms: 500, items: 2 }], now);
+//! assert_eq!(queues.ahead(800).items, 2);
+//! queues.remove("a3");
+//! assert_eq!(queues.ahead(800).items, 0);
 //! ```
 
 use std::collections::HashMap;
@@ -32,80 +31,78 @@
 
 use crate::balancer::HostId;
 
-/// Jobs that a host tells apart: those due first. More would be bytes for
-/// nothing, since few hosts have more than three at a time.
+/// Number of due times that a host reports separately, earliest first. Few hosts have jobs with
+/// more than three at a time.
 pub const DUE_TIMES_MAX: usize = 3;
 
-/// Items that wait and are due at the same time.
+/// Queued items with the same due time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueuedItems {
-    /// When they are due, by the clock of the host that took their job in. All
-    /// hosts read it from the same record, so that their own clocks don't
-    /// matter.
+    /// When they are due, by the clock of the host that accepted the job. All hosts read this
+    /// time from the same record, so clock differences between hosts have no effect.
     pub due_unix_ms: u64,
-    /// How many they are.
+    /// The number of items.
     pub items: u32,
 }
 
-/// What comes before an item of this host.
+/// The items of other hosts that precede an item of this host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ahead {
-    /// Items at other hosts that are due before it.
+    /// Number of items at other hosts with an earlier due time.
     pub items: u32,
-    /// When one of these hosts last took a place, as far as known.
+    /// When one of these hosts was last known to start an item.
     pub last_start_at: Option<Instant>,
 }
 
 #[derive(Debug)]
 struct Peer {
-    waiting: Vec<QueuedItems>,
+    queued: Vec<QueuedItems>,
     last_start_at: Option<Instant>,
 }
 
-/// Items that wait at other hosts.
+/// The queued items of other hosts.
 #[derive(Debug, Default)]
 pub struct PeerQueues {
     peers: HashMap<HostId, Peer>,
 }
 
 impl PeerQueues {
-    /// Takes in what waits at a peer; it replaces what was known. Returns whether
-    /// it differs.
-    pub fn update(&mut self, host: &str, waiting: Vec<QueuedItems>, now: Instant) -> bool {
-        if waiting.is_empty() {
+    /// Replaces the queued items of a peer. Returns whether they changed.
+    pub fn update(&mut self, host: &str, queued: Vec<QueuedItems>, now: Instant) -> bool {
+        if queued.is_empty() {
             return self.peers.remove(host).is_some();
         }
         let before = self.peers.get(host);
-        if before.is_some_and(|peer| peer.waiting == waiting) {
+        if before.is_some_and(|peer| peer.queued == queued) {
             return false;
         }
-        let has_moved = before.is_some_and(|peer| count(&peer.waiting) > count(&waiting));
-        let last_start_at = match has_moved {
+        let has_started_item = before.is_some_and(|peer| count(&peer.queued) > count(&queued));
+        let last_start_at = match has_started_item {
             true => Some(now),
             false => before.and_then(|peer| peer.last_start_at),
         };
         self.peers.insert(
             host.to_owned(),
             Peer {
-                waiting,
+                queued,
                 last_start_at,
             },
         );
         true
     }
 
-    /// Forgets a peer: it is down.
+    /// Removes a failed peer.
     pub fn remove(&mut self, host: &str) {
         self.peers.remove(host);
     }
 
-    /// Returns what comes before an item that is due at a time.
+    /// Returns the items of other hosts that precede an item with the given due time.
     pub fn ahead(&self, due_unix_ms: u64) -> Ahead {
         let mut ahead = Ahead::default();
         for peer in self.peers.values() {
-            let waiting = peer.waiting.iter();
-            let before = waiting.filter(|waiting| waiting.due_unix_ms < due_unix_ms);
-            let items = before.fold(0, |sum: u32, w| sum.saturating_add(w.items));
+            let queued = peer.queued.iter();
+            let earlier = queued.filter(|group| group.due_unix_ms < due_unix_ms);
+            let items = earlier.fold(0, |sum: u32, group| sum.saturating_add(group.items));
             if items > 0 {
                 ahead.items = ahead.items.saturating_add(items);
                 ahead.last_start_at = ahead.last_start_at.max(peer.last_start_at);
@@ -115,7 +112,7 @@
     }
 }
 
-fn count(waiting: &[QueuedItems]) -> u32 {
-    let items = waiting.iter().map(|w| w.items);
+fn count(queued: &[QueuedItems]) -> u32 {
+    let items = queued.iter().map(|group| group.items);
     items.fold(0, u32::saturating_add)
 }
--- a/crates/routing/src/items/preemption.rs
+++ b/crates/routing/src/items/preemption.rs
@@ -1,8 +1,8 @@
-//! Which of the items that run at a target gives way.
+//! Order in which the running items of a target are preempted.
 //!
-//! Late items go first, for nothing is lost by it; then those that are due last;
-//! of these the youngest run. By the age of the run alone old items, cut again
-//! and again, would never end.
+//! Late items are preempted first, since nothing is lost; then those with the latest due time, and
+//! among these the most recently started. By start time alone, old items that were repeatedly
+//! preempted would never complete.
 //!
 //! ```
 //! use notchwharf_routing::items::preemption::Rank;
@@ -13,13 +13,13 @@
 //! assert!(Rank { is_late: true, ..old } > new);
 //! ```
 
-/// How well an item can be spared; the greatest one gives way.
+/// Preemption rank of a running item. The item with the greatest rank is preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Whether it comes too late whatever is done.
+    /// Whether the item can no longer meet its deadline.
     pub is_late: bool,
-    /// When it is due.
+    /// When the item is due.
     pub due_unix_ms: u64,
-    /// The number of its run; later ones have higher numbers.
+    /// The sequence number of its run; later runs have higher numbers.
     pub run: u64,
 }
--- a/crates/routing/src/items/queue.rs
+++ b/crates/routing/src/items/queue.rs
@@ -1,13 +1,12 @@
-//! The items of one host that wait, in the order in which they run.
+//! The queued items of one host, ordered by deadline.
 //!
-//! Those due first come first, over all jobs of the host. Items that cannot end
-//! in time any more come behind all others: run first, they would make the next
-//! ones late as well. They keep their order among themselves, and run when
-//! nothing else does, since a late result is still worth something to callers.
+//! Items of all jobs of the host run earliest deadline first. Items that can no longer meet their
+//! deadline are demoted behind all others, since running them first would make the next ones late
+//! as well. They keep their relative order and run when nothing else is queued, since a late
+//! result is still useful to callers.
 //!
-//! Least slack first was tried and measured no better: answers' lengths are not
-//! known well enough. Shortest first was rejected: long items are served as
-//! well as short ones.
+//! Alternatives rejected: least slack first (no better in measurements, since output lengths are
+//! not known well enough) and shortest first (would serve long items worse than short ones).
 //!
 //! ```
 //! use notchwharf_routing::items::queue::Queue;
@@ -24,14 +23,12 @@
 
 use super::peer_queues::QueuedItems;
 
-/// Items that wait, each under the time at which it is due and a key that
-/// orders those of one time.
+/// Queued items, ordered by due time and then by key.
 #[derive(Clone, Debug)]
 pub struct Queue<K, T> {
     in_time: BTreeMap<(u64, K), T>,
-    /// How many of these are due at a time, so that telling what waits does not
-    /// walk through all of it: hosts tell some hundred times a second, and a
-    /// job may have 230,000 items.
+    /// Number of items in `in_time` by due time, so that [`Queue::summary`] does not iterate over
+    /// all items: hosts send it about a hundred times a second, and a job may have 230,000 items.
     due: BTreeMap<u64, u32>,
     late: BTreeMap<(u64, K), T>,
 }
@@ -46,18 +43,17 @@
     }
 }
 
-/// Where the next item stands.
+/// The deadline of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deadline {
-    /// When it is due.
+    /// When the item is due.
     pub due_unix_ms: u64,
-    /// Whether it comes too late whatever is done.
+    /// Whether the item can no longer meet its deadline.
     pub is_late: bool,
 }
 
 impl Deadline {
-    /// Returns what its turn goes by among the items of all hosts: late ones
-    /// come after all that are not.
+    /// Returns the key by which the items of all hosts are ordered. Late items follow all others.
     pub fn sort_key_unix_ms(self) -> u64 {
         match self.is_late {
             true => u64::MAX,
@@ -67,7 +63,7 @@
 }
 
 impl<K: Ord, T> Queue<K, T> {
-    /// Adds an item that can still end in time, as far as known.
+    /// Adds an item, which is assumed to meet its deadline until [`Queue::demote_late`].
     pub fn push(&mut self, due_unix_ms: u64, key: K, item: T) {
         let before = self.in_time.insert((due_unix_ms, key), item);
         if before.is_none() {
@@ -75,80 +71,79 @@
         }
     }
 
-    /// Puts the items at the head behind all others that come too late. Each is
-    /// judged when it has come to the head, so that a look costs no more than
-    /// the items that it moves.
+    /// Moves late items at the head behind all others. Items are only tested at the head, so that
+    /// the cost is proportional to the number of moved items.
     pub fn demote_late(&mut self, is_late: impl Fn(&T) -> bool) {
         while let Some(first) = self.in_time.first_entry() {
             if !is_late(first.get()) {
                 return;
             }
-            let (place, item) = first.remove_entry();
-            uncount(&mut self.due, place.0);
-            self.late.insert(place, item);
+            let (position, item) = first.remove_entry();
+            decrement(&mut self.due, position.0);
+            self.late.insert(position, item);
         }
     }
 
-    /// Returns the next item and where it stands, without taking it.
+    /// Returns the next item and its deadline without removing it.
     pub fn peek(&self) -> Option<(Deadline, &T)> {
         let queues = [(&self.in_time, false), (&self.late, true)];
         queues.into_iter().find_map(|(queue, is_late)| {
             let ((due_unix_ms, _), item) = queue.first_key_value()?;
             let due_unix_ms = *due_unix_ms;
-            let next = Deadline {
+            let deadline = Deadline {
                 due_unix_ms,
                 is_late,
             };
-            Some((next, item))
+            Some((deadline, item))
         })
     }
 
-    /// Takes the next item.
+    /// Removes and returns the next item.
     pub fn pop(&mut self) -> Option<T> {
         if let Some(((due_unix_ms, _), item)) = self.in_time.pop_first() {
-            uncount(&mut self.due, due_unix_ms);
+            decrement(&mut self.due, due_unix_ms);
             return Some(item);
         }
         self.late.pop_first().map(|(_, item)| item)
     }
 
-    /// Drops the items that are not wanted any more.
-    pub fn retain(&mut self, is_wanted: impl Fn(&K) -> bool) {
+    /// Removes the items whose key does not satisfy the predicate.
+    pub fn retain(&mut self, is_retained: impl Fn(&K) -> bool) {
         let due = &mut self.due;
         self.in_time.retain(|(due_unix_ms, key), _| {
-            let is_wanted = is_wanted(key);
-            if !is_wanted {
-                uncount(due, *due_unix_ms);
+            let is_retained = is_retained(key);
+            if !is_retained {
+                decrement(due, *due_unix_ms);
             }
-            is_wanted
+            is_retained
         });
-        self.late.retain(|(_, key), _| is_wanted(key));
+        self.late.retain(|(_, key), _| is_retained(key));
     }
 
-    /// Returns how many items wait and can end in time, by when they are due.
-    /// So many times are told apart; the rest counts with the last of these.
+    /// Returns the number of queued items that can meet their deadline, by due time. Items beyond
+    /// the first `times_max` due times are counted with the last of these.
     pub fn summary(&self, times_max: usize) -> Vec<QueuedItems> {
         let times = self.due.iter().take(times_max);
-        let mut told: Vec<QueuedItems> = times
+        let mut summary: Vec<QueuedItems> = times
             .map(|(due_unix_ms, items)| QueuedItems {
                 due_unix_ms: *due_unix_ms,
                 items: *items,
             })
             .collect();
-        let apart: u32 = told.iter().map(|w| w.items).sum();
-        if let Some(last) = told.last_mut() {
+        let counted: u32 = summary.iter().map(|group| group.items).sum();
+        if let Some(last) = summary.last_mut() {
             let all = u32::try_from(self.in_time.len()).unwrap_or(u32::MAX);
-            last.items += all - apart;
+            last.items += all - counted;
         }
-        told
+        summary
     }
 
-    /// Returns all items, the next one first.
+    /// Returns all items in queue order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.in_time.values_mut().chain(self.late.values_mut())
     }
 
-    /// Returns how many items come too late.
+    /// Returns the number of late items.
     pub fn late_len(&self) -> usize {
         self.late.len()
     }
@@ -158,13 +153,13 @@
         self.in_time.len() + self.late.len()
     }
 
-    /// Returns whether no item waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-fn uncount(due: &mut BTreeMap<u64, u32>, due_unix_ms: u64) {
+fn decrement(due: &mut BTreeMap<u64, u32>, due_unix_ms: u64) {
     if let Some(items) = due.get_mut(&due_unix_ms) {
         *items -= 1;
         if *items == 0 {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,14 +1,16 @@
-//! Choice of target, limits, retries, fair shares and preemption.
+//! Load balancing, concurrency limits, retry budgets, fair shares and preemption.
 //!
-//! [`table`] chooses the target of an online request, [`admission`] says
-//! whether the host takes it at all, [`budget`] whether it may be tried again,
-//! and [`slots`] how much batch work a target is given beside online work.
-//! [`items`] says how long an item of a job still takes.
-//! [`places`] does the work of the first and the last where hosts share all
-//! targets and tell one another what they run, [`cells`] which hosts and targets
-//! these are in a large fleet, [`telling`] who tells whom, and [`belief`] which
-//! targets there are. [`fingerprint`] names a request by
-//! its content, and [`quarantine`] keeps those from targets under which they crash. All take time as input and do no I/O.
+//! [`table`] selects the target of an online request, [`limit`] adapts the concurrency limit of a
+//! target, and [`slots`] shares a target's slots between online and batch streams. [`admission`]
+//! decides whether a host accepts a request, and [`budget`] whether a request may be retried.
+//!
+//! Where hosts share all targets and exchange their load, [`balancer`] replaces [`table`] and
+//! [`slots`], and [`items`] schedules batch items. [`cells`] divides a large fleet, [`telling`]
+//! decides which host reports to which, and [`belief`] tracks which targets exist.
+//! [`fingerprint`] identifies a request by its content, and [`quarantine`] withholds requests under
+//! which targets crash.
+//!
+//! All modules take the current time as an argument and do no I/O.
 
 pub mod admission;
 pub mod balancer;
