--- a/crates/routing/benches/choose.rs
+++ b/crates/routing/benches/choose.rs
@@ -1,4 +1,4 @@
-//! The routing decision against the number of targets.
+//! Duration of the routing decision by number of targets.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use notchwharf_routing::table::Report;
 use notchwharf_routing::table::Table;
 
-/// Models in steady use, each on its share of the targets.
+/// Number of models, each served by an equal share of the targets.
 const MODELS: usize = 21;
 
 fn table(targets: usize, models: usize) -> Table {
--- a/crates/routing/benches/items.rs
+++ b/crates/routing/benches/items.rs
@@ -1,4 +1,4 @@
-//! The decisions on items against the number of targets and of items that wait.
+//! Duration of scheduling decisions by number of targets and queued items.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 use notchwharf_routing::items::peer_queues::QueuedItems;
 use notchwharf_routing::items::queue::Queue;
 
-/// Items of one job.
-const JOB: u64 = 10;
-/// Other hosts, each with items that wait.
+/// Items per job.
+const JOB_ITEMS: u64 = 10;
+/// Other hosts, each with queued items.
 const PEERS: u64 = 62;
 
-fn places(targets: u32) -> Balancer {
-    let mut places = Balancer::new(Config::default(), 1);
+fn balancer(targets: u32) -> Balancer {
+    let mut balancer = Balancer::new(Config::default(), 1);
     for target in 0..targets {
         let spec = Spec {
             service: "s".into(),
@@ -31,67 +31,67 @@
             slots: 8,
             ..Spec::default()
         };
-        places.upsert(&format!("t{target}"), spec);
+        balancer.upsert(&format!("t{target}"), spec);
     }
-    places
+    balancer
 }
 
 fn queue(items: u64) -> Queue<u64, u64> {
     let mut queue = Queue::default();
     for item in 0..items {
-        queue.push(1_000 + item / JOB, item, item);
+        queue.push(1_000 + item / JOB_ITEMS, item, item);
     }
     queue
 }
 
-fn line(now: Instant) -> PeerQueues {
-    let mut line = PeerQueues::default();
+fn peer_queues(now: Instant) -> PeerQueues {
+    let mut peer_queues = PeerQueues::default();
     for peer in 0..PEERS {
-        // Due after what waits here, so that it is this host's turn.
-        let waiting = queue(JOB * 3).summary(DUE_TIMES_MAX).into_iter();
-        let later = waiting.map(|w| QueuedItems {
+        // Due after the items of this host, so that this host may start the next one.
+        let queued = queue(JOB_ITEMS * 3).summary(DUE_TIMES_MAX).into_iter();
+        let later = queued.map(|group| QueuedItems {
             due_unix_ms: u64::MAX,
-            ..w
+            ..group
         });
-        let waiting = later.collect();
-        line.update(&format!("h{peer}"), waiting, now);
+        let queued = later.collect();
+        peer_queues.update(&format!("h{peer}"), queued, now);
     }
-    line
+    peer_queues
 }
 
-/// Which item next, whether it is this host's turn, and where it goes.
+/// Selects the next item, checks for earlier items of other hosts, and chooses a target.
 fn next(c: &mut Criterion) {
     let mut group = c.benchmark_group("next item");
     group.measurement_time(Duration::from_secs(1));
     group.warm_up_time(Duration::from_millis(300));
     let now = Instant::now();
     for (targets, items) in [(9, 100), (60, 1_000), (60, 10_000)] {
-        let mut places = places(targets);
+        let mut balancer = balancer(targets);
         let mut queue = queue(items);
-        let line = line(now);
+        let peer_queues = peer_queues(now);
         let id = BenchmarkId::new(format!("{targets} targets"), items);
         group.bench_function(id, |b| {
             b.iter(|| {
                 queue.demote_late(|item| *item == u64::MAX);
                 let (next, _) = queue.peek()?;
-                let want = Criteria {
+                let criteria = Criteria {
                     service: "s",
                     data_centre: "d1",
                     affinity: 0,
                     tried: &[],
                     objective: None,
-                    ahead: line.ahead(next.sort_key_unix_ms()),
+                    ahead: peer_queues.ahead(next.sort_key_unix_ms()),
                 };
-                black_box(places.choose_batch(&want, now))
+                black_box(balancer.choose_batch(&criteria, now))
             });
         });
     }
     group.finish();
 }
 
-/// What a host tells of what waits, with each datagram.
-fn tell(c: &mut Criterion) {
-    let mut group = c.benchmark_group("tell what waits");
+/// Summarizes the queued items for a datagram.
+fn summary(c: &mut Criterion) {
+    let mut group = c.benchmark_group("queue summary");
     group.measurement_time(Duration::from_secs(1));
     group.warm_up_time(Duration::from_millis(300));
     for items in [100, 1_000, 10_000] {
@@ -103,5 +103,5 @@
     group.finish();
 }
 
-criterion_group!(benches, next, tell);
+criterion_group!(benches, next, summary);
 criterion_main!(benches);
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -8,7 +8,7 @@
 //!
 //! ```
 //! use std::time::Instant;
-//! use notchwharf_routing::balancer::{Config, Balancer, SlotSource, Spec, Criteria};
+//! use notchwharf_routing::balancer::{Balancer, Config, Criteria, SlotSource, Spec};
 //!
 //! let now = Instant::now();
 //! let mut balancer = Balancer::new(Config { reserve: 0, ..Config::default() }, 7);
@@ -18,7 +18,7 @@
 //! let item = balancer.choose_batch(&criteria, now).unwrap();
 //! balancer.begin_batch(&item);
 //! let choice = balancer.choose_online(&criteria, now).unwrap();
-//! assert_eq!(choice.room, SlotSource::PreemptOwn);
+//! assert_eq!(choice.slot_source, SlotSource::PreemptOwn);
 //! ```
 //!
 //! Alternatives rejected: querying targets for their load (each query is a request, and the
@@ -72,7 +72,8 @@
 /// Configuration of a [`Balancer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Slots of each target that items leave free for online requests.
+    /// Slots that items leave free for online requests: at least this number over all targets of a
+    /// service, and at most this number per target on average.
     pub reserve: u32,
     /// Requests that may wait in a target's queue per slot before further ones are rejected.
     /// 3 by default: a slot is released several times a second, so the wait in a longer queue
@@ -258,7 +259,7 @@
     /// The rates that cold targets of a service sustain, in requests per second.
     cold_rates: HashMap<String, f64>,
     peers: HashMap<HostId, Peer>,
-    /// The total load of the hosts of each other cell, by cell name.
+    /// The total load of the hosts of each other cell (see [`crate::cells`]), by cell name.
     cells: HashMap<String, Peer>,
     /// The average duration of online requests by service, in seconds.
     durations_s: HashMap<String, f64>,
--- a/crates/routing/src/balancer/health.rs
+++ b/crates/routing/src/balancer/health.rs
@@ -8,11 +8,11 @@
 
 /// Duration of the first ejection after a failure; the requests of about ten latency objectives
 /// go to other targets meanwhile.
-const EJECT_MIN: Duration = Duration::from_millis(400);
+const EJECTION_MIN: Duration = Duration::from_millis(400);
 /// Maximum duration of an ejection after repeated failures.
-const EJECT_MAX: Duration = Duration::from_secs(5);
+const EJECTION_MAX: Duration = Duration::from_secs(5);
 /// Duration of an ejection after the target was full: its queue advances several times a second.
-const FULL_EJECT: Duration = Duration::from_millis(60);
+const FULL_EJECTION: Duration = Duration::from_millis(60);
 /// Weight of a new measurement in the moving average of first-event times.
 const FIRST_EVENT_WEIGHT: f64 = 0.3;
 /// Factor by which a target's first-event time exceeds the service's median if it is slow.
@@ -77,10 +77,10 @@
         if self.is_ejected(now) && self.is_failing {
             return;
         }
-        let duration = EJECT_MIN * 2u32.saturating_pow(self.ejections.min(8));
+        let duration = EJECTION_MIN * 2u32.saturating_pow(self.ejections.min(8));
         self.ejections = self.ejections.saturating_add(1);
         self.is_failing = true;
-        self.extend_ejection(now + duration.min(EJECT_MAX));
+        self.extend_ejection(now + duration.min(EJECTION_MAX));
     }
 
     /// Records that the target rejected a request because it was full.
@@ -88,7 +88,7 @@
         if !self.is_ejected(now) {
             self.is_failing = false;
         }
-        self.extend_ejection(now + FULL_EJECT);
+        self.extend_ejection(now + FULL_EJECTION);
     }
 
     fn extend_ejection(&mut self, until: Instant) {
--- a/crates/routing/src/items/estimate.rs
+++ b/crates/routing/src/items/estimate.rs
@@ -10,7 +10,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use notchwharf_routing::items::estimate::{Size, Estimator};
+//! use notchwharf_routing::items::estimate::{Estimator, Size};
 //!
 //! let mut estimator = Estimator::default();
 //! let size = Size { output_tokens_hint: 600, ..Size::default() };
--- a/crates/routing/src/items/queue.rs
+++ b/crates/routing/src/items/queue.rs
@@ -63,7 +63,8 @@
 }
 
 impl<K: Ord, T> Queue<K, T> {
-    /// Adds an item, which is assumed to meet its deadline until [`Queue::demote_late`].
+    /// Adds an item, which is assumed to meet its deadline until
+    /// [`Queue::demote_late`] finds that it cannot.
     pub fn push(&mut self, due_unix_ms: u64, key: K, item: T) {
         let before = self.in_time.insert((due_unix_ms, key), item);
         if before.is_none() {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -38,9 +38,9 @@
 /// Time after which the load reported by a target expires.
 const REPORTED_LOAD_TTL: Duration = Duration::from_secs(1);
 /// Duration of the first ejection after a failure.
-const EJECT_MIN: Duration = Duration::from_millis(500);
+const EJECTION_MIN: Duration = Duration::from_millis(500);
 /// Maximum duration of an ejection after repeated failures.
-const EJECT_MAX: Duration = Duration::from_secs(10);
+const EJECTION_MAX: Duration = Duration::from_secs(10);
 /// Retry delay if no target serves the model or all are full.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -142,7 +142,7 @@
         let target = &mut self.targets[index];
         if report.incarnation != target.report.incarnation {
             target.ejected_until = None;
-            target.ejection = EJECT_MIN;
+            target.ejection = EJECTION_MIN;
         }
         if target.report.models != report.models {
             for model in &target.report.models {
@@ -171,7 +171,7 @@
             reported: None,
             limit: Limit::new(self.cfg.objectives, self.cfg.streams_max, now),
             ejected_until: None,
-            ejection: EJECT_MIN,
+            ejection: EJECTION_MIN,
         });
         self.indices_by_id.insert(id.to_owned(), index);
         index
@@ -306,7 +306,7 @@
         if let Some(target) = self.get_mut(id) {
             let running = target.load(now);
             target.limit.record_first_token(took, running, now);
-            target.ejection = EJECT_MIN;
+            target.ejection = EJECTION_MIN;
         }
     }
 
@@ -322,7 +322,7 @@
     pub fn record_failure(&mut self, id: &str, now: Instant) {
         if let Some(target) = self.get_mut(id) {
             target.ejected_until = Some(now + target.ejection);
-            target.ejection = (target.ejection * 2).min(EJECT_MAX);
+            target.ejection = (target.ejection * 2).min(EJECTION_MAX);
         }
     }
 }
--- a/crates/routing/tests/balancer.rs
+++ b/crates/routing/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! Which target gets a request, and which item gives way.
+//! Choice of targets for requests, preemption, load accounting and health.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use std::time::Duration;
@@ -15,19 +15,19 @@
 use notchwharf_routing::items::peer_queues::Ahead;
 use rstest::rstest;
 
-const NEAR: &str = "near";
-const FAR: &str = "far";
+const LOCAL: &str = "local";
+const REMOTE: &str = "remote";
 
-fn places(reserve: u32, targets: &[(&str, &str, u32)]) -> Balancer {
+fn balancer(reserve: u32, targets: &[(&str, &str, u32)]) -> Balancer {
     let cfg = Config {
         reserve,
         ..Config::default()
     };
-    let mut places = Balancer::new(cfg, 7);
+    let mut balancer = Balancer::new(cfg, 7);
     for (id, data_centre, slots) in targets {
-        places.upsert(id, spec(data_centre, *slots));
+        balancer.upsert(id, spec(data_centre, *slots));
     }
-    places
+    balancer
 }
 
 fn spec(data_centre: &str, slots: u32) -> Spec {
@@ -39,10 +39,10 @@
     }
 }
 
-fn want(tried: &[String]) -> Criteria<'_> {
+fn criteria(tried: &[String]) -> Criteria<'_> {
     Criteria {
         service: "s",
-        data_centre: NEAR,
+        data_centre: LOCAL,
         affinity: 3,
         tried,
         objective: None,
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn a_free_place_near_by_comes_before_one_far_away() {
-    let mut places = places(0, &[("t1", FAR, 8), ("t2", NEAR, 8)]);
+fn prefers_free_slot_in_own_data_centre() {
+    let mut balancer = balancer(0, &[("t1", REMOTE, 8), ("t2", LOCAL, 8)]);
     let now = Instant::now();
-    let choice = places.choose_online(&want(&[]), now).unwrap();
+    let choice = balancer.choose_online(&criteria(&[]), now).unwrap();
     assert_eq!(
         (choice.target.as_str(), choice.slot_source),
         ("t2", SlotSource::Free)
@@ -66,10 +66,12 @@
 }
 
 #[test]
-fn a_free_place_far_away_comes_before_an_item_near_by() {
-    let mut places = places(0, &[("t1", FAR, 4), ("t2", NEAR, 1)]);
-    places.begin_batch("t2");
-    let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
+fn prefers_remote_free_slot_to_local_preemption() {
+    let mut balancer = balancer(0, &[("t1", REMOTE, 4), ("t2", LOCAL, 1)]);
+    balancer.begin_batch("t2");
+    let choice = balancer
+        .choose_online(&criteria(&[]), Instant::now())
+        .unwrap();
     assert_eq!(
         (choice.target.as_str(), choice.slot_source),
         ("t1", SlotSource::Free)
@@ -77,308 +79,355 @@
 }
 
 #[rstest]
-#[case::an_own_item(load(1, 1), load(0, 0), SlotSource::PreemptOwn)]
-#[case::a_peer_s_item(load(1, 0), load(0, 1), SlotSource::PreemptPeer("a2".into()))]
+#[case::own_item(load(1, 1), load(0, 0), SlotSource::PreemptOwn)]
+#[case::item_of_peer(load(1, 0), load(0, 1), SlotSource::PreemptPeer("a2".into()))]
 #[case::no_item(load(1, 0), load(1, 0), SlotSource::Queue)]
-fn a_full_target_makes_room_by_cutting_an_item(
+fn preempts_item_at_full_target(
     #[case] own: Load,
     #[case] peer: Load,
-    #[case] room: SlotSource,
+    #[case] expected: SlotSource,
 ) {
-    let mut places = places(0, &[("t1", NEAR, 2)]);
+    let mut balancer = balancer(0, &[("t1", LOCAL, 2)]);
     for _ in 0..own.online {
-        places.begin_online("t1", Instant::now());
+        balancer.begin_online("t1", Instant::now());
     }
     for _ in 0..own.batch {
-        places.begin_batch("t1");
+        balancer.begin_batch("t1");
     }
-    places.set_peer_loads("a2", [(key_of("t1"), peer)], vec![], Instant::now());
-    let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
-    assert_eq!(choice.slot_source, room);
+    balancer.set_peer_loads("a2", [(key_of("t1"), peer)], vec![], Instant::now());
+    let choice = balancer
+        .choose_online(&criteria(&[]), Instant::now())
+        .unwrap();
+    assert_eq!(choice.slot_source, expected);
 }
 
-/// Cutting as soon as the reserve was touched made items start and be cut
-/// again and again: 25,000 times for 1,807 items (vantu-lectii-grown,
-/// trouble-1).
+/// Preempting an item whenever an online request used the reserve made items start and be
+/// preempted repeatedly: 25,000 times for 1,807 items under a simulated load.
 #[test]
-fn the_reserve_is_used_before_an_item_is_cut_and_items_leave_it_free() {
-    let mut places = places(1, &[("t1", NEAR, 3)]);
-    places.begin_batch("t1");
-    places.begin_batch("t1");
-    assert_eq!(places.choose_batch(&want(&[]), Instant::now()), None);
-    let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
+fn online_uses_reserve_before_preemption_and_items_leave_it_free() {
+    let mut balancer = balancer(1, &[("t1", LOCAL, 3)]);
+    balancer.begin_batch("t1");
+    balancer.begin_batch("t1");
+    assert_eq!(balancer.choose_batch(&criteria(&[]), Instant::now()), None);
+    let choice = balancer
+        .choose_online(&criteria(&[]), Instant::now())
+        .unwrap();
     assert_eq!(choice.slot_source, SlotSource::Free);
-    places.begin_online("t1", Instant::now());
-    let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
+    balancer.begin_online("t1", Instant::now());
+    let choice = balancer
+        .choose_online(&criteria(&[]), Instant::now())
+        .unwrap();
     assert_eq!(choice.slot_source, SlotSource::PreemptOwn);
 }
 
 #[test]
-fn a_queue_that_outlasts_every_objective_is_not_joined() {
-    let mut places = places(0, &[("t1", NEAR, 1)]);
+fn rejects_when_queue_limit_is_reached() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 1)]);
     for _ in 0..4 {
-        assert!(places.choose_online(&want(&[]), Instant::now()).is_ok());
-        places.begin_online("t1", Instant::now());
+        assert!(
+            balancer
+                .choose_online(&criteria(&[]), Instant::now())
+                .is_ok()
+        );
+        balancer.begin_online("t1", Instant::now());
     }
-    let refusal = places
-        .choose_online(&want(&[]), Instant::now())
+    let refusal = balancer
+        .choose_online(&criteria(&[]), Instant::now())
         .unwrap_err();
     assert!(matches!(refusal, Refusal::Full { .. }));
 }
 
 #[test]
-fn a_target_that_leaves_or_offers_another_service_is_not_chosen() {
-    let mut places = places(0, &[("t1", NEAR, 8)]);
-    places.upsert(
+fn ignores_leaving_targets_and_other_services() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8)]);
+    balancer.upsert(
         "t1",
         Spec {
             is_leaving: true,
-            ..spec(NEAR, 8)
+            ..spec(LOCAL, 8)
         },
     );
-    places.upsert(
+    balancer.upsert(
         "t2",
         Spec {
             service: "other".into(),
-            ..spec(NEAR, 8)
+            ..spec(LOCAL, 8)
         },
     );
-    let refusal = places
-        .choose_online(&want(&[]), Instant::now())
+    let refusal = balancer
+        .choose_online(&criteria(&[]), Instant::now())
         .unwrap_err();
     assert!(matches!(refusal, Refusal::NoTarget { .. }));
-    assert_eq!(places.choose_batch(&want(&[]), Instant::now()), None);
+    assert_eq!(balancer.choose_batch(&criteria(&[]), Instant::now()), None);
 }
 
 #[test]
-fn what_a_peer_runs_is_replaced_by_what_it_tells_next_and_ends_with_it() {
-    let mut places = places(0, &[("t1", NEAR, 8)]);
-    places.begin_online("t1", Instant::now());
-    places.set_peer_loads("a2", [(key_of("t1"), load(2, 1))], vec![], Instant::now());
-    places.set_peer_loads("a3", [(key_of("t1"), load(0, 1))], vec![], Instant::now());
-    assert_eq!(places.load("t1"), load(3, 2));
-    places.set_peer_loads("a2", [(key_of("t1"), load(0, 2))], vec![], Instant::now());
-    assert_eq!(places.load("t1"), load(1, 3));
-    places.remove_peer("a2");
-    assert_eq!(places.load("t1"), load(1, 1));
+fn peer_load_is_replaced_by_next_report_and_removed_with_peer() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8)]);
+    balancer.begin_online("t1", Instant::now());
+    balancer.set_peer_loads("a2", [(key_of("t1"), load(2, 1))], vec![], Instant::now());
+    balancer.set_peer_loads("a3", [(key_of("t1"), load(0, 1))], vec![], Instant::now());
+    assert_eq!(balancer.load("t1"), load(3, 2));
+    balancer.set_peer_loads("a2", [(key_of("t1"), load(0, 2))], vec![], Instant::now());
+    assert_eq!(balancer.load("t1"), load(1, 3));
+    balancer.remove_peer("a2");
+    assert_eq!(balancer.load("t1"), load(1, 1));
 }
 
 #[test]
-fn a_target_that_comes_after_news_of_it_has_its_load() {
-    let mut places = places(0, &[]);
-    places.set_peer_loads("a2", [(key_of("t1"), load(2, 1))], vec![], Instant::now());
-    places.upsert("t1", spec(NEAR, 8));
-    assert_eq!(places.load("t1"), load(2, 1));
+fn target_added_after_its_load_report_has_this_load() {
+    let mut balancer = balancer(0, &[]);
+    balancer.set_peer_loads("a2", [(key_of("t1"), load(2, 1))], vec![], Instant::now());
+    balancer.upsert("t1", spec(LOCAL, 8));
+    assert_eq!(balancer.load("t1"), load(2, 1));
 }
 
 #[test]
-fn a_target_that_cannot_be_reached_is_left_alone_for_a_time() {
-    let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
+fn unreachable_target_is_ejected_temporarily() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8), ("t2", REMOTE, 8), ("t3", REMOTE, 8)]);
     let now = Instant::now();
-    places.record_connection_failure("t1", now);
+    balancer.record_connection_failure("t1", now);
     let later = now + Duration::from_millis(100);
     assert_ne!(
-        places.choose_online(&want(&[]), later).unwrap().target,
+        balancer
+            .choose_online(&criteria(&[]), later)
+            .unwrap()
+            .target,
         "t1"
     );
     let later = now + Duration::from_millis(500);
     assert_eq!(
-        places.choose_online(&want(&[]), later).unwrap().target,
+        balancer
+            .choose_online(&criteria(&[]), later)
+            .unwrap()
+            .target,
         "t1"
     );
 }
 
-/// Regression: targets that failed at once looked idle and drew the requests
-/// of all hosts (vantu-lectii-grown, trouble-1).
+/// Targets that fail immediately look idle and would attract the requests of all hosts.
 #[test]
-fn a_target_that_answers_badly_again_and_again_is_left_alone() {
-    let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
+fn repeated_item_failures_eject_target() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8), ("t2", REMOTE, 8), ("t3", REMOTE, 8)]);
     let now = Instant::now();
-    places.record_item_failure("t1", now);
-    assert_eq!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
-    places.record_item_failure("t1", now);
-    assert_ne!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
-    assert_eq!(places.failing(now), [key_of("t1")]);
+    balancer.record_item_failure("t1", now);
+    assert_eq!(
+        balancer.choose_online(&criteria(&[]), now).unwrap().target,
+        "t1"
+    );
+    balancer.record_item_failure("t1", now);
+    assert_ne!(
+        balancer.choose_online(&criteria(&[]), now).unwrap().target,
+        "t1"
+    );
+    assert_eq!(balancer.failing(now), [key_of("t1")]);
 }
 
-/// Items fail where the item is at fault too; online requests hardly ever.
+/// A failed item may be caused by the item; a failed online request hardly ever by the request.
 #[test]
-fn a_target_that_fails_one_online_request_is_left_alone_for_a_moment() {
-    let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
+fn single_online_failure_ejects_target_temporarily() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8), ("t2", REMOTE, 8), ("t3", REMOTE, 8)]);
     let now = Instant::now();
-    places.record_request_failure("t1", now);
-    assert_ne!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
+    balancer.record_request_failure("t1", now);
+    assert_ne!(
+        balancer.choose_online(&criteria(&[]), now).unwrap().target,
+        "t1"
+    );
     let later = now + Duration::from_millis(500);
     assert_eq!(
-        places.choose_online(&want(&[]), later).unwrap().target,
+        balancer
+            .choose_online(&criteria(&[]), later)
+            .unwrap()
+            .target,
         "t1"
     );
 }
 
 #[test]
-fn a_target_that_failed_a_peer_is_left_alone_after_one_failure_here() {
-    let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
+fn single_failure_ejects_target_after_peer_report() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8), ("t2", REMOTE, 8), ("t3", REMOTE, 8)]);
     let now = Instant::now();
-    places.set_peer_loads("a2", [], vec![key_of("t1")], Instant::now());
-    places.set_peer_loads("a2", [], vec![], Instant::now());
-    places.record_item_failure("t1", now);
-    assert_ne!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
+    balancer.set_peer_loads("a2", [], vec![key_of("t1")], Instant::now());
+    balancer.set_peer_loads("a2", [], vec![], Instant::now());
+    balancer.record_item_failure("t1", now);
+    assert_ne!(
+        balancer.choose_online(&criteria(&[]), now).unwrap().target,
+        "t1"
+    );
 }
 
 #[test]
-fn a_bad_answer_now_and_then_changes_nothing() {
-    let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
+fn occasional_failures_do_not_eject_target() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8), ("t2", REMOTE, 8), ("t3", REMOTE, 8)]);
     let now = Instant::now();
     for _ in 0..20 {
-        places.record_item_failure("t1", now);
+        balancer.record_item_failure("t1", now);
         for _ in 0..5 {
-            places.record_success("t1", None);
+            balancer.record_success("t1", None);
         }
     }
-    assert_eq!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
+    assert_eq!(
+        balancer.choose_online(&criteria(&[]), now).unwrap().target,
+        "t1"
+    );
 }
 
 #[test]
-fn a_target_that_fails_a_peer_is_left_alone_until_the_peer_says_otherwise() {
-    let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
+fn peer_report_ejects_target_until_withdrawn() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8), ("t2", REMOTE, 8), ("t3", REMOTE, 8)]);
     let now = Instant::now();
-    places.set_peer_loads("a2", [], vec![key_of("t1")], Instant::now());
-    assert_ne!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
-    assert_eq!(places.failing(now), [], "Only what is seen is told on.");
-    places.set_peer_loads("a2", [], vec![], Instant::now());
-    assert_eq!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
+    balancer.set_peer_loads("a2", [], vec![key_of("t1")], Instant::now());
+    assert_ne!(
+        balancer.choose_online(&criteria(&[]), now).unwrap().target,
+        "t1"
+    );
+    assert_eq!(
+        balancer.failing(now),
+        [],
+        "Only failures seen by this host are reported."
+    );
+    balancer.set_peer_loads("a2", [], vec![], Instant::now());
+    assert_eq!(
+        balancer.choose_online(&criteria(&[]), now).unwrap().target,
+        "t1"
+    );
 }
 
 #[test]
-fn where_most_targets_fail_none_is_left_alone() {
-    let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
+fn ejection_is_ignored_when_most_targets_fail() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8), ("t2", REMOTE, 8), ("t3", REMOTE, 8)]);
     let now = Instant::now();
-    places.record_connection_failure("t1", now);
-    places.record_connection_failure("t2", now);
-    assert_eq!(places.choose_online(&want(&[]), now).unwrap().target, "t1");
+    balancer.record_connection_failure("t1", now);
+    balancer.record_connection_failure("t2", now);
+    assert_eq!(
+        balancer.choose_online(&criteria(&[]), now).unwrap().target,
+        "t1"
+    );
 }
 
 #[test]
-fn a_target_that_is_much_slower_than_the_others_comes_after_them() {
-    let mut places = places(0, &[("t1", NEAR, 8), ("t2", FAR, 8), ("t3", FAR, 8)]);
+fn avoids_target_much_slower_than_others() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8), ("t2", REMOTE, 8), ("t3", REMOTE, 8)]);
     for _ in 0..20 {
-        places.record_success("t1", Some(Duration::from_millis(300)));
-        places.record_success("t2", Some(Duration::from_millis(50)));
-        places.record_success("t3", Some(Duration::from_millis(50)));
+        balancer.record_success("t1", Some(Duration::from_millis(300)));
+        balancer.record_success("t2", Some(Duration::from_millis(50)));
+        balancer.record_success("t3", Some(Duration::from_millis(50)));
     }
-    let choice = places.choose_online(&want(&[]), Instant::now()).unwrap();
+    let choice = balancer
+        .choose_online(&criteria(&[]), Instant::now())
+        .unwrap();
     assert_ne!(choice.target, "t1");
 }
 
 #[test]
-fn of_the_hosts_at_an_overfull_target_the_one_with_most_items_cuts() {
-    let mut places = places(0, &[("t1", NEAR, 2)]);
-    places.begin_batch("t1");
-    places.set_peer_loads("a2", [(key_of("t1"), load(0, 2))], vec![], Instant::now());
-    assert_eq!(places.overcommitted("a1"), Vec::<String>::new());
-    places.begin_batch("t1");
-    places.begin_batch("t1");
-    assert_eq!(places.overcommitted("a1"), ["t1"]);
-}
-
-/// Queued for longer than the objective, everybody is late; refused, some are
-/// served in time.
+fn host_with_most_items_preempts_at_overcommitted_target() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 2)]);
+    balancer.begin_batch("t1");
+    balancer.set_peer_loads("a2", [(key_of("t1"), load(0, 2))], vec![], Instant::now());
+    assert_eq!(balancer.overcommitted("a1"), Vec::<String>::new());
+    balancer.begin_batch("t1");
+    balancer.begin_batch("t1");
+    assert_eq!(balancer.overcommitted("a1"), ["t1"]);
+}
+
+/// If requests are queued beyond the objective, all of them are late; if some are rejected, the
+/// others are served in time.
 #[test]
-fn a_queue_that_outlasts_the_objective_is_not_joined() {
-    let mut places = places(0, &[("t1", NEAR, 4)]);
+fn rejects_when_queue_wait_exceeds_objective() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 4)]);
     let now = Instant::now();
-    // One place falls free each 200 ms.
-    places.record_duration("s", Duration::from_millis(800));
-    let hopeful = Criteria {
+    // One slot is released every 200 ms.
+    balancer.record_duration("s", Duration::from_millis(800));
+    let with_objective = Criteria {
         objective: Some(Duration::from_millis(450)),
-        ..want(&[])
+        ..criteria(&[])
     };
     for _ in 0..6 {
-        assert!(places.choose_online(&hopeful, now).is_ok());
-        places.begin_online("t1", Instant::now());
+        assert!(balancer.choose_online(&with_objective, now).is_ok());
+        balancer.begin_online("t1", Instant::now());
     }
-    let refusal = places.choose_online(&hopeful, now).unwrap_err();
+    let refusal = balancer.choose_online(&with_objective, now).unwrap_err();
     assert!(matches!(refusal, Refusal::Full { .. }));
-    assert!(places.choose_online(&want(&[]), now).is_ok());
+    assert!(balancer.choose_online(&criteria(&[]), now).is_ok());
 }
 
-/// Started at once, an item would be cut by the next request of the burst that
-/// has filled the target: old items were, for seconds (sul-permissoes, inc-7dbe).
+/// An item started immediately would be preempted by the next request of the burst that filled the
+/// target. In an incident, old items were preempted in this way for seconds.
 #[test]
-fn no_item_starts_at_a_target_that_was_full_a_moment_ago() {
-    let mut places = places(0, &[("t1", NEAR, 1)]);
+fn no_item_starts_at_recently_full_target() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 1)]);
     let now = Instant::now();
-    places.begin_online("t1", now);
-    places.end_online("t1");
-    assert_eq!(places.choose_batch(&want(&[]), now), None);
+    balancer.begin_online("t1", now);
+    balancer.end_online("t1");
+    assert_eq!(balancer.choose_batch(&criteria(&[]), now), None);
     let later = now + Duration::from_millis(250);
     assert_eq!(
-        places.choose_batch(&want(&[]), later).as_deref(),
+        balancer.choose_batch(&criteria(&[]), later).as_deref(),
         Some("t1")
     );
 }
 
 #[test]
-fn what_other_cells_run_counts_until_they_tell_otherwise() {
-    let mut places = places(0, &[("t1", NEAR, 2), ("t2", FAR, 2)]);
+fn load_of_other_cells_counts_until_replaced_or_removed() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 2), ("t2", REMOTE, 2)]);
     let now = Instant::now();
-    places.set_cell_loads("d2", vec![(key_of("t1"), load(2, 0))], now);
-    places.set_cell_loads("d3", vec![(key_of("t2"), load(1, 0))], now);
-    places.set_peer_loads("h2", [(key_of("t2"), load(0, 1))], vec![], now);
-    assert_eq!(places.load("t1"), load(2, 0));
-    assert_eq!(places.load("t2"), load(1, 1));
-    // A target that is known later finds what was told of it.
-    places.set_cell_loads("d2", vec![(key_of("t3"), load(1, 0))], now);
-    places.upsert("t3", spec(NEAR, 2));
-    assert_eq!(places.load("t1"), load(0, 0));
-    assert_eq!(places.load("t3"), load(1, 0));
-    places.remove_cell("d3");
-    assert_eq!(places.load("t2"), load(0, 1));
-    places.clear_cells();
-    assert_eq!(places.load("t3"), load(0, 0));
+    balancer.set_cell_loads("d2", vec![(key_of("t1"), load(2, 0))], now);
+    balancer.set_cell_loads("d3", vec![(key_of("t2"), load(1, 0))], now);
+    balancer.set_peer_loads("h2", [(key_of("t2"), load(0, 1))], vec![], now);
+    assert_eq!(balancer.load("t1"), load(2, 0));
+    assert_eq!(balancer.load("t2"), load(1, 1));
+    // The reported load applies to a target that is added later.
+    balancer.set_cell_loads("d2", vec![(key_of("t3"), load(1, 0))], now);
+    balancer.upsert("t3", spec(LOCAL, 2));
+    assert_eq!(balancer.load("t1"), load(0, 0));
+    assert_eq!(balancer.load("t3"), load(1, 0));
+    balancer.remove_cell("d3");
+    assert_eq!(balancer.load("t2"), load(0, 1));
+    balancer.clear_cells();
+    assert_eq!(balancer.load("t3"), load(0, 0));
 }
 
 #[test]
-fn a_cell_s_sum_holds_what_its_hosts_run_and_nothing_of_other_cells() {
-    let mut places = places(0, &[("t1", NEAR, 4), ("t2", FAR, 4)]);
+fn total_loads_exclude_other_cells() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 4), ("t2", REMOTE, 4)]);
     let now = Instant::now();
-    places.begin_online("t1", now);
-    places.set_peer_loads("h2", [(key_of("t1"), load(1, 2))], vec![], now);
-    places.set_peer_loads("h3", [(key_of("t2"), load(0, 1))], vec![], now);
-    places.set_cell_loads("d2", vec![(key_of("t2"), load(3, 0))], now);
-    let mut sum = places.total_loads();
-    sum.sort_by_key(|(key, _)| *key);
+    balancer.begin_online("t1", now);
+    balancer.set_peer_loads("h2", [(key_of("t1"), load(1, 2))], vec![], now);
+    balancer.set_peer_loads("h3", [(key_of("t2"), load(0, 1))], vec![], now);
+    balancer.set_cell_loads("d2", vec![(key_of("t2"), load(3, 0))], now);
+    let mut total = balancer.total_loads();
+    total.sort_by_key(|(key, _)| *key);
     let mut expected = vec![(key_of("t1"), load(2, 2)), (key_of("t2"), load(0, 1))];
     expected.sort_by_key(|(key, _)| *key);
-    assert_eq!(sum, expected);
+    assert_eq!(total, expected);
 }
 
 #[test]
-fn no_host_of_another_cell_is_asked_to_cut() {
-    let mut places = places(0, &[("t1", NEAR, 1)]);
+fn items_of_other_cells_are_not_preempted() {
+    let mut balancer = balancer(0, &[("t1", LOCAL, 1)]);
     let now = Instant::now();
-    places.set_cell_loads("d2", vec![(key_of("t1"), load(0, 1))], now);
-    let choice = places.choose_online(&want(&[]), now).unwrap();
+    balancer.set_cell_loads("d2", vec![(key_of("t1"), load(0, 1))], now);
+    let choice = balancer.choose_online(&criteria(&[]), now).unwrap();
     assert_eq!(choice.slot_source, SlotSource::Queue);
 }
 
 #[test]
-fn a_target_that_started_anew_under_its_name_is_judged_anew() {
-    let mut places = places(0, &[]);
+fn restart_resets_target_health() {
+    let mut balancer = balancer(0, &[]);
     let now = Instant::now();
-    let born = |ms| Spec {
+    let started_at = |ms| Spec {
         started_unix_ms: Some(ms),
-        ..spec(NEAR, 1)
+        ..spec(LOCAL, 1)
     };
-    places.upsert("t1", born(1_000));
-    places.upsert("t2", born(1_000));
-    places.record_connection_failure("t1", now);
-    assert!(places.is_failing("t1", now));
-    // The same entry again says nothing new.
-    places.upsert("t1", born(1_000));
-    assert!(places.is_failing("t1", now));
-    places.upsert("t1", born(2_000));
-    assert!(!places.is_failing("t1", now));
+    balancer.upsert("t1", started_at(1_000));
+    balancer.upsert("t2", started_at(1_000));
+    balancer.record_connection_failure("t1", now);
+    assert!(balancer.is_failing("t1", now));
+    // An unchanged entry has no effect.
+    balancer.upsert("t1", started_at(1_000));
+    assert!(balancer.is_failing("t1", now));
+    balancer.upsert("t1", started_at(2_000));
+    assert!(!balancer.is_failing("t1", now));
 }
 
 #[rstest]
@@ -388,41 +437,41 @@
 #[case::one_of_four(4, 0, 1, true)]
 #[case::the_only_one(1, 1, 0, true)]
 #[case::full(2, 1, 1, true)]
-fn places_are_scarce_once_a_quarter_is_taken(
+fn slots_are_scarce_once_a_quarter_is_taken(
     #[case] slots: u32,
     #[case] own: u32,
     #[case] others: u32,
     #[case] expected: bool,
 ) {
     let now = Instant::now();
-    let mut places = Balancer::new(Config::default(), 1);
+    let mut balancer = Balancer::new(Config::default(), 1);
     let spec = Spec {
         slots,
         ..Spec::default()
     };
-    places.upsert("t1", spec);
+    balancer.upsert("t1", spec);
     for _ in 0..own {
-        places.begin_online("t1", now);
+        balancer.begin_online("t1", now);
     }
     let load = Load {
         online: others,
         batch: 0,
     };
-    places.set_peer_loads("h2", [(key_of("t1"), load)], vec![], now);
-    assert_eq!(places.has_scarce_slots("t1"), expected);
-    assert!(!places.has_scarce_slots("unknown"));
+    balancer.set_peer_loads("h2", [(key_of("t1"), load)], vec![], now);
+    assert_eq!(balancer.has_scarce_slots("t1"), expected);
+    assert!(!balancer.has_scarce_slots("unknown"));
 }
 
 const COLD_LEFT: Duration = Duration::from_secs(3);
 
 /// Begins online requests until no slot is free and returns their number.
-fn begin_until_full(places: &mut Balancer, now: Instant) -> usize {
-    let want = want(&[]);
+fn begin_until_full(balancer: &mut Balancer, now: Instant) -> usize {
+    let criteria = criteria(&[]);
     let mut sent = 0;
-    while let Ok(choice) = places.choose_online(&want, now)
+    while let Ok(choice) = balancer.choose_online(&criteria, now)
         && choice.slot_source == SlotSource::Free
     {
-        places.begin_online(&choice.target, now);
+        balancer.begin_online(&choice.target, now);
         sent += 1;
     }
     sent
@@ -443,13 +492,13 @@
     #[case] expected: usize,
 ) {
     let now = Instant::now();
-    let mut places = places(0, &[("t1", NEAR, 8)]);
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8)]);
     let rates = per_s.map(|rate| ("s".to_owned(), rate));
-    places.set_cold_rates(rates.into_iter().collect());
-    places.set_cold("t1", left, now);
-    assert_eq!(begin_until_full(&mut places, now), expected);
+    balancer.set_cold_rates(rates.into_iter().collect());
+    balancer.set_cold("t1", left, now);
+    assert_eq!(begin_until_full(&mut balancer, now), expected);
     if expected < 8 {
-        let refusal = places.choose_online(&want(&[]), now).unwrap_err();
+        let refusal = balancer.choose_online(&criteria(&[]), now).unwrap_err();
         assert!(matches!(refusal, Refusal::Full { .. }));
     }
 }
@@ -457,28 +506,28 @@
 #[test]
 fn cold_limit_is_lifted_after_its_time() {
     let now = Instant::now();
-    let mut places = places(0, &[("t1", NEAR, 8)]);
-    places.set_cold_rates([("s".to_owned(), 8.0)].into());
-    places.set_cold("t1", COLD_LEFT, now);
-    assert_eq!(begin_until_full(&mut places, now), 2);
-    places.end_cold(now + COLD_LEFT / 2);
-    assert_eq!(begin_until_full(&mut places, now), 0);
-    places.end_cold(now + COLD_LEFT);
-    assert_eq!(begin_until_full(&mut places, now), 6);
+    let mut balancer = balancer(0, &[("t1", LOCAL, 8)]);
+    balancer.set_cold_rates([("s".to_owned(), 8.0)].into());
+    balancer.set_cold("t1", COLD_LEFT, now);
+    assert_eq!(begin_until_full(&mut balancer, now), 2);
+    balancer.end_cold(now + COLD_LEFT / 2);
+    assert_eq!(begin_until_full(&mut balancer, now), 0);
+    balancer.end_cold(now + COLD_LEFT);
+    assert_eq!(begin_until_full(&mut balancer, now), 6);
 }
 
 #[test]
 fn targets_in_evacuated_data_centre_receive_nothing_new() {
     let now = Instant::now();
-    let mut places = places(0, &[("t1", NEAR, 2), ("t2", FAR, 2)]);
-    places.set_evacuated([NEAR.to_owned()].into());
-    places.upsert("t3", spec(NEAR, 2));
-    let want = want(&[]);
-    assert_eq!(places.choose_online(&want, now).unwrap().target, "t2");
-    assert_eq!(places.choose_batch(&want, now).unwrap(), "t2");
-    places.set_evacuated([NEAR.to_owned(), FAR.to_owned()].into());
-    let refusal = places.choose_online(&want, now).unwrap_err();
+    let mut balancer = balancer(0, &[("t1", LOCAL, 2), ("t2", REMOTE, 2)]);
+    balancer.set_evacuated([LOCAL.to_owned()].into());
+    balancer.upsert("t3", spec(LOCAL, 2));
+    let criteria = criteria(&[]);
+    assert_eq!(balancer.choose_online(&criteria, now).unwrap().target, "t2");
+    assert_eq!(balancer.choose_batch(&criteria, now).unwrap(), "t2");
+    balancer.set_evacuated([LOCAL.to_owned(), REMOTE.to_owned()].into());
+    let refusal = balancer.choose_online(&criteria, now).unwrap_err();
     assert!(matches!(refusal, Refusal::NoTarget { .. }));
-    places.set_evacuated([FAR.to_owned()].into());
-    assert_ne!(places.choose_online(&want, now).unwrap().target, "t2");
+    balancer.set_evacuated([REMOTE.to_owned()].into());
+    assert_ne!(balancer.choose_online(&criteria, now).unwrap().target, "t2");
 }
--- a/crates/routing/tests/items.rs
+++ b/crates/routing/tests/items.rs
@@ -1,4 +1,4 @@
-//! The order of items, turns, and how long items take.
+//! Order of items within a host and across hosts, and duration estimates.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use std::time::Duration;
@@ -21,12 +21,12 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn waiting(due_unix_ms: u64, items: u32) -> QueuedItems {
+fn queued(due_unix_ms: u64, items: u32) -> QueuedItems {
     QueuedItems { due_unix_ms, items }
 }
 
 #[test]
-fn items_due_first_come_first_and_late_ones_last_in_their_order() {
+fn items_are_ordered_by_deadline_with_late_ones_last() {
     let mut queue = Queue::default();
     for (due, item) in [(300, 'c'), (100, 'a'), (200, 'b'), (400, 'd')] {
         queue.push(due, item, item);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_item_that_is_late_behind_one_that_is_not_is_judged_at_the_head() {
+fn late_item_is_demoted_only_at_the_head() {
     let mut queue = Queue::default();
     queue.push(100, 1, 'a');
     queue.push(200, 2, 'b');
@@ -53,36 +53,36 @@
 }
 
 #[rstest]
-#[case::all_apart(3, &[waiting(100, 2), waiting(200, 1), waiting(300, 1)])]
-#[case::the_rest_with_the_last(2, &[waiting(100, 2), waiting(200, 2)])]
-#[case::all_as_one(1, &[waiting(100, 4)])]
-fn what_waits_is_told_by_when_it_is_due(#[case] times_max: usize, #[case] told: &[QueuedItems]) {
+#[case::all_separate(3, &[queued(100, 2), queued(200, 1), queued(300, 1)])]
+#[case::rest_counted_with_last(2, &[queued(100, 2), queued(200, 2)])]
+#[case::all_combined(1, &[queued(100, 4)])]
+fn summary_counts_items_by_due_time(#[case] times_max: usize, #[case] expected: &[QueuedItems]) {
     let mut queue = Queue::default();
     for (key, due) in [100, 100, 200, 300].into_iter().enumerate() {
         queue.push(due, key, key);
     }
-    assert_eq!(queue.summary(times_max), told);
+    assert_eq!(queue.summary(times_max), expected);
 }
 
 #[test]
-fn what_waits_is_told_right_whatever_came_and_went() {
+fn summary_follows_all_changes() {
     let mut queue = Queue::default();
     for key in 0..8 {
         queue.push(100 + key / 4, key, key);
     }
     queue.push(100, 0, 0);
-    assert_eq!(queue.summary(2), [waiting(100, 4), waiting(101, 4)]);
+    assert_eq!(queue.summary(2), [queued(100, 4), queued(101, 4)]);
     queue.pop();
     queue.retain(|key| key % 3 != 2);
-    assert_eq!(queue.summary(2), [waiting(100, 2), waiting(101, 3)]);
+    assert_eq!(queue.summary(2), [queued(100, 2), queued(101, 3)]);
     queue.demote_late(|key| *key < 4);
-    assert_eq!(queue.summary(2), [waiting(101, 3)]);
+    assert_eq!(queue.summary(2), [queued(101, 3)]);
     while queue.pop().is_some() {}
     assert_eq!(queue.summary(2), []);
 }
 
 #[test]
-fn items_that_are_not_wanted_are_dropped_late_or_not() {
+fn retain_removes_late_and_other_items() {
     let mut queue = Queue::default();
     for key in 0..4 {
         queue.push(key, key, key);
@@ -94,36 +94,36 @@
 }
 
 #[test]
-fn only_what_is_due_before_counts_as_ahead() {
+fn only_earlier_items_count_as_ahead() {
     let now = Instant::now();
-    let mut line = PeerQueues::default();
-    line.update("a2", vec![waiting(100, 2), waiting(500, 4)], now);
-    line.update("a3", vec![waiting(300, 1)], now);
-    let counts = [50, 100, 101, 400, 501].map(|due| line.ahead(due).items);
+    let mut queues = PeerQueues::default();
+    queues.update("a2", vec![queued(100, 2), queued(500, 4)], now);
+    queues.update("a3", vec![queued(300, 1)], now);
+    let counts = [50, 100, 101, 400, 501].map(|due| queues.ahead(due).items);
     assert_eq!(counts, [0, 0, 2, 3, 7]);
-    line.update("a2", vec![], now);
-    assert_eq!(line.ahead(u64::MAX).items, 1);
+    queues.update("a2", vec![], now);
+    assert_eq!(queues.ahead(u64::MAX).items, 1);
 }
 
 #[test]
-fn a_host_moves_when_less_waits_there() {
+fn fewer_queued_items_count_as_a_start() {
     let now = Instant::now();
-    let mut line = PeerQueues::default();
-    line.update("a2", vec![waiting(100, 3)], now);
-    line.update("a2", vec![waiting(100, 5)], now + SECOND);
-    assert_eq!(line.ahead(200).last_start_at, None);
-    line.update("a2", vec![waiting(100, 4)], now + 2 * SECOND);
-    line.update("a2", vec![waiting(100, 4)], now + 3 * SECOND);
-    assert_eq!(line.ahead(200).last_start_at, Some(now + 2 * SECOND));
-    assert_eq!(line.ahead(100), Ahead::default());
+    let mut queues = PeerQueues::default();
+    queues.update("a2", vec![queued(100, 3)], now);
+    queues.update("a2", vec![queued(100, 5)], now + SECOND);
+    assert_eq!(queues.ahead(200).last_start_at, None);
+    queues.update("a2", vec![queued(100, 4)], now + 2 * SECOND);
+    queues.update("a2", vec![queued(100, 4)], now + 3 * SECOND);
+    assert_eq!(queues.ahead(200).last_start_at, Some(now + 2 * SECOND));
+    assert_eq!(queues.ahead(100), Ahead::default());
 }
 
-fn places(targets: u32, slots: u32, reserve: u32) -> Balancer {
+fn balancer(targets: u32, slots: u32, reserve: u32) -> Balancer {
     let cfg = Config {
         reserve,
         ..Config::default()
     };
-    let mut places = Balancer::new(cfg, 7);
+    let mut balancer = Balancer::new(cfg, 7);
     for target in 0..targets {
         let spec = Spec {
             service: "s".into(),
@@ -131,12 +131,12 @@
             slots,
             ..Spec::default()
         };
-        places.upsert(&format!("t{target}"), spec);
+        balancer.upsert(&format!("t{target}"), spec);
     }
-    places
+    balancer
 }
 
-fn want(items_ahead: u32, moved_at: Option<Instant>) -> Criteria<'static> {
+fn criteria(items_ahead: u32, last_start_at: Option<Instant>) -> Criteria<'static> {
     Criteria {
         service: "s",
         data_centre: "d",
@@ -145,121 +145,123 @@
         objective: None,
         ahead: Ahead {
             items: items_ahead,
-            last_start_at: moved_at,
+            last_start_at,
         },
     }
 }
 
 #[test]
-fn free_places_are_left_to_as_many_items_as_come_first() {
+fn free_slots_are_left_to_earlier_items() {
     let now = Instant::now();
-    let mut places = places(1, 3, 0);
-    assert_eq!(places.choose_batch(&want(3, None), now), None);
-    assert!(places.choose_batch(&want(2, None), now).is_some());
+    let mut balancer = balancer(1, 3, 0);
+    assert_eq!(balancer.choose_batch(&criteria(3, None), now), None);
+    assert!(balancer.choose_batch(&criteria(2, None), now).is_some());
 }
 
-/// A host that was frozen in its turn would have held all others up.
+/// Otherwise a frozen host with earlier items would block all others.
 #[test]
-fn places_that_nobody_takes_are_left_over() {
+fn unclaimed_slots_are_used_after_timeout() {
     let now = Instant::now();
-    let mut places = places(1, 3, 0);
+    let mut balancer = balancer(1, 3, 0);
     let later = now + Duration::from_millis(40);
-    assert_eq!(places.choose_batch(&want(9, None), now), None);
-    assert!(places.choose_batch(&want(9, None), later).is_some());
+    assert_eq!(balancer.choose_batch(&criteria(9, None), now), None);
+    assert!(balancer.choose_batch(&criteria(9, None), later).is_some());
 }
 
-/// At a burst's end all others took what the host whose turn it was had not
-/// come to yet (scale-1).
+/// At the end of a burst, other hosts must not take slots while the hosts with earlier items are
+/// still taking theirs.
 #[test]
-fn places_are_not_left_over_while_those_ahead_take_theirs() {
+fn slots_are_not_unclaimed_while_earlier_items_start() {
     let now = Instant::now();
-    let mut places = places(1, 3, 0);
+    let mut balancer = balancer(1, 3, 0);
     let later = now + Duration::from_millis(40);
-    assert_eq!(places.choose_batch(&want(9, None), now), None);
-    assert_eq!(places.choose_batch(&want(9, Some(later)), later), None);
+    assert_eq!(balancer.choose_batch(&criteria(9, None), now), None);
+    assert_eq!(
+        balancer.choose_batch(&criteria(9, Some(later)), later),
+        None
+    );
 }
 
-/// The reserve keeps places free at all times: they counted as left over.
+/// The reserve always keeps slots free, which must not count as unclaimed.
 #[test]
-fn places_of_the_reserve_are_not_left_over() {
+fn reserved_slots_are_not_unclaimed() {
     let now = Instant::now();
-    let mut places = places(2, 2, 1);
+    let mut balancer = balancer(2, 2, 1);
     let long_ago = now;
     for online in 0..3 {
-        places.begin_online(&format!("t{}", online % 2), now);
+        balancer.begin_online(&format!("t{}", online % 2), now);
     }
-    assert_eq!(places.choose_batch(&want(1, None), long_ago), None);
-    places.end_online("t0");
-    places.end_online("t0");
+    assert_eq!(balancer.choose_batch(&criteria(1, None), long_ago), None);
+    balancer.end_online("t0");
+    balancer.end_online("t0");
     let later = now + SECOND;
-    // Three places are open now, but only since this look.
-    assert_eq!(places.choose_batch(&want(5, None), later), None);
+    // Three slots are available now, but only since this call.
+    assert_eq!(balancer.choose_batch(&criteria(5, None), later), None);
 }
 
 #[rstest]
 #[case::none(0, 15)]
 #[case::some(4, 10)]
 #[case::many(9, 4)]
-fn the_reserve_is_shared_and_follows_the_online_load(#[case] online: u32, #[case] items: u32) {
+fn reserve_is_shared_and_follows_online_load(#[case] online: u32, #[case] items: u32) {
     let now = Instant::now();
-    let mut places = places(4, 4, 1);
+    let mut balancer = balancer(4, 4, 1);
     for request in 0..online {
-        places.begin_online(&format!("t{}", request % 4), now);
+        balancer.begin_online(&format!("t{}", request % 4), now);
     }
     let mut started = 0;
-    while let Some(target) = places.choose_batch(&want(0, None), now) {
-        places.begin_batch(&target);
+    while let Some(target) = balancer.choose_batch(&criteria(0, None), now) {
+        balancer.begin_batch(&target);
         started += 1;
     }
     assert_eq!(started, items);
 }
 
-/// Rested as one that online requests had filled, it stood idle while items
-/// waited (a sixth of all places in scale-1).
+/// With the cooldown of targets filled by online requests, a sixth of all slots was idle while
+/// items were waiting in a simulation.
 #[test]
-fn a_target_that_items_have_filled_does_not_rest() {
+fn target_filled_by_items_has_no_cooldown() {
     let now = Instant::now();
-    let mut places = places(1, 2, 0);
-    places.begin_batch("t0");
+    let mut balancer = balancer(1, 2, 0);
+    balancer.begin_batch("t0");
     let peer = Load {
         online: 0,
         batch: 1,
     };
-    places.set_peer_loads("a2", [(key_of("t0"), peer)], vec![], now);
-    assert_eq!(places.choose_batch(&want(0, None), now), None);
-    places.end_batch("t0");
-    assert!(places.choose_batch(&want(0, None), now).is_some());
+    balancer.set_peer_loads("a2", [(key_of("t0"), peer)], vec![], now);
+    assert_eq!(balancer.choose_batch(&criteria(0, None), now), None);
+    balancer.end_batch("t0");
+    assert!(balancer.choose_batch(&criteria(0, None), now).is_some());
 }
 
 #[test]
-fn places_in_use_leave_out_queues_and_targets_that_leave() {
+fn slot_usage_excludes_queues_and_leaving_targets() {
     let now = Instant::now();
-    let mut places = places(2, 2, 0);
+    let mut balancer = balancer(2, 2, 0);
     for _ in 0..5 {
-        places.begin_online("t0", now);
+        balancer.begin_online("t0", now);
     }
-    assert_eq!(places.slot_usage(), (2, 4));
+    assert_eq!(balancer.slot_usage(), (2, 4));
     let leaving = Spec {
         is_leaving: true,
-        ..places.spec("t0").unwrap().clone()
+        ..balancer.spec("t0").unwrap().clone()
     };
-    places.upsert("t0", leaving);
-    assert_eq!(places.slot_usage(), (0, 2));
+    balancer.upsert("t0", leaving);
+    assert_eq!(balancer.slot_usage(), (0, 2));
 }
 
-/// Returns what is learned from items whose lengths go along with their hints,
-/// or don't.
-fn learned(hint_of: impl Fn(u64) -> u32) -> Estimator {
-    let mut usual = Estimator::default();
+/// Returns an estimator trained with items whose hints are given by a function of their length.
+fn trained(hint_for: impl Fn(u64) -> u32) -> Estimator {
+    let mut estimator = Estimator::default();
     for round in 0..400 {
         let events = 50 + (round * 37) % 100;
-        usual.record_run(
+        estimator.record_run(
             events,
             Duration::from_millis(20) * u32::try_from(events).unwrap(),
         );
-        usual.record_completion(hinted(hint_of(events)), events);
+        estimator.record_completion(hinted(hint_for(events)), events);
     }
-    usual
+    estimator
 }
 
 fn hinted(tokens: u32) -> Size {
@@ -270,69 +272,75 @@
 }
 
 #[test]
-fn what_is_left_of_an_item_shrinks_with_each_event() {
-    let usual = learned(|_| 500);
-    let rest = |events| usual.remaining(Size::default(), events).unwrap();
-    assert!(rest(0) > rest(40) && rest(40) > rest(80));
+fn remaining_duration_decreases_with_each_event() {
+    let estimator = trained(|_| 500);
+    let remaining = |events| estimator.remaining(Size::default(), events).unwrap();
+    assert!(remaining(0) > remaining(40) && remaining(40) > remaining(80));
     assert!(
-        rest(10_000) > Duration::ZERO,
-        "It may end any time, not at once."
+        remaining(10_000) > Duration::ZERO,
+        "The item may end at any time, but not immediately."
+    );
+    assert!(
+        remaining(0) > Duration::from_millis(1_400) && remaining(0) < Duration::from_millis(2_600)
     );
-    assert!(rest(0) > Duration::from_millis(1_400) && rest(0) < Duration::from_millis(2_600));
 }
 
 #[test]
-fn hints_count_as_far_as_they_were_right() {
-    let right = learned(|events| u32::try_from(events * 6).unwrap());
-    let told = |usual: &Estimator, hint| usual.remaining(hinted(hint), 0).unwrap().as_secs_f64();
-    assert!(told(&right, 840) > 1.8 * told(&right, 360));
-    let noise = learned(|events| if events % 2 == 0 { 200 } else { 2_000 });
-    assert!(told(&noise, 840) < 1.2 * told(&noise, 360));
+fn hints_are_weighted_by_accuracy() {
+    let accurate = trained(|events| u32::try_from(events * 6).unwrap());
+    let estimate =
+        |estimator: &Estimator, hint| estimator.remaining(hinted(hint), 0).unwrap().as_secs_f64();
+    assert!(estimate(&accurate, 840) > 1.8 * estimate(&accurate, 360));
+    let inaccurate = trained(|events| if events % 2 == 0 { 200 } else { 2_000 });
+    assert!(estimate(&inaccurate, 840) < 1.2 * estimate(&inaccurate, 360));
 }
 
-/// Sizes come from callers: none of them may starve an item or let it through.
+/// Sizes are untrusted: none may delay an item indefinitely or let it bypass others.
 #[rstest]
 #[case::none(Size::default())]
-#[case::zero_longest(Size { output_tokens_max: 0, ..hinted(600) })]
+#[case::zero_maximum(Size { output_tokens_max: 0, ..hinted(600) })]
 #[case::huge(hinted(u32::MAX))]
 #[case::tiny(hinted(1))]
-#[case::beyond_the_longest(Size { output_tokens_max: 10, ..hinted(u32::MAX) })]
-fn a_size_that_is_missing_or_absurd_is_taken_as_usual_within_bounds(#[case] size: Size) {
-    let usual = learned(|events| u32::try_from(events * 6).unwrap());
-    let rest = usual.remaining(size, 0).unwrap();
-    let typical = usual.remaining(Size::default(), 0).unwrap();
+#[case::beyond_the_maximum(Size { output_tokens_max: 10, ..hinted(u32::MAX) })]
+fn missing_or_extreme_size_keeps_estimate_within_bounds(#[case] size: Size) {
+    let estimator = trained(|events| u32::try_from(events * 6).unwrap());
+    let remaining = estimator.remaining(size, 0).unwrap();
+    let typical = estimator.remaining(Size::default(), 0).unwrap();
     assert!(
-        rest >= typical / 4 && rest <= typical * 4,
-        "{rest:?} {typical:?}"
+        remaining >= typical / 4 && remaining <= typical * 4,
+        "{remaining:?} {typical:?}"
     );
 }
 
-/// Pooled, short items beside long ones looked long, and late too early.
+/// With one estimator for all estimators, short items seemed long and were considered late too early.
 #[test]
-fn short_items_are_not_judged_by_long_ones_of_another_kind() {
-    let mut kinds = Estimators::default();
+fn kinds_are_estimated_separately() {
+    let mut estimators = Estimators::default();
     for _ in 0..50 {
         for (kind, events) in [("short", 20), ("long", 400)] {
-            let usual = kinds.kind_mut(kind);
-            usual.record_run(events, SECOND);
-            usual.record_completion(Size::default(), events);
+            let estimator = estimators.kind_mut(kind);
+            estimator.record_run(events, SECOND);
+            estimator.record_completion(Size::default(), events);
         }
     }
     for kind in ["short", "long"] {
-        let rest = kinds.remaining(kind, Size::default(), 0).unwrap();
-        assert!(rest.abs_diff(SECOND) < SECOND / 10, "{kind}: {rest:?}");
+        let remaining = estimators.remaining(kind, Size::default(), 0).unwrap();
+        assert!(
+            remaining.abs_diff(SECOND) < SECOND / 10,
+            "{kind}: {remaining:?}"
+        );
     }
-    assert_eq!(kinds.remaining("other", Size::default(), 0), None);
+    assert_eq!(estimators.remaining("other", Size::default(), 0), None);
 }
 
 #[test]
-fn nothing_is_said_of_items_before_one_has_ended() {
-    let mut usual = Estimator::default();
-    assert_eq!(usual.remaining(hinted(600), 0), None);
-    usual.record_completion(Size::default(), 0);
+fn no_estimate_before_first_completed_item() {
+    let mut estimator = Estimator::default();
+    assert_eq!(estimator.remaining(hinted(600), 0), None);
+    estimator.record_completion(Size::default(), 0);
     assert_eq!(
-        usual.remaining(Size::default(), 0),
+        estimator.remaining(Size::default(), 0),
         None,
-        "The pace is not known."
+        "The time per event is unknown."
     );
 }
--- a/crates/routing/tests/limit.rs
+++ b/crates/routing/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Limits follow measured times.
+//! Adaptation of concurrency limits to measured latencies.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,7 +17,7 @@
     Duration::from_millis(count)
 }
 
-/// Feeds windows of samples and returns the limit after each.
+/// Feeds windows of samples and returns the limit expected each.
 fn limits(first_ms: u64, inter_ms: u64, running: u32, windows: usize) -> Vec<u32> {
     let start = Instant::now();
     let mut limit = Limit::new(OBJECTIVES, MAX, start);
@@ -38,19 +38,19 @@
 
 #[rstest]
 #[case::within(100, 20, 32)]
-#[case::first_token_late(900, 20, 2)]
-#[case::inter_token_late(100, 30, 2)]
-fn a_limit_falls_only_when_an_objective_is_missed(
+#[case::first_token_exceeded(900, 20, 2)]
+#[case::inter_token_exceeded(100, 30, 2)]
+fn limit_decreases_only_when_an_objective_is_missed(
     #[case] first_ms: u64,
     #[case] inter_ms: u64,
-    #[case] after: u32,
+    #[case] expected: u32,
 ) {
     let seen = limits(first_ms, inter_ms, MAX, 40);
-    assert_eq!(*seen.last().unwrap_or(&0), after, "{seen:?}");
+    assert_eq!(*seen.last().unwrap_or(&0), expected, "{seen:?}");
 }
 
 #[rstest]
-fn a_limit_rises_again_one_by_one() {
+fn limit_increases_in_single_steps() {
     let start = Instant::now();
     let mut limit = Limit::new(OBJECTIVES, MAX, start);
     let mut now = start;
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -15,8 +15,8 @@
 use notchwharf_routing::quarantine::Verdict;
 use proptest::prelude::*;
 use rstest::rstest;
+use simulation::Fault;
 use simulation::Fleet;
-use simulation::Trouble;
 
 const REQUEST: u128 = 7;
 const SOON: Duration = Duration::from_millis(80);
@@ -305,18 +305,18 @@
 /// ended the third. Where datagrams are lost or a host has just started, one may be
 /// told only again, a second or two later.
 #[rstest]
-#[case::calm(Trouble::None, 500)]
-#[case::one_datagram_in_ten_is_lost(Trouble::Loss, 3_000)]
-#[case::hosts_are_killed_and_start_again(Trouble::Kills, 500)]
-#[case::all_lose_power(Trouble::PowerLoss, 500)]
+#[case::calm(Fault::None, 500)]
+#[case::one_datagram_in_ten_is_lost(Fault::Loss, 3_000)]
+#[case::hosts_are_killed_and_start_again(Fault::Restarts, 500)]
+#[case::all_lose_power(Fault::PowerLoss, 500)]
 fn a_request_that_crashes_targets_is_stopped_at_all_hosts(
-    #[case] trouble: Trouble,
+    #[case] trouble: Fault,
     #[case] latest_ms: u64,
     #[values(12, 60, 300)] hosts: usize,
 ) {
     const PLAYS: u64 = 20;
-    let plays = (0..PLAYS).map(|seed| Fleet::new(hosts, trouble, seed).play_deadly(2.0));
-    let plays: Vec<simulation::Deadly> = plays.collect();
+    let plays = (0..PLAYS).map(|seed| Fleet::new(hosts, trouble, seed).simulate_crashing(2.0));
+    let plays: Vec<simulation::Crashing> = plays.collect();
     let three = plays.iter().filter(|play| play.crashes <= 3).count();
     let most = plays.iter().map(|play| play.crashes).max().unwrap();
     let latest = plays.iter().map(|play| play.latest).max().unwrap();
@@ -336,7 +336,7 @@
 #[rstest]
 fn hosts_that_are_cut_off_end_few_targets_more(#[values(12, 60, 300)] hosts: usize) {
     for seed in 0..20 {
-        let play = Fleet::new(hosts, Trouble::Cuts, seed).play_deadly(2.0);
+        let play = Fleet::new(hosts, Fault::Partitions, seed).simulate_crashing(2.0);
         assert!(play.crashes <= 6, "{hosts} hosts, seed {seed}: {play:?}");
     }
 }
@@ -352,7 +352,7 @@
     #[case] refused_max: u32,
     #[case] delayed_items_max: u32,
 ) {
-    let play = Fleet::new(12, Trouble::None, 1).play_healthy(share);
+    let play = Fleet::new(12, Fault::None, 1).simulate_healthy(share);
     println!("{share} crash: {play:?}");
     assert!(play.requests > 28_000 && play.items >= 1_500, "{play:?}");
     assert!(play.refused <= refused_max, "{play:?}");
--- a/crates/routing/tests/simulation/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time whose hosts tell one another of suspects.
-#![allow(unreachable_pub, reason = "A test has no outside.")]
+//! Discrete-event simulation of a fleet whose hosts exchange quarantine reports.
+#![allow(unreachable_pub, reason = "A test module has no external users.")]
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,53 +16,56 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-/// Time that is played.
-const PLAYED: Duration = Duration::from_secs(60);
-/// Time from a break to a crash noted: a way to the target and back.
-const LOOK: Duration = Duration::from_millis(2);
-const WAY_MS: std::ops::Range<f64> = 0.5..2.5;
-/// Time after which a crash is told once more, and what is worth it is told again.
-const TELL_GAP: Duration = Duration::from_millis(50);
-const RETELL_GAP: Duration = Duration::from_millis(500);
-/// Time after which a request that waits asks again.
-const WAIT: Duration = Duration::from_millis(20);
-/// Time for which callers wait.
+/// Simulated time.
+const DURATION: Duration = Duration::from_secs(60);
+/// Time from a broken connection to the detection of the crash: a round trip to the target.
+const DETECTION_DELAY: Duration = Duration::from_millis(2);
+/// Range of the transit times between hosts.
+const TRANSIT_MS: std::ops::Range<f64> = 0.5..2.5;
+/// Time after which the report of a crash is repeated once.
+const REPEAT_DELAY: Duration = Duration::from_millis(50);
+/// Interval of periodic reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after which a waiting request is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time after which callers give up.
 const DEADLINE: Duration = Duration::from_secs(5);
-/// How often a host is cut off or killed.
-const TROUBLE_GAP: Duration = Duration::from_secs(2);
-const CUT: Duration = Duration::from_secs(3);
-/// Time in which a share of the targets crashes, each on its own.
-const CRASH_GAP: Duration = Duration::from_secs(3);
-/// Online requests of one attempt run so often, and callers come so often.
+/// Interval between injected faults.
+const FAULT_INTERVAL: Duration = Duration::from_secs(2);
+/// Duration of a network partition.
+const PARTITION_DURATION: Duration = Duration::from_secs(3);
+/// Interval in which a share of the targets crashes independently.
+const CRASH_INTERVAL: Duration = Duration::from_secs(3);
+/// Maximum runs per call and calls per request of online requests.
 const RUNS_MAX: u32 = 3;
 const CALLS_MAX: u32 = 2;
 const ONLINE_RUN: Duration = Duration::from_millis(700);
 const ITEM_RUN: Duration = Duration::from_secs(7);
-/// Popular requests, each with one content, that come five times a second.
-const POPULAR: u128 = 3;
+/// Number of popular requests, each with the same content; together five a second.
+const POPULAR_REQUESTS: u128 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     None,
-    /// A datagram in ten is lost.
+    /// One in ten datagrams is lost.
     Loss,
-    /// Hosts die, forget all and are told by one that lives.
-    Kills,
-    /// All die at once in the midst of it, and read what was saved.
+    /// Hosts restart without state and receive reports from the others.
+    Restarts,
+    /// All hosts restart at once in the middle of the simulation and load the saved state.
     PowerLoss,
-    /// Hosts neither hear nor are heard.
-    Cuts,
+    /// Hosts neither send nor receive datagrams.
+    Partitions,
 }
 
-/// What came of a request that crashes targets.
+/// The outcome of a request that crashes targets.
 #[derive(Clone, Copy, Debug)]
-pub struct Deadly {
+pub struct Crashing {
     pub crashes: u32,
-    /// The longest time from the third crash to a send.
+    /// The longest time from the third crash to a later run.
     pub latest: Duration,
 }
 
-/// What came of healthy requests.
+/// The outcome of healthy requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Healthy {
     pub requests: u32,
@@ -73,92 +76,92 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    name: u128,
+    id: u128,
     host: usize,
-    since: Duration,
+    arrived_at: Duration,
     runs: u32,
     calls: u32,
-    /// Time that it runs still, if nothing comes between.
-    left: Duration,
+    /// Remaining run time.
+    remaining: Duration,
     is_item: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
     Arrive(Request),
-    /// A run under which the target crashes, which began then.
-    Breaks {
+    /// The target crashes during the run.
+    Crash {
         request: Request,
-        began: Duration,
+        started_at: Duration,
     },
-    EndsWell {
+    Complete {
         request: Request,
     },
-    Hear {
+    Receive {
         to: usize,
         from: usize,
-        told: Box<Told>,
+        report: Box<Told>,
     },
-    /// A host tells of a request once more.
-    Tell {
+    /// A host repeats its report of a request.
+    RepeatReport {
         from: usize,
-        name: u128,
+        id: u128,
     },
-    Retell,
-    Trouble,
+    SendPeriodicReports,
+    InjectFault,
     Heal(usize),
 }
 
 struct Host {
     quarantine: Quarantine,
-    is_cut: bool,
+    is_partitioned: bool,
 }
 
 pub struct Fleet {
     start: Instant,
     now: Duration,
-    trouble: Trouble,
+    fault: Fault,
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, Event>,
-    lives: LifeId,
+    incarnations: LifeId,
     saved: Option<Told>,
 }
 
 impl Fleet {
-    pub fn new(hosts: usize, trouble: Trouble, seed: u64) -> Self {
+    pub fn new(hosts: usize, fault: Fault, seed: u64) -> Self {
         let host = || Host {
             quarantine: Quarantine::default(),
-            is_cut: false,
+            is_partitioned: false,
         };
         let mut fleet = Self {
             start: Instant::now(),
             now: Duration::ZERO,
-            trouble,
+            fault,
             rng: ChaCha8Rng::seed_from_u64(seed),
             hosts: std::iter::repeat_with(host).take(hosts).collect(),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            lives: 0,
+            incarnations: 0,
             saved: None,
         };
-        fleet.at(RETELL_GAP, Event::Retell);
-        let first = match trouble {
-            Trouble::PowerLoss => PLAYED / 2,
-            _ => TROUBLE_GAP,
+        fleet.schedule(REPORT_INTERVAL, Event::SendPeriodicReports);
+        let first_fault = match fault {
+            Fault::PowerLoss => DURATION / 2,
+            _ => FAULT_INTERVAL,
         };
-        fleet.at(first, Event::Trouble);
+        fleet.schedule(first_fault, Event::InjectFault);
         fleet
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         let number = self.events.last_key_value().map_or(0, |(n, _)| n + 1);
         self.events.insert(number, event);
         self.queue.push(Reverse((at, number)));
     }
 
-    fn pop(&mut self) -> Option<Event> {
+    fn next_event(&mut self) -> Option<Event> {
         let Reverse((at, number)) = self.queue.pop()?;
         self.now = at;
         self.events.remove(&number)
@@ -168,69 +171,70 @@
         self.start + self.now
     }
 
-    fn request(&mut self, name: u128, run: Duration, is_item: bool) -> Request {
+    fn request(&mut self, id: u128, run: Duration, is_item: bool) -> Request {
         Request {
-            name,
+            id,
             host: self.rng.random_range(0..self.hosts.len()),
-            since: self.now,
+            arrived_at: self.now,
             runs: 0,
             calls: 0,
-            left: run,
+            remaining: run,
             is_item,
         }
     }
 
-    fn tell(&mut self, from: usize, name: u128) {
-        let told = self.hosts[from]
+    fn broadcast_report(&mut self, from: usize, id: u128) {
+        let report = self.hosts[from]
             .quarantine
-            .told(name, &from.to_string(), self.instant());
-        let Some(told) = told else {
+            .told(id, &from.to_string(), self.instant());
+        let Some(report) = report else {
             return;
         };
         for to in 0..self.hosts.len() {
-            self.send(from, to, &told);
+            self.send(from, to, &report);
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, told: &Told) {
-        let is_lost = self.trouble == Trouble::Loss && self.rng.random_bool(0.1);
-        if to == from || is_lost || self.hosts[from].is_cut || self.hosts[to].is_cut {
+    fn send(&mut self, from: usize, to: usize, report: &Told) {
+        let is_lost = self.fault == Fault::Loss && self.rng.random_bool(0.1);
+        if to == from || is_lost || self.hosts[from].is_partitioned || self.hosts[to].is_partitioned
+        {
             return;
         }
-        let way = Duration::from_secs_f64(self.rng.random_range(WAY_MS) / 1e3);
-        let told = Box::new(told.clone());
-        self.at(self.now + way, Event::Hear { to, from, told });
+        let transit = Duration::from_secs_f64(self.rng.random_range(TRANSIT_MS) / 1e3);
+        let report = Box::new(report.clone());
+        self.schedule(self.now + transit, Event::Receive { to, from, report });
     }
 
-    fn retell(&mut self) {
+    fn send_periodic_reports(&mut self) {
         for from in 0..self.hosts.len() {
-            let told = self.hosts[from]
+            let reports = self.hosts[from]
                 .quarantine
                 .retold(&from.to_string(), self.instant());
             for _ in 0..2 {
                 let to = self.rng.random_range(0..self.hosts.len());
-                for told in &told {
-                    self.send(from, to, told);
+                for report in &reports {
+                    self.send(from, to, report);
                 }
             }
         }
-        self.at(self.now + RETELL_GAP, Event::Retell);
+        self.schedule(self.now + REPORT_INTERVAL, Event::SendPeriodicReports);
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let host = self.rng.random_range(0..self.hosts.len());
-        match self.trouble {
-            Trouble::None | Trouble::Loss => return,
-            Trouble::Kills => {
+        match self.fault {
+            Fault::None | Fault::Loss => return,
+            Fault::Restarts => {
                 self.hosts[host].quarantine = Quarantine::default();
                 for by in 0..self.hosts.len() {
                     let quarantine = &self.hosts[by].quarantine;
-                    for told in quarantine.retold(&by.to_string(), self.instant()) {
-                        self.send(by, host, &told);
+                    for report in quarantine.retold(&by.to_string(), self.instant()) {
+                        self.send(by, host, &report);
                     }
                 }
             }
-            Trouble::PowerLoss => {
+            Fault::PowerLoss => {
                 let now = self.instant();
                 for host in &mut self.hosts {
                     host.quarantine = Quarantine::default();
@@ -240,27 +244,27 @@
                 }
                 return;
             }
-            Trouble::Cuts => {
-                self.hosts[host].is_cut = true;
-                self.at(self.now + CUT, Event::Heal(host));
+            Fault::Partitions => {
+                self.hosts[host].is_partitioned = true;
+                self.schedule(self.now + PARTITION_DURATION, Event::Heal(host));
             }
         }
-        self.at(self.now + TROUBLE_GAP, Event::Trouble);
+        self.schedule(self.now + FAULT_INTERVAL, Event::InjectFault);
     }
 
-    /// Does what is the same for all requests; returns what is not.
-    fn common(&mut self, event: Event) -> Option<Event> {
+    /// Handles events that are independent of the kind of request; returns all others.
+    fn handle_common(&mut self, event: Event) -> Option<Event> {
         match event {
-            Event::Hear { to, from, told } => {
+            Event::Receive { to, from, report } => {
                 let now = self.instant();
                 self.hosts[to]
                     .quarantine
-                    .take(&from.to_string(), &told, now);
+                    .take(&from.to_string(), &report, now);
             }
-            Event::Tell { from, name } => self.tell(from, name),
-            Event::Retell => self.retell(),
-            Event::Trouble => self.trouble(),
-            Event::Heal(host) => self.hosts[host].is_cut = false,
+            Event::RepeatReport { from, id } => self.broadcast_report(from, id),
+            Event::SendPeriodicReports => self.send_periodic_reports(),
+            Event::InjectFault => self.inject_fault(),
+            Event::Heal(host) => self.hosts[host].is_partitioned = false,
             other => return Some(other),
         }
         None
@@ -270,159 +274,174 @@
         let (host, now) = (request.host, self.instant());
         let quarantine = &mut self.hosts[host].quarantine;
         let verdict = match request.is_item {
-            true => quarantine.admit_owed(request.name, &host.to_string(), now),
-            false => quarantine.admit(request.name, &host.to_string(), now),
+            true => quarantine.admit_owed(request.id, &host.to_string(), now),
+            false => quarantine.admit(request.id, &host.to_string(), now),
         };
         if verdict == Verdict::Free {
-            self.tell(host, request.name);
+            self.broadcast_report(host, request.id);
         }
         verdict
     }
 
-    /// Notes a crash at the host of a request, and tells it.
-    fn crashed(&mut self, request: &Request, ran: Duration) {
-        self.lives += 1;
+    /// Records a crash at the host of a request and broadcasts it.
+    fn record_crash(&mut self, request: &Request, ran: Duration) {
+        self.incarnations += 1;
         let at = self.instant();
-        let life = self.lives;
+        let life = self.incarnations;
         let quarantine = &mut self.hosts[request.host].quarantine;
-        quarantine.crashed(request.name, Crash { life, ran, at });
-        quarantine.ended(request.name, &request.host.to_string());
-        if quarantine.crashes(request.name) >= 3 {
-            self.saved = quarantine.told(request.name, "store", at);
+        quarantine.crashed(request.id, Crash { life, ran, at });
+        quarantine.ended(request.id, &request.host.to_string());
+        if quarantine.crashes(request.id) >= 3 {
+            self.saved = quarantine.told(request.id, "store", at);
         }
-        self.tell(request.host, request.name);
-        let (from, name) = (request.host, request.name);
-        self.at(self.now + TELL_GAP, Event::Tell { from, name });
+        self.broadcast_report(request.host, request.id);
+        let (from, id) = (request.host, request.id);
+        self.schedule(self.now + REPEAT_DELAY, Event::RepeatReport { from, id });
     }
 
-    fn again(&mut self, request: Request) {
-        if self.now - request.since < DEADLINE {
-            self.at(self.now + WAIT, Event::Arrive(request));
+    fn retry(&mut self, request: Request) {
+        if self.now - request.arrived_at < DEADLINE {
+            self.schedule(self.now + RETRY_DELAY, Event::Arrive(request));
         }
     }
 
-    /// Plays a request that crashes targets and comes so often a second.
-    pub fn play_deadly(mut self, rate: f64) -> Deadly {
+    /// Simulates a request that crashes targets and arrives `rate` times a second on average.
+    pub fn simulate_crashing(mut self, rate: f64) -> Crashing {
         let mut at = 0.0;
-        while at < PLAYED.as_secs_f64() {
+        while at < DURATION.as_secs_f64() {
             at += -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
             self.now = Duration::from_secs_f64(at);
             let request = self.request(1, Duration::ZERO, false);
-            self.at(self.now, Event::Arrive(request));
+            self.schedule(self.now, Event::Arrive(request));
         }
         let mut crashed_at = Vec::new();
         let mut latest = Duration::ZERO;
-        while let Some(event) = self.pop() {
-            if self.now > PLAYED {
+        while let Some(event) = self.next_event() {
+            if self.now > DURATION {
                 break;
             }
-            match self.common(event) {
+            match self.handle_common(event) {
                 Some(Event::Arrive(request)) => match self.admit(&request) {
                     Verdict::Free => {
-                        if let Some(third) = crashed_at.get(2) {
-                            latest = latest.max(self.now.saturating_sub(*third));
+                        if let Some(third_crash) = crashed_at.get(2) {
+                            latest = latest.max(self.now.saturating_sub(*third_crash));
                         }
-                        let began = self.now;
+                        let started_at = self.now;
                         let ran = Duration::from_millis(self.rng.random_range(40..150));
-                        let event = Event::Breaks { request, began };
-                        self.at(self.now + ran, event);
-                        crashed_at.push(began + ran);
+                        let event = Event::Crash {
+                            request,
+                            started_at,
+                        };
+                        self.schedule(self.now + ran, event);
+                        crashed_at.push(started_at + ran);
                         crashed_at.sort();
                     }
-                    Verdict::Wait => self.again(request),
+                    Verdict::Wait => self.retry(request),
                     Verdict::Refused { .. } => {}
                 },
-                Some(Event::Breaks { request, began }) => {
-                    let ran = self.now - began;
-                    self.now += LOOK;
-                    self.crashed(&request, ran);
+                Some(Event::Crash {
+                    request,
+                    started_at,
+                }) => {
+                    let ran = self.now - started_at;
+                    self.now += DETECTION_DELAY;
+                    self.record_crash(&request, ran);
                 }
                 _ => {}
             }
         }
         let crashes = u32::try_from(crashed_at.len()).unwrap();
-        Deadly { crashes, latest }
+        Crashing { crashes, latest }
     }
 
-    /// Plays healthy requests while a share of the targets crashes again and again.
-    pub fn play_healthy(mut self, share: f64) -> Healthy {
-        /// As many plays of a minute as make rare cases show.
-        const LENGTH: Duration = Duration::from_secs(600);
-        let mut played = Healthy::default();
-        let mut name = 1_000;
+    /// Simulates healthy requests while a share of the targets crashes repeatedly.
+    pub fn simulate_healthy(mut self, share: f64) -> Healthy {
+        /// Long enough for rare cases to occur.
+        const HEALTHY_DURATION: Duration = Duration::from_secs(600);
+        let mut outcome = Healthy::default();
+        let mut id = 1_000;
         let mut at = Duration::ZERO;
-        while at < LENGTH {
+        while at < HEALTHY_DURATION {
             self.now = at;
-            name += 1;
-            let is_item = name % 20 == 0;
-            let is_popular = name % 10 == 1;
+            id += 1;
+            let is_item = id % 20 == 0;
+            let is_popular = id % 10 == 1;
             let run = if is_item { ITEM_RUN } else { ONLINE_RUN };
-            let which = if is_popular {
-                name / 10 % POPULAR
+            let content_id = if is_popular {
+                id / 10 % POPULAR_REQUESTS
             } else {
-                name
+                id
             };
-            let request = self.request(which, run, is_item);
-            played.requests += u32::from(!is_item);
-            played.items += u32::from(is_item);
-            self.at(at, Event::Arrive(request));
+            let request = self.request(content_id, run, is_item);
+            outcome.requests += u32::from(!is_item);
+            outcome.items += u32::from(is_item);
+            self.schedule(at, Event::Arrive(request));
             at += Duration::from_millis(20);
         }
-        while let Some(event) = self.pop() {
-            if self.now > LENGTH {
+        while let Some(event) = self.next_event() {
+            if self.now > HEALTHY_DURATION {
                 break;
             }
-            match self.common(event) {
-                Some(Event::Arrive(request)) => self.run_healthy(request, share, &mut played),
-                Some(Event::Breaks { request, began }) => {
-                    self.break_healthy(request, began);
+            match self.handle_common(event) {
+                Some(Event::Arrive(request)) => self.start_healthy(request, share, &mut outcome),
+                Some(Event::Crash {
+                    request,
+                    started_at,
+                }) => {
+                    self.crash_healthy(request, started_at);
                 }
-                Some(Event::EndsWell { request }) => {
+                Some(Event::Complete { request }) => {
                     let now = self.instant();
                     let quarantine = &mut self.hosts[request.host].quarantine;
-                    quarantine.ended(request.name, &request.host.to_string());
-                    if quarantine.ended_well(request.name, now) {
-                        self.tell(request.host, request.name);
+                    quarantine.ended(request.id, &request.host.to_string());
+                    if quarantine.ended_well(request.id, now) {
+                        self.broadcast_report(request.host, request.id);
                     }
                 }
                 _ => {}
             }
         }
-        played
+        outcome
     }
 
-    fn run_healthy(&mut self, request: Request, share: f64, played: &mut Healthy) {
+    fn start_healthy(&mut self, request: Request, share: f64, outcome: &mut Healthy) {
         match self.admit(&request) {
-            Verdict::Wait => return self.again(request),
+            Verdict::Wait => return self.retry(request),
             Verdict::Refused { retry_after, .. } if request.is_item => {
-                played.delayed_items += 1;
-                return self.at(self.now + retry_after, Event::Arrive(request));
+                outcome.delayed_items += 1;
+                return self.schedule(self.now + retry_after, Event::Arrive(request));
             }
             Verdict::Refused { .. } => {
-                played.refused += 1;
+                outcome.refused += 1;
                 return;
             }
             Verdict::Free => {}
         }
-        let began = self.now;
-        let rate = share / CRASH_GAP.as_secs_f64();
+        let started_at = self.now;
+        let rate = share / CRASH_INTERVAL.as_secs_f64();
         let crash = -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
         let ran = Duration::from_secs_f64(crash);
-        if ran < request.left {
-            self.at(began + ran, Event::Breaks { request, began });
+        if ran < request.remaining {
+            self.schedule(
+                started_at + ran,
+                Event::Crash {
+                    request,
+                    started_at,
+                },
+            );
         } else {
-            self.at(began + request.left, Event::EndsWell { request });
+            self.schedule(started_at + request.remaining, Event::Complete { request });
         }
     }
 
-    /// Items go on behind what is there; streams go on elsewhere, then their callers come
-    /// again.
-    fn break_healthy(&mut self, mut request: Request, began: Duration) {
-        let ran = self.now - began;
-        self.crashed(&request, ran);
+    /// Items resume from their progress. Online requests are run again on other targets, and then
+    /// called again by their callers.
+    fn crash_healthy(&mut self, mut request: Request, started_at: Duration) {
+        let ran = self.now - started_at;
+        self.record_crash(&request, ran);
         request.runs += 1;
         if request.is_item {
-            request.left = request.left.saturating_sub(ran);
+            request.remaining = request.remaining.saturating_sub(ran);
         } else if request.runs == RUNS_MAX {
             request.runs = 0;
             request.calls += 1;
@@ -431,6 +450,6 @@
                 return;
             }
         }
-        self.again(request);
+        self.retry(request);
     }
 }
--- a/crates/routing/tests/slots.rs
+++ b/crates/routing/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Batch fills what online leaves, and yields at once.
+//! Sharing of slots between online and batch, the routing table and admission control.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,7 +20,7 @@
 }
 
 #[rstest]
-fn the_youngest_streams_are_cancelled_first() {
+fn most_recent_streams_are_cancelled_first() {
     let start = Instant::now();
     let mut slots = slots(start);
     for id in 0..15 {
@@ -32,7 +32,7 @@
 }
 
 #[rstest]
-fn a_host_that_is_not_heard_any_more_takes_no_slots() {
+fn expired_report_takes_no_slots() {
     let start = Instant::now();
     let mut slots = slots(start);
     slots.set_online("a1", 10, start);
@@ -42,7 +42,7 @@
 }
 
 #[rstest]
-fn a_jump_is_remembered_as_a_reserve_and_then_forgotten() {
+fn increase_sets_reserve_until_it_expires() {
     let start = Instant::now();
     let mut slots = slots(start);
     slots.set_online("a1", 6, start);
@@ -53,7 +53,7 @@
 }
 
 #[rstest]
-fn an_item_that_must_run_alone_does() {
+fn exclusive_item_runs_without_others() {
     let start = Instant::now();
     let mut slots = slots(start);
     slots.begin(1, start);
@@ -67,10 +67,10 @@
 }
 
 proptest! {
-    /// Whatever comes, filling and preempting keep all streams within the
-    /// limit as far as batch streams can.
+    /// For any sequence of online load, batch streams use at most the slots that online streams
+    /// leave within the limit.
     #[test]
-    fn batch_never_keeps_a_slot_that_online_needs(
+    fn batch_yields_slots_needed_by_online(
         steps in proptest::collection::vec((0..4_u8, 0..20_u32, 0..500_u64), 1..80),
     ) {
         let mut now = Instant::now();
@@ -106,7 +106,7 @@
 }
 
 #[rstest]
-fn a_leaving_or_failed_target_is_not_chosen() {
+fn leaving_or_failed_target_is_not_chosen() {
     let now = Instant::now();
     let mut table = table(&["t1", "t2", "t3"], now);
     let leaving = Report {
@@ -125,12 +125,12 @@
     let later = now + Duration::from_secs(1);
     assert!(
         table.is_available("t2", later),
-        "A failed target is tried again."
+        "A failed target is used again after its ejection."
     );
 }
 
 #[rstest]
-fn requests_with_one_beginning_go_to_one_target_until_it_is_busy() {
+fn requests_with_same_prefix_go_to_one_target_until_overloaded() {
     let now = Instant::now();
     let mut table = table(&["t1", "t2", "t3", "t4"], now);
     let first = table.choose("m", 42, &[], now);
@@ -142,11 +142,11 @@
             seen.insert(target);
         }
     }
-    assert_eq!(seen.len(), 4, "Load spills over.");
+    assert_eq!(seen.len(), 4, "Excess load is distributed to all targets.");
 }
 
 #[rstest]
-fn a_full_fleet_refuses_at_once() {
+fn full_fleet_rejects_requests() {
     let now = Instant::now();
     let mut table = table(&["t1"], now);
     for _ in 0..32 {
@@ -157,18 +157,18 @@
 }
 
 #[rstest]
-fn a_flood_of_one_tenant_leaves_room_for_others() {
+fn overload_by_one_tenant_leaves_capacity_for_others() {
     let mut admission = Admission::new(100);
-    let mut flood = 0;
+    let mut admitted = 0;
     admission.admit("small", 1).ok();
     while admission.admit("large", 1).is_ok() {
-        flood += 1;
+        admitted += 1;
     }
-    assert!(flood < 99, "{flood}");
+    assert!(admitted < 99, "{admitted}");
     for _ in 0..10 {
         assert_eq!(admission.admit("small", 1), Ok(()));
     }
-    for _ in 0..flood {
+    for _ in 0..admitted {
         admission.release("large");
     }
     assert_eq!(admission.in_flight(), 11);
