--- a/crates/quarantine/src/gate.rs
+++ b/crates/quarantine/src/gate.rs
@@ -1,8 +1,8 @@
-//! The gate that a request passes before each send to a target.
+//! The admission gate that a request passes before each send to a target.
 //!
-//! What is to be told to other hosts goes into a channel; whoever reads it has the
-//! sockets. Telling from here was rejected: the two kinds of hosts reach one another in
-//! different ways.
+//! Changes that other hosts have to be sent go into a channel; the task that reads it owns
+//! the sockets. Sending from here was rejected, as the two kinds of hosts reach one another
+//! in different ways.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -22,13 +22,13 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-/// Time after which a request that waits looks again without news: a run that has
-/// lasted for long keeps nobody waiting any more, and nothing tells when.
-const LOOK_GAP: Duration = Duration::from_millis(100);
+/// Time after which a waiting request checks again without a notification. A run stops
+/// blocking others after a time limit, and no event marks that moment.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A request of which other hosts are to be told.
+/// A request whose state changed and has to be sent to other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct News {
+pub(crate) struct Update {
     /// The request.
     pub(crate) fingerprint: Fingerprint,
     /// Whether a target has just crashed under it.
@@ -38,30 +38,30 @@
 /// Why a request must not be sent to a target now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Blocked {
-    /// Others with the same content run.
+    /// Requests with the same content are running.
     Waiting,
     /// Targets crash under it.
     Refused {
-        /// How many were seen to.
+        /// Number of crashes observed.
         crashes: u32,
         /// Time until it may be tried once more.
         retry_after: Duration,
     },
 }
 
-/// Requests under which targets crashed, as one host knows them.
+/// Requests under which targets crashed, as known to one host.
 #[derive(Debug)]
 pub struct Gate {
     host: HostId,
-    table: Mutex<Quarantine>,
-    /// Sent to when a run of a suspect may have ended, for requests that wait for it.
+    quarantine: Mutex<Quarantine>,
+    /// Notified when a run of a suspect may have ended, for requests that wait for it.
     changed: watch::Sender<()>,
-    news: mpsc::UnboundedSender<News>,
-    /// What other hosts are to be told, until somebody does.
-    to_tell: Mutex<Option<mpsc::UnboundedReceiver<News>>>,
+    updates: mpsc::UnboundedSender<Update>,
+    /// The receiving end of `updates`, until a task takes it.
+    update_receiver: Mutex<Option<mpsc::UnboundedReceiver<Update>>>,
 }
 
-/// The run of a suspect; the next one may begin when it is dropped.
+/// A run of a suspect; dropping it lets the next run start.
 #[derive(Debug)]
 pub struct RunGuard {
     gate: Arc<Gate>,
@@ -70,97 +70,104 @@
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.gate.table().end_run(self.fingerprint, &self.gate.host);
-        self.gate.tell(self.fingerprint, false);
+        self.gate
+            .quarantine()
+            .end_run(self.fingerprint, &self.gate.host);
+        self.gate.publish(self.fingerprint, false);
         self.gate.changed.send_replace(());
     }
 }
 
 impl Gate {
-    /// Returns a host's gate.
+    /// Returns the gate of a host.
     pub fn new(host: HostId) -> Arc<Self> {
-        let (news, to_tell) = mpsc::unbounded_channel();
+        let (updates, update_receiver) = mpsc::unbounded_channel();
         let gate = Self {
             host,
-            table: Mutex::default(),
+            quarantine: Mutex::default(),
             changed: watch::Sender::new(()),
-            news,
-            to_tell: Mutex::new(Some(to_tell)),
+            updates,
+            update_receiver: Mutex::new(Some(update_receiver)),
         };
         Arc::new(gate)
     }
 
-    /// Returns what other hosts are to be told, as it comes; once.
-    pub(crate) fn take_news(&self) -> Option<mpsc::UnboundedReceiver<News>> {
-        let to_tell = self.to_tell.lock();
-        to_tell.unwrap_or_else(PoisonError::into_inner).take()
+    /// Returns the channel of updates for other hosts; `None` after the first call.
+    pub(crate) fn take_updates(&self) -> Option<mpsc::UnboundedReceiver<Update>> {
+        let update_receiver = self.update_receiver.lock();
+        update_receiver
+            .unwrap_or_else(PoisonError::into_inner)
+            .take()
     }
 
-    /// Returns whether no request is suspected, so that none needs a fingerprint.
+    /// Returns whether there are no suspects, so that no fingerprint has to be computed.
     pub fn is_empty(&self) -> bool {
-        self.table().is_empty()
+        self.quarantine().is_empty()
     }
 
-    /// Returns the number of requests that are remembered.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
-        self.table().len()
+        self.quarantine().len()
     }
 
-    /// Returns how many crashes under a request count.
+    /// Returns the number of crashes that count against a request.
     pub fn crash_count(&self, fingerprint: Fingerprint) -> u32 {
-        self.table().crash_count(fingerprint)
+        self.quarantine().crash_count(fingerprint)
     }
 
-    /// Returns the life of a target that a request met which was sent at a moment and
-    /// answered.
+    /// Returns the incarnation of a target that answered a request sent at `sent_at`, given
+    /// the incarnation that this host knows; see [`Quarantine::incarnation_of_run`].
     pub fn incarnation_of_run(
         &self,
         fingerprint: Fingerprint,
-        incarnation: IncarnationId,
-        sent: Instant,
+        known: IncarnationId,
+        sent_at: Instant,
     ) -> IncarnationId {
-        self.table()
-            .incarnation_of_run(fingerprint, incarnation, sent)
+        self.quarantine()
+            .incarnation_of_run(fingerprint, known, sent_at)
     }
 
-    /// Decides whether a request may be sent to a target now. A suspect's run lasts
-    /// until what is returned is dropped; there is nothing of one that is none.
+    /// Decides whether a request may be sent to a target now. The run of a suspect lasts
+    /// until the returned guard is dropped; a request that is not suspected needs none.
     ///
     /// # Errors
     ///
-    /// Returns why it must not.
+    /// Returns why the request must not be sent.
     pub fn try_admit(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
     ) -> Result<Option<RunGuard>, Blocked> {
-        let verdict = self.table().admit(fingerprint, &self.host, Instant::now());
-        self.admitted(fingerprint, verdict)
+        let decision = self
+            .quarantine()
+            .admit(fingerprint, &self.host, Instant::now());
+        self.begin_run(fingerprint, decision)
     }
 
-    /// Decides the same of an item of a job, of which a result is owed.
+    /// Decides whether an item of a job may be sent to a target now. Items are retried
+    /// sooner, since the host owes a result for each; see [`Quarantine::admit_item`].
     ///
     /// # Errors
     ///
-    /// Returns why it must not be sent.
+    /// Returns why the item must not be sent.
     pub fn try_admit_item(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
     ) -> Result<Option<RunGuard>, Blocked> {
-        let verdict = self
-            .table()
+        let decision = self
+            .quarantine()
             .admit_item(fingerprint, &self.host, Instant::now());
-        self.admitted(fingerprint, verdict)
+        self.begin_run(fingerprint, decision)
     }
 
-    fn admitted(
+    fn begin_run(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
-        verdict: Decision,
+        decision: Decision,
     ) -> Result<Option<RunGuard>, Blocked> {
-        match verdict {
+        match decision {
             Decision::Admit if self.crash_count(fingerprint) == 0 => Ok(None),
             Decision::Admit => {
-                self.tell(fingerprint, false);
+                self.publish(fingerprint, false);
                 let gate = Arc::clone(self);
                 Ok(Some(RunGuard { gate, fingerprint }))
             }
@@ -175,99 +182,103 @@
         }
     }
 
-    /// Waits until a request may be sent to a target, at most until a moment.
+    /// Waits until a request may be sent to a target, or until the deadline.
     ///
     /// # Errors
     ///
-    /// Returns why it must not.
+    /// Returns why the request must not be sent.
     pub async fn admit(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Option<RunGuard>, Blocked> {
         let mut changed = self.changed.subscribe();
         loop {
             let admitted = self.try_admit(fingerprint);
-            if !matches!(admitted, Err(Blocked::Waiting)) || Instant::now() >= until {
+            if !matches!(admitted, Err(Blocked::Waiting)) || Instant::now() >= deadline {
                 return admitted;
             }
-            let gap = until.min(Instant::now() + LOOK_GAP);
-            // The sender lives as long as the gate.
-            let _ = tokio::time::timeout_at(gap.into(), changed.changed()).await;
+            let recheck_at = deadline.min(Instant::now() + RECHECK_INTERVAL);
+            // Cannot fail: `self` owns the sender.
+            let _ = tokio::time::timeout_at(recheck_at.into(), changed.changed()).await;
         }
     }
 
-    /// Notes that a target crashed under a request.
+    /// Records that a target crashed under a request.
     pub fn record_crash(&self, fingerprint: Fingerprint, crash: Crash) -> Change {
-        let change = self.table().record_crash(fingerprint, crash);
+        let change = self.quarantine().record_crash(fingerprint, crash);
         if change != Change::None {
-            self.tell(fingerprint, true);
+            self.publish(fingerprint, true);
         }
         change
     }
 
-    /// Notes that a request ended well, so that it is no suspect any more; returns how
-    /// many crashes do not count any more, if it was one.
+    /// Records that a request completed, which clears a suspect; returns the number of
+    /// crashes that no longer count, if it was one.
     pub fn record_success(&self, fingerprint: Fingerprint) -> Option<u32> {
-        self.cleared(fingerprint, |table| {
-            table.record_success(fingerprint, Instant::now())
+        self.clear_with(fingerprint, |quarantine| {
+            quarantine.record_success(fingerprint, Instant::now())
         })
     }
 
-    /// Notes that a run went on for a time and was ended here, the target being well;
-    /// returns how many crashes do not count any more, if that clears a suspect.
+    /// Records that this host ended a run after `run_time` while the target was healthy;
+    /// returns the number of crashes that no longer count, if that clears a suspect.
     pub fn record_survival(&self, fingerprint: Fingerprint, run_time: Duration) -> Option<u32> {
-        self.cleared(fingerprint, |table| {
-            table.record_survival(fingerprint, run_time, Instant::now())
+        self.clear_with(fingerprint, |quarantine| {
+            quarantine.record_survival(fingerprint, run_time, Instant::now())
         })
     }
 
-    fn cleared(
+    fn clear_with(
         &self,
         fingerprint: Fingerprint,
         clear: impl FnOnce(&mut Quarantine) -> bool,
     ) -> Option<u32> {
         let crashes = {
-            let mut table = self.table();
-            let crashes = table.crash_count(fingerprint);
-            clear(&mut table).then_some(crashes)?
+            let mut quarantine = self.quarantine();
+            let crashes = quarantine.crash_count(fingerprint);
+            clear(&mut quarantine).then_some(crashes)?
         };
-        self.tell(fingerprint, false);
+        self.publish(fingerprint, false);
         self.changed.send_replace(());
         Some(crashes)
     }
 
-    /// Takes in what another host tells of a suspect.
-    pub fn merge_report(&self, host: &HostId, told: &Report) -> Change {
-        let change = self.table().merge_report(host, told, Instant::now());
+    /// Merges another host's report on a suspect.
+    pub fn merge_report(&self, host: &HostId, report: &Report) -> Change {
+        let change = self.quarantine().merge_report(host, report, Instant::now());
         if change != Change::None {
             self.changed.send_replace(());
         }
         change
     }
 
-    /// Returns what to tell other hosts of a request; nothing if it is not remembered.
+    /// Returns this host's report on a request; `None` if it is not a suspect.
     pub fn report(&self, fingerprint: Fingerprint) -> Option<Report> {
-        self.table().report(fingerprint, &self.host, Instant::now())
+        self.quarantine()
+            .report(fingerprint, &self.host, Instant::now())
     }
 
-    /// Forgets what is old, and returns what to tell hosts that may have missed it.
+    /// Evicts expired suspects; returns the reports that are resent periodically, for hosts
+    /// that may have missed them.
     pub fn periodic_reports(&self) -> Vec<Report> {
         let now = Instant::now();
-        let mut table = self.table();
-        table.evict_expired(now);
-        table.periodic_reports(&self.host, now)
+        let mut quarantine = self.quarantine();
+        quarantine.evict_expired(now);
+        quarantine.periodic_reports(&self.host, now)
     }
 
-    fn tell(&self, fingerprint: Fingerprint, is_crash: bool) {
-        // A host that does not listen any more has stopped.
-        let _ = self.news.send(News {
+    fn publish(&self, fingerprint: Fingerprint, is_crash: bool) {
+        // Fails only on a host that is stopping.
+        let _ = self.updates.send(Update {
             fingerprint,
             is_crash,
         });
     }
 
-    fn table(&self) -> MutexGuard<'_, Quarantine> {
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
+        self.quarantine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,13 +1,14 @@
-//! Keeps requests from targets that crash under them.
+//! Admission gate and report encoding of the quarantine of requests under which targets
+//! crash.
 //!
-//! The decisions are pure and stand in [`notchwharf_routing::quarantine`]. Here is what a
-//! host needs around them: a [`gate::Gate`] that a request passes before each send, and
-//! [`news`], the form in which hosts tell one another. How a host finds out that a target
-//! crashed, and how it reaches other hosts, is its own.
+//! The decisions are pure and are made in [`notchwharf_routing::quarantine`]. This crate
+//! adds what every kind of host needs around them: a [`gate::Gate`] that a request passes
+//! before each send, and [`reports`], the encoding in which hosts send one another their
+//! suspects. Detecting crashes and reaching other hosts is up to the caller.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use notchwharf_quarantine::gate::{Gate, Blocked};
+//! use notchwharf_quarantine::gate::{Blocked, Gate};
 //! use notchwharf_routing::quarantine::Crash;
 //!
 //! let gate = Gate::new("a1".into());
--- a/crates/quarantine/src/reports.rs
+++ b/crates/quarantine/src/reports.rs
@@ -1,4 +1,4 @@
-//! The form in which hosts tell one another of suspects.
+//! Exchange of suspects between hosts: when reports are sent, and their form on the wire.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,61 +10,61 @@
 
 use crate::gate::Gate;
 
-/// Time between two times that suspects are told again: several fit into the time in
-/// which a host that was cut off must be as good as any other.
+/// Interval at which suspects are reported again. Several fit into the time within which a
+/// host that was partitioned has to be up to date.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Hosts that are told again each time.
+/// Number of hosts that receive the repeated reports each time.
 pub const REPORT_FANOUT: usize = 2;
 
-/// Time after which a crash is told once more: longer than most disturbances of a link,
-/// and less than requests like it take to come again.
-const TELL_GAP: Duration = Duration::from_millis(50);
+/// Delay after which a crash is reported a second time. Exceeds most disturbances of a
+/// link, and is shorter than the time in which a repeat of the request usually arrives.
+const CRASH_RESEND_DELAY: Duration = Duration::from_millis(50);
 
-/// Tells what changes at a gate, crashes twice. Nothing if somebody does so already.
-pub async fn send_changes(gate: Arc<Gate>, tell: impl Fn(&Report) + Clone + Send + 'static) {
-    let Some(mut to_tell) = gate.take_news() else {
+/// Sends each change at a gate, crashes twice, and never returns; returns at once if
+/// another task does so already.
+pub async fn send_changes(gate: Arc<Gate>, send: impl Fn(&Report) + Clone + Send + 'static) {
+    let Some(mut updates) = gate.take_updates() else {
         return;
     };
-    while let Some(news) = to_tell.recv().await {
-        let Some(told) = gate.report(news.fingerprint) else {
+    while let Some(update) = updates.recv().await {
+        let Some(report) = gate.report(update.fingerprint) else {
             continue;
         };
-        tell(&told);
-        if !news.is_crash {
+        send(&report);
+        if !update.is_crash {
             continue;
         }
-        let (gate, tell) = (Arc::clone(&gate), tell.clone());
+        let (gate, send) = (Arc::clone(&gate), send.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(TELL_GAP).await;
-            if let Some(told) = gate.report(news.fingerprint) {
-                tell(&told);
+            tokio::time::sleep(CRASH_RESEND_DELAY).await;
+            if let Some(report) = gate.report(update.fingerprint) {
+                send(&report);
             }
         });
     }
 }
 
-/// Returns suspects in the form in which hosts are told, in parts that each fit a
-/// datagram.
-pub fn encode(told: &[Report]) -> Vec<Vec<Suspect>> {
-    news::parts(told.iter().map(encode_one), news::suspect_bytes)
+/// Encodes reports, split into parts that each fit into a datagram.
+pub fn encode(reports: &[Report]) -> Vec<Vec<Suspect>> {
+    news::parts(reports.iter().map(encode_one), news::suspect_bytes)
 }
 
-fn encode_one(told: &Report) -> Suspect {
-    let crashes = told.crashes.iter().map(|crash| news::Crash {
+fn encode_one(report: &Report) -> Suspect {
+    let crashes = report.crashes.iter().map(|crash| news::Crash {
         life: crash.incarnation,
         ran_ms: millis(crash.run_time),
         age_ms: millis(crash.age),
     });
     Suspect {
-        fingerprint: told.fingerprint,
-        clearances: told.clearances,
+        fingerprint: report.fingerprint,
+        clearances: report.clearances,
         crashes: crashes.collect(),
-        runs_since_ms: told.running_for.map(millis),
+        runs_since_ms: report.running_for.map(millis),
     }
 }
 
-/// Returns what a host told of a suspect.
+/// Decodes a report.
 pub fn decode(suspect: &Suspect) -> Report {
     let crashes = suspect.crashes.iter().map(|crash| CrashReport {
         incarnation: crash.life,
--- a/crates/routing/src/discovery.rs
+++ b/crates/routing/src/discovery.rs
@@ -1,14 +1,14 @@
-//! Which targets there are, as one host believes from what it reads and is told.
+//! Target discovery: which targets exist, according to the store's log and other hosts.
 //!
-//! Targets enter themselves in the platform's store. An entry that goes means
-//! that its target leaves, and shortly afterwards nothing may reach it; but
-//! entries of living targets lapse too while the store is away. [`Belief`] tells
-//! the two apart by evidence that is dated by when calls were begun, not by when
-//! their failure was noticed ([`Contact`], [`Evidence`]).
+//! Targets register themselves in the platform's store. When an entry is removed, its target
+//! is shutting down, and no request may reach it after a short drain time; but the entries
+//! of live targets also expire while the store is unavailable. [`TargetView`] distinguishes
+//! the two by evidence of outages ([`Availability`], [`Evidence`]), which is dated by when a
+//! call was started and not by when its failure was detected.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use notchwharf_routing::discovery::{ReadInfo, TargetView, Timeouts, Change, Evidence, Record};
+//! use notchwharf_routing::discovery::{Change, Evidence, ReadInfo, Record, TargetView, Timeouts};
 //! use notchwharf_routing::places::Spec;
 //!
 //! let start = Instant::now();
@@ -19,15 +19,16 @@
 //! let entry = Record { id: "t1".into(), offset: 0, value: Some(1) };
 //! view.apply_listing(&ReadInfo::at_end(at(0), at(5)), &evidence, 1, vec![entry], decode);
 //!
-//! // No call of the store has failed, so an entry that goes is gone.
-//! let gone = Record { id: "t1".into(), offset: 1, value: None };
-//! let changes = view.apply_records(&ReadInfo::at_end(at(10), at(800)), &evidence, vec![gone], decode);
+//! // No call of the store has failed, so a removed entry cannot have expired.
+//! let removed = Record { id: "t1".into(), offset: 1, value: None };
+//! let read = ReadInfo::at_end(at(10), at(800));
+//! let changes = view.apply_records(&read, &evidence, vec![removed], decode);
 //! assert!(matches!(&changes[..], [Change::Removed { .. }]));
 //! ```
 //!
-//! A fixed time after any failed call was rejected: such a call may be about
-//! something else, or be evidence of a fault long past. Asking a target whether
-//! it lives was rejected too: one that leaves answers as well as any.
+//! Alternatives rejected: retaining entries for a fixed time after any failed call (the call
+//! may concern something else, or be evidence of an outage long past), and probing the target
+//! (one that is shutting down answers like any other).
 
 mod availability;
 mod difference;
@@ -53,28 +54,26 @@
 use crate::places::Spec;
 use crate::places::TargetId;
 
-/// Number of changes retained by a belief. A host that is further behind is sent all
-/// entries.
+/// Number of changes retained by a view. A host that is further behind is sent all entries.
 const CHANGES_RETAINED: usize = 4_096;
 
-/// Times on which a belief depends.
+/// Timeouts of target discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// Time after the store's acknowledgement that an entry is gone within
-    /// which requests may still reach its target. 2 s by default, from the
-    /// platform's settings.
+    /// Time after the store has acknowledged the removal of an entry within which requests
+    /// may still reach its target. 2 s by default, from the platform's settings.
     pub drain: Duration,
-    /// Time after a fault of the store, or of the way there, within which a
-    /// request may reach a target that is gone. 3 s by default, from the
+    /// Time after an outage of the store, or of the network path to it, within which a
+    /// request may reach a target whose entry was removed. 3 s by default, from the
     /// platform's settings.
     pub settle: Duration,
-    /// Time after the store's return within which the entries of living targets
-    /// are back and known here: the platform names about two seconds, and news
-    /// waits for 0.3 s between two readings. 2.35 s by default.
+    /// Time after the store's recovery within which the entries of live targets are
+    /// registered again and known here. 2.35 s by default: the platform states about two
+    /// seconds, and changes wait up to 0.3 s between two reads.
     pub reregister: Duration,
-    /// The longest time from the choice of a target to the moment at which the
-    /// request reaches it. 400 ms by default: 250 to connect, 50 between two
-    /// looks at overdue entries, 100 for a processor that must wait its turn.
+    /// The longest time from the choice of a target until the request reaches it. 400 ms by
+    /// default: 250 to connect, 50 between two checks for expired entries, 100 during which
+    /// the process may not be scheduled.
     pub dispatch: Duration,
 }
 
@@ -89,44 +88,44 @@
     }
 }
 
-/// An entry that is missing and may only have lapsed.
+/// An entry that is missing and may only have expired.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
-    /// When it was missed.
-    missed: Instant,
-    /// Whether another host said so, which then reached the store.
+struct MissingEntry {
+    /// When it was found missing.
+    missed_at: Instant,
+    /// Whether another host reported it, which reached the store at that time.
     is_from_peer: bool,
-    /// The time before which the store had not acknowledged that it is gone.
+    /// The time up to which the store had not acknowledged its removal.
     complete_as_of: Option<Instant>,
 }
 
-/// A target's newest entry.
+/// The newest entry of a target.
 #[derive(Clone, Debug)]
-struct Known {
+struct TargetEntry {
     /// The offset of the newest record.
     offset: u64,
     spec: Spec,
 }
 
-/// Which targets there are.
+/// A host's view of which targets exist.
 ///
-/// All changes of one reading are made in one call, so what [`Belief::entries`]
-/// and [`Belief::end`] tell others belongs together.
+/// All changes of one read are applied in one call, so [`TargetView::entries`] and
+/// [`TargetView::end`] are consistent with one another.
 #[derive(Clone, Debug)]
 pub struct TargetView {
     timeouts: Timeouts,
-    /// When the newest complete reading was asked for: the store had
-    /// acknowledged nothing before that is not known.
+    /// When the newest complete read was requested: every change that the store had
+    /// acknowledged before is known.
     complete_as_of: Option<Instant>,
-    known: HashMap<TargetId, Known>,
-    doubts: HashMap<TargetId, Doubt>,
+    known: HashMap<TargetId, TargetEntry>,
+    missing: HashMap<TargetId, MissingEntry>,
     changes: Changes<TargetId>,
     end: u64,
     /// A listing that is being received from other hosts in pages.
     partial_listing: PartialListing,
 }
 
-/// Where records came from, for the judgement of those that are missing.
+/// Origin of records, by which missing entries are assessed.
 #[derive(Clone, Copy, Debug)]
 struct Source<'a> {
     at: Instant,
@@ -135,8 +134,8 @@
 }
 
 impl<'a> Source<'a> {
-    /// Returns what a reading of this host is.
-    fn reading(read: &ReadInfo, evidence: &'a Evidence) -> Self {
+    /// Returns the source of a read by this host.
+    fn read(read: &ReadInfo, evidence: &'a Evidence) -> Self {
         Self {
             at: read.answered_at,
             is_from_peer: false,
@@ -146,36 +145,36 @@
 }
 
 impl TargetView {
-    /// Returns a belief without targets.
+    /// Returns a view without targets.
     pub fn new(timeouts: Timeouts) -> Self {
         Self {
             timeouts,
             complete_as_of: None,
             known: HashMap::new(),
-            doubts: HashMap::new(),
+            missing: HashMap::new(),
             changes: Changes::new(CHANGES_RETAINED),
             end: 0,
             partial_listing: PartialListing::default(),
         }
     }
 
-    /// Returns the offset that follows the newest record taken in.
+    /// Returns the offset that follows the newest record applied.
     pub fn end(&self) -> u64 {
         self.end
     }
 
-    /// Returns the time before which the store had acknowledged nothing that is
-    /// not known: when the newest complete reading was asked for.
+    /// Returns the time as of which the view is complete: when the newest complete read was
+    /// requested. Every change that the store had acknowledged before is known.
     pub fn complete_as_of(&self) -> Option<Instant> {
         self.complete_as_of
     }
 
-    /// Returns the entries for another host. Those that are missing are left
-    /// out: whoever takes this over must not keep them longer than this host.
+    /// Returns the entries for another host. Missing entries are omitted, as the receiver
+    /// must not retain them for longer than this host does.
     pub fn entries(&self) -> impl Iterator<Item = (&TargetId, u64, &Spec)> {
         let known = self.known.iter();
-        let sure = known.filter(|(id, _)| !self.doubts.contains_key(*id));
-        sure.map(|(id, known)| (id, known.offset, &known.spec))
+        let confirmed = known.filter(|(id, _)| !self.missing.contains_key(*id));
+        confirmed.map(|(id, entry)| (id, entry.offset, &entry.spec))
     }
 
     /// Returns the offset that follows the newest effective change.
@@ -183,8 +182,8 @@
         self.changes.end()
     }
 
-    /// Takes in a listing of all entries as of an offset. Pages of a listing are
-    /// read one after the other, so some entries may be newer than it.
+    /// Applies a listing of all entries as of an offset. The pages of a listing are read one
+    /// after the other, so some entries may be newer than that.
     pub fn apply_listing<V, E>(
         &mut self,
         read: &ReadInfo,
@@ -193,17 +192,17 @@
         records: Vec<Record<V>>,
         decode: impl Fn(&V) -> Result<Spec, E>,
     ) -> Vec<Change<E>> {
-        let source = Source::reading(read, evidence);
+        let source = Source::read(read, evidence);
         let is_new = end >= self.end;
-        let changes = self.take_all(source, end, records, decode);
+        let changes = self.apply_all(source, end, records, decode);
         if is_new {
             self.changes.skip_to(end);
         }
-        self.advance(read);
+        self.note_read(read);
         changes
     }
 
-    /// Takes in records that follow those before.
+    /// Applies records that follow those applied before.
     pub fn apply_records<V, E>(
         &mut self,
         read: &ReadInfo,
@@ -211,21 +210,21 @@
         records: Vec<Record<V>>,
         decode: impl Fn(&V) -> Result<Spec, E>,
     ) -> Vec<Change<E>> {
-        let source = Source::reading(read, evidence);
+        let source = Source::read(read, evidence);
         let mut changes = Vec::new();
         for record in records {
             if record.offset < self.end {
                 continue;
             }
             self.end = record.offset + 1;
-            changes.extend(self.take(source, record, &decode));
+            changes.extend(self.apply_record(source, record, &decode));
         }
-        self.advance(read);
+        self.note_read(read);
         changes
     }
 
-    /// Takes in what another host lists; nothing if it knows no more than this
-    /// one.
+    /// Applies another host's listing of all entries; does nothing if it is not newer than
+    /// this view.
     pub fn apply_peer_listing<V, E>(
         &mut self,
         at: Instant,
@@ -242,29 +241,29 @@
             is_from_peer: true,
             evidence,
         };
-        let changes = self.take_all(source, end, records, decode);
+        let changes = self.apply_all(source, end, records, decode);
         self.changes.skip_to(end);
         changes
     }
 
-    /// Returns whether any entry is missing that may only have lapsed.
+    /// Returns whether any entry is missing that may only have expired.
     pub fn has_missing_entries(&self) -> bool {
-        !self.doubts.is_empty()
+        !self.missing.is_empty()
     }
 
-    /// Takes out the targets whose entries have not come back in time.
+    /// Removes the targets whose missing entries have not reappeared in time; returns them.
     pub fn expire(&mut self, now: Instant, evidence: &Evidence) -> Vec<TargetId> {
-        let due = self.doubts.iter();
-        let due = due.filter(|(_, doubt)| now >= self.until(doubt, evidence));
+        let due = self.missing.iter();
+        let due = due.filter(|(_, entry)| now >= self.retained_until(entry, evidence));
         let due: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
         for id in &due {
-            self.doubts.remove(id);
+            self.missing.remove(id);
             self.known.remove(id);
         }
         due
     }
 
-    fn take_all<V, E>(
+    fn apply_all<V, E>(
         &mut self,
         source: Source<'_>,
         end: u64,
@@ -279,7 +278,7 @@
         let missing = {
             let listed: HashSet<&TargetId> = records.iter().map(|r| &r.id).collect();
             // An entry that is newer than the listing is not missing from it.
-            let older = self.known.iter().filter(|(_, known)| known.offset < end);
+            let older = self.known.iter().filter(|(_, entry)| entry.offset < end);
             let missing = older.filter(|(id, _)| !listed.contains(id));
             let missing: Vec<TargetId> = missing.map(|(id, _)| id.clone()).collect();
             missing
@@ -288,7 +287,7 @@
         records.sort_by_key(|record| record.offset);
         let mut changes = Vec::new();
         for record in records {
-            changes.extend(self.take(source, record, &decode));
+            changes.extend(self.apply_record(source, record, &decode));
         }
         for id in missing {
             changes.extend(self.miss(source, id, end));
@@ -296,7 +295,7 @@
         changes
     }
 
-    fn take<V, E>(
+    fn apply_record<V, E>(
         &mut self,
         source: Source<'_>,
         record: Record<V>,
@@ -312,7 +311,7 @@
         match decode(&value) {
             Ok(spec) => self.put(id, offset, spec),
             Err(error) => {
-                self.doubts.remove(&id);
+                self.missing.remove(&id);
                 if self.known.remove(&id).is_some() {
                     self.changes.push(offset, id.clone());
                 }
@@ -321,84 +320,86 @@
         }
     }
 
-    /// Stores an entry; returns `None` if it repeats what is known.
+    /// Stores an entry; returns `None` if it repeats the known one.
     fn put<E>(&mut self, id: TargetId, offset: u64, spec: Spec) -> Option<Change<E>> {
-        let was_missing = self.doubts.remove(&id).is_some();
-        if let Some(known) = self.known.get_mut(&id) {
-            known.offset = offset;
-            if known.spec == spec && !was_missing {
+        let was_missing = self.missing.remove(&id).is_some();
+        if let Some(entry) = self.known.get_mut(&id) {
+            entry.offset = offset;
+            if entry.spec == spec && !was_missing {
                 return None;
             }
-            known.spec = spec.clone();
+            entry.spec = spec.clone();
         } else {
-            let known = Known {
+            let entry = TargetEntry {
                 offset,
                 spec: spec.clone(),
             };
-            self.known.insert(id.clone(), known);
+            self.known.insert(id.clone(), entry);
         }
         self.changes.push(offset, id.clone());
         Some(Change::Put { id, offset, spec })
     }
 
-    /// Judges an entry that is missing.
+    /// Removes the target of a missing entry, or retains it if the entry may have expired.
     fn miss<E>(&mut self, source: Source<'_>, id: TargetId, offset: u64) -> Option<Change<E>> {
         if !self.known.contains_key(&id) {
             return None;
         }
-        let fresh = Doubt {
-            missed: source.at,
+        let new = MissingEntry {
+            missed_at: source.at,
             is_from_peer: source.is_from_peer,
             complete_as_of: self.complete_as_of,
         };
-        let existing = self.doubts.get(&id);
-        let is_new_doubt = existing.is_none();
-        let doubt = *existing.unwrap_or(&fresh);
-        if is_new_doubt {
+        let existing = self.missing.get(&id);
+        let is_newly_missing = existing.is_none();
+        let entry = *existing.unwrap_or(&new);
+        if is_newly_missing {
             let offset = offset.min(self.end.saturating_sub(1));
             self.changes.push(offset, id.clone());
         }
-        let until = self.until(&doubt, source.evidence);
+        let until = self.retained_until(&entry, source.evidence);
         if until <= source.at {
-            self.doubts.remove(&id);
+            self.missing.remove(&id);
             self.known.remove(&id);
             return Some(Change::Removed { id, offset });
         }
-        self.doubts.insert(id.clone(), doubt);
+        self.missing.insert(id.clone(), entry);
         Some(Change::Retained { id, offset, until })
     }
 
-    fn advance(&mut self, read: &ReadInfo) {
+    /// Advances the time as of which the view is complete.
+    fn note_read(&mut self, read: &ReadInfo) {
         if read.is_at_end {
             self.complete_as_of = self.complete_as_of.max(Some(read.requested_at));
         }
     }
 
-    /// Returns until when a target stays whose entry is missing.
+    /// Returns the time until which the target of a missing entry is retained.
     ///
-    /// Two times are safe, and the later one holds: the entry went after
-    /// `none_before`, and a host that met a fault may go by what it knew until
-    /// that has settled. Both are counted from when a call was begun. Only
-    /// readings of entries prove a fault that matters here: a call of another
-    /// kind may be refused for a reason of its own. Within them the target stays
-    /// as long as its entry may yet come back: for some time from the store's
-    /// return, and all the while it is away.
-    fn until(&self, doubt: &Doubt, evidence: &Evidence) -> Instant {
+    /// Two limits are safe, and the later one applies: the entry was removed after
+    /// `complete_as_of`, and a host affected by an outage may use what it knew until the
+    /// outage has settled. Both are counted from when a call was started. Only reads of
+    /// entries prove an outage that matters here, as a call of another kind may be refused
+    /// for its own reasons. Within these limits the target is retained as long as its entry
+    /// may reappear: while the store is unavailable, and for a time after its recovery.
+    fn retained_until(&self, entry: &MissingEntry, evidence: &Evidence) -> Instant {
         let timeouts = &self.timeouts;
-        if !evidence.is_any_fault() {
-            // The store served all the while: the entry cannot have lapsed.
-            return doubt.missed;
+        if !evidence.has_outage() {
+            // The store was available throughout, so the entry cannot have expired.
+            return entry.missed_at;
         }
         let drain = timeouts.drain.saturating_sub(timeouts.dispatch);
         let settle = timeouts.settle.saturating_sub(timeouts.dispatch);
-        let by_entry = doubt.complete_as_of.map(|at| at + drain);
-        let by_fault = evidence.reads.outage_at().map(|at| at + settle);
-        let safe = by_entry.max(by_fault).unwrap_or(doubt.missed);
+        let by_entry = entry.complete_as_of.map(|at| at + drain);
+        let by_outage = evidence.reads.outage_at().map(|at| at + settle);
+        let safe = by_entry.max(by_outage).unwrap_or(entry.missed_at);
         match evidence.recovered_at() {
-            Some(back) if doubt.missed >= back + timeouts.reregister => doubt.missed,
-            Some(back) => safe.min(back + timeouts.reregister),
-            // Whoever told it had the store back by then.
-            None if doubt.is_from_peer => safe.min(doubt.missed + timeouts.reregister),
+            Some(recovered_at) if entry.missed_at >= recovered_at + timeouts.reregister => {
+                entry.missed_at
+            }
+            Some(recovered_at) => safe.min(recovered_at + timeouts.reregister),
+            // The store had recovered for the host that reported it.
+            None if entry.is_from_peer => safe.min(entry.missed_at + timeouts.reregister),
             None => safe,
         }
     }
--- a/crates/routing/src/discovery/availability.rs
+++ b/crates/routing/src/discovery/availability.rs
@@ -1,24 +1,24 @@
-//! How a host's calls of the store have gone, in times that prove something.
+//! Availability of the store, derived from the outcomes of this host's calls.
 //!
-//! When a failure is noticed proves little: a call that waits on a connection
-//! that has fallen silent fails seconds later, and a kept connection may have
-//! been silent long before it was used. Only what a failed call shows of the
-//! time at which it was begun, or later, is evidence.
+//! The time at which a failure is detected proves little: a call on a connection that has
+//! become unresponsive fails seconds later, and a kept connection may have been unresponsive
+//! long before it was used. Only what a failed call shows about the time from its start on
+//! is evidence of an outage.
 
 use std::time::Instant;
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The store refused it, or was not reached: a fault after it was begun.
+    /// The store refused it or could not be reached: an outage after the call was started.
     Refused,
-    /// The store serves, but not so many calls: entries do not lapse.
+    /// The store is available but limits the rate of calls; entries do not expire.
     Throttled,
-    /// It was lost, perhaps with a connection that had been silent before.
+    /// No response arrived, possibly because the connection had already been unresponsive.
     Lost,
 }
 
-/// How calls of one kind, or all, have gone.
+/// Outcomes of the calls of one kind, or of all calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Availability {
     last_response: Option<Instant>,
@@ -29,7 +29,7 @@
 }
 
 impl Availability {
-    /// Returns the contact reported by another host.
+    /// Returns the availability reported by another host.
     pub fn from_peer(outage_at: Option<Instant>, recovered_at: Option<Instant>) -> Self {
         Self {
             outage_at,
@@ -38,87 +38,87 @@
         }
     }
 
-    /// Returns the latest time at which, or later, there was a fault; nothing
-    /// if none was proved.
+    /// Returns the latest time at or after which there was an outage; `None` if none was
+    /// proved.
     pub fn outage_at(&self) -> Option<Instant> {
         self.outage_at
     }
 
-    /// Returns when calls were answered again after the last fault; nothing
-    /// before that.
+    /// Returns when a call was first answered after the last outage; `None` before that.
     pub fn recovered_at(&self) -> Option<Instant> {
         self.recovered_at
     }
 
-    /// Returns when the last answer came.
+    /// Returns when the last response arrived.
     pub fn last_response(&self) -> Option<Instant> {
         self.last_response
     }
 
-    /// Returns whether a failure tells nothing of the store now: the call was
-    /// lost, and another has been answered since it was begun.
-    pub fn is_stale(&self, begun: Instant, failure: Failure) -> bool {
-        let is_answered_since = self.last_response.is_some_and(|at| at >= begun);
+    /// Returns whether a failure provides no information on the current state: the call was
+    /// lost, and another has been answered since it was started.
+    pub fn is_stale(&self, started_at: Instant, failure: Failure) -> bool {
+        let is_answered_since = self.last_response.is_some_and(|at| at >= started_at);
         failure == Failure::Lost && is_answered_since
     }
 
     /// Returns whether calls have failed and none was answered since.
-    fn is_away(&self) -> bool {
+    fn is_out(&self) -> bool {
         self.outage_at.is_some() && self.recovered_at.is_none()
     }
 
-    /// Notes an answer.
+    /// Records a response.
     pub fn record_response(&mut self, at: Instant) {
         self.last_response = Some(at);
         self.lost_at = None;
-        if self.is_away() {
+        if self.is_out() {
             self.recovered_at = Some(at);
         }
     }
 
-    /// Notes a failure of a call that was begun at a time.
+    /// Records the failure of a call, by when the call was started and when the failure was
+    /// detected.
     ///
-    /// A lost call is no evidence if another was answered since it began, and
-    /// one alone is none either: its connection may have been silent for long.
-    /// The next one is. The caller gives up all idle connections when a call
-    /// fails, so none that is used then has been idle since before.
-    pub fn record_failure(&mut self, begun: Instant, noticed: Instant, failure: Failure) {
-        if self.is_stale(begun, failure) {
+    /// A lost call proves no outage if another was answered since it was started. Neither
+    /// does a single lost call, as its connection may have been unresponsive for long; the
+    /// next one does. The caller closes all idle connections when a call fails, so no
+    /// connection used afterwards has been idle since before.
+    pub fn record_failure(&mut self, started_at: Instant, detected_at: Instant, failure: Failure) {
+        if self.is_stale(started_at, failure) {
             return;
         }
-        let fault = match failure {
+        let outage_at = match failure {
             Failure::Throttled => return,
-            Failure::Refused => begun,
-            Failure::Lost => match self.lost_at.replace(noticed) {
-                Some(before) if begun >= before => before,
+            Failure::Refused => started_at,
+            Failure::Lost => match self.lost_at.replace(detected_at) {
+                Some(lost_at) if started_at >= lost_at => lost_at,
                 _ => return,
             },
         };
-        self.outage_at = self.outage_at.max(Some(fault));
+        self.outage_at = self.outage_at.max(Some(outage_at));
         self.recovered_at = None;
     }
 }
 
-/// What the judgement of missing entries goes by.
+/// Evidence of outages, by which missing entries are assessed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// How the readings of targets' entries have gone. The store may lose a
-    /// part of its topics only.
+    /// Outcomes of reads of targets' entries. An outage of the store may be limited to some
+    /// topics.
     pub reads: Availability,
-    /// How all calls of the store have gone. A pause between two readings may
-    /// hide an outage from them.
+    /// Outcomes of all calls of the store. An outage may fall into the pause between two
+    /// reads.
     pub calls: Availability,
 }
 
 impl Evidence {
-    /// Returns whether the store may have been away: any calls have failed.
-    pub(super) fn is_any_fault(&self) -> bool {
+    /// Returns whether the store may have been unavailable: any calls have failed.
+    pub(super) fn has_outage(&self) -> bool {
         self.reads.outage_at.is_some() || self.calls.outage_at.is_some()
     }
 
-    /// Returns when the store was back; nothing while it is away.
+    /// Returns when the store recovered; `None` while it is unavailable.
     pub(super) fn recovered_at(&self) -> Option<Instant> {
-        if self.reads.is_away() || self.calls.is_away() {
+        if self.reads.is_out() || self.calls.is_out() {
             return None;
         }
         self.reads.recovered_at.max(self.calls.recovered_at)
--- a/crates/routing/src/discovery/difference.rs
+++ b/crates/routing/src/discovery/difference.rs
@@ -123,7 +123,7 @@
         evidence: &Evidence,
         difference: Difference,
     ) -> Vec<Change<Infallible>> {
-        let source = Source::reading(read, evidence);
+        let source = Source::read(read, evidence);
         if let Some(page) = difference.page {
             return self.apply_page(source, page, difference.end, difference.records);
         }
@@ -132,7 +132,7 @@
             let (at, end) = (read.answered_at, difference.to);
             let changes = self.apply_peer_listing(at, evidence, end, difference.records, decode);
             if self.end == end {
-                self.advance(read);
+                self.note_read(read);
             }
             return changes;
         }
@@ -143,11 +143,11 @@
         let mut changes = Vec::new();
         for record in difference.records {
             if record.offset >= known_to {
-                changes.extend(self.take(source, record, decode));
+                changes.extend(self.apply_record(source, record, decode));
             }
         }
         if difference.to >= difference.end {
-            self.advance(read);
+            self.note_read(read);
         }
         changes
     }
@@ -164,7 +164,7 @@
         }
         let mut changes = Vec::new();
         for record in records {
-            changes.extend(self.take(source, record, |spec: &Spec| Ok(spec.clone())));
+            changes.extend(self.apply_record(source, record, |spec: &Spec| Ok(spec.clone())));
         }
         let as_of = self.partial_listing.as_of.unwrap_or(end).min(end);
         if page.next.is_some() {
@@ -182,7 +182,7 @@
 
     fn record(&self, offset: u64, id: &str) -> Record<Spec> {
         let known = self.known.get(id);
-        let known = known.filter(|_| !self.doubts.contains_key(id));
+        let known = known.filter(|_| !self.missing.contains_key(id));
         Record {
             id: id.to_owned(),
             offset,
--- a/crates/routing/src/discovery/record.rs
+++ b/crates/routing/src/discovery/record.rs
@@ -1,4 +1,4 @@
-//! Records of targets' entries, how they are read, and what they change.
+//! Records of targets' entries, when they were read, and the changes that result from them.
 
 use std::time::Instant;
 
@@ -10,25 +10,25 @@
 pub struct Record<V> {
     /// The target.
     pub id: TargetId,
-    /// The record's place in the store's order.
+    /// The offset of the record in the store's log.
     pub offset: u64,
-    /// The entry; nothing if it is gone.
+    /// The entry; `None` if it was removed.
     pub value: Option<V>,
 }
 
-/// When a reading of entries was made.
+/// When entries were read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadInfo {
-    /// When it was asked for.
+    /// When the read was requested.
     pub requested_at: Instant,
-    /// When its answer came.
+    /// When the response arrived.
     pub answered_at: Instant,
-    /// Whether it went to the newest record there was.
+    /// Whether the read reached the newest record.
     pub is_at_end: bool,
 }
 
 impl ReadInfo {
-    /// Returns a reading that went to the newest record.
+    /// Returns a read that reached the newest record.
     pub fn at_end(requested_at: Instant, answered_at: Instant) -> Self {
         Self {
             requested_at,
@@ -38,43 +38,43 @@
     }
 }
 
-/// What becomes of the targets in use.
+/// A change to the targets in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change<E> {
-    /// A target is as described.
+    /// A target was added or updated.
     Put {
         /// The target.
         id: TargetId,
-        /// Where its record stands.
+        /// The offset of its record.
         offset: u64,
-        /// What its entry says.
+        /// The description in its entry.
         spec: Spec,
     },
-    /// An entry cannot be read, so it names no target. What it said before may
-    /// be over: a target that leaves would get requests for good. A living one
-    /// writes its entry again with its next heartbeat.
+    /// An entry cannot be decoded, so its target is no longer used. The previous entry may
+    /// be outdated: if the target is shutting down, it would be sent requests indefinitely.
+    /// A live target writes its entry again with its next heartbeat.
     Unreadable {
         /// The target.
         id: TargetId,
-        /// Where its record stands.
+        /// The offset of its record.
         offset: u64,
-        /// What is wrong.
+        /// Why the entry cannot be decoded.
         error: E,
     },
-    /// An entry is gone and its target with it.
+    /// An entry was removed, and its target with it.
     Removed {
         /// The target.
         id: TargetId,
-        /// Up to where the store's order was known.
+        /// The offset up to which the log was known.
         offset: u64,
     },
-    /// An entry is gone that may only have lapsed; its target stays for now.
+    /// An entry is missing that may only have expired; its target is retained for now.
     Retained {
         /// The target.
         id: TargetId,
-        /// Up to where the store's order was known.
+        /// The offset up to which the log was known.
         offset: u64,
-        /// Until when it stays if nothing else happens.
+        /// The time until which it is retained unless something changes.
         until: Instant,
     },
 }
--- a/crates/routing/src/dissemination.rs
+++ b/crates/routing/src/dissemination.rs
@@ -1,20 +1,24 @@
-//! Whom a host tells what it runs, when, and what it passes on.
+//! Selects the hosts to which a host sends its state, when it does so, and which states it
+//! relays.
 //!
-//! Inside its data centre a host tells all hosts of its cell at each change. Where a
-//! cell is a whole fleet, those in other data centres hear of it later and by others: a host tells two of each,
-//! drawn anew each time, and these pass on what they were told to all near them,
-//! several hosts' news in one datagram. Each of them being told by all others far
-//! away would cost bytes between data centres by the square of the cell. The draw
-//! makes news come as long as any host there lives.
+//! Within its data centre a host sends its state to all hosts of its cell at each change.
+//! Where a cell is a whole fleet, hosts in other data centres receive it later and through
+//! relays: a host sends its state to two hosts of each other data centre, drawn at random
+//! each time, and these relay what they received to all hosts near them, the states of
+//! several hosts in one datagram. If each of them received the state of every remote host
+//! directly, the bytes between data centres would grow with the square of the cell. Because
+//! relays are drawn at random, updates arrive as long as any host of the data centre is
+//! alive.
 //!
-//! Fixed relays were rejected: their death silences all whose news they pass on
-//! until that is noticed, just when others look for owners that are gone.
+//! Fixed relays were rejected: if one fails, every host whose state it relays appears silent
+//! until the failure is detected, at the very time at which others look for jobs whose owner
+//! has failed.
 //!
-//! Where a data centre has few hosts, the way over another costs more time than it
-//! saves bytes, and all are told.
+//! Where a data centre has few hosts, relaying costs more time than it saves bytes, and all
+//! of them receive the state directly.
 //!
-//! The decisions are here, without clocks and sockets, so that fleets of any size
-//! can be played in virtual time.
+//! The decisions are made here, without clocks and sockets, so that fleets of any size can
+//! be simulated in virtual time.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,110 +29,111 @@
 
 use crate::cells::Cells;
 
-/// Time between two datagrams to a peer that is down.
-const DOWN_BEAT: Duration = Duration::from_secs(1);
+/// Interval between two datagrams to a peer that is down.
+const DOWN_PEER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two tellings of hosts in other data centres, for each of those
-/// that are told themselves: what a host sends stays flat.
-const FAR_GAP_PER_HOST: Duration = Duration::from_micros(1_500);
+/// Part of the interval between two updates to hosts in other data centres, for each host
+/// that receives them directly. It keeps the sending rate of a host constant.
+const REMOTE_INTERVAL_PER_HOST: Duration = Duration::from_micros(1_500);
 
-/// Hosts of a data centre from which on news is passed on inside it.
-const HOSTS_MIN: usize = 9;
+/// Number of hosts of a data centre from which on updates are relayed within it.
+const RELAYED_HOSTS_MIN: usize = 9;
 
-/// The same as the hosts inside see it: they must pass on whenever somebody far
-/// away tells only some, and both may know of different hosts at a time.
-const HOSTS_MIN_INSIDE: usize = HOSTS_MIN / 2;
+/// The same as seen by the hosts within it. They must relay whenever a remote sender selects
+/// only some of them, and the two sides may know of different hosts at a time.
+const RELAYING_HOSTS_MIN: usize = RELAYED_HOSTS_MIN / 2;
 
-/// Hosts of a data centre that are told: two, for one may just have died.
-const TOLD: usize = 2;
+/// Number of relays per data centre; one of them may just have failed.
+const RELAYS_PER_DATA_CENTRE: usize = 2;
 
-/// Time between two tellings of data centres in which news is passed on, and
-/// between two passings: together a quarter of the time after which a silent
-/// host counts as down.
+/// Interval between two updates to data centres in which they are relayed, and between two
+/// relayed datagrams. Together they take a quarter of the time after which a silent host
+/// counts as down.
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The host that tells.
+/// The host that sends or relays.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender<'a> {
     /// Its name.
     pub host: &'a str,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: &'a str,
-    /// The cells of which it tells its own.
+    /// The cells by which it selects the hosts that receive its state.
     pub cells: Cells,
 }
 
-/// A peer, as far as telling goes.
+/// A possible recipient.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer<'a> {
     /// Its name.
     pub host: &'a str,
-    /// Where it stands, once that is known.
+    /// Its data centre, once that is known.
     pub data_centre: Option<&'a str>,
-    /// Whether it is heard.
+    /// Whether updates arrive from it.
     pub is_alive: bool,
-    /// When it was last told.
+    /// When the sender last sent it an update.
     pub last_sent: Option<Instant>,
 }
 
 impl Sender<'_> {
-    /// Returns whether a peer is in the same cell and stands in the same data
-    /// centre: one that is told at each change.
+    /// Returns whether a peer is in the same cell and the same data centre, and so receives
+    /// an update at each change.
     pub fn is_local(&self, peer: &Peer<'_>) -> bool {
-        self.is_together(peer) && peer.data_centre == Some(self.data_centre)
+        self.shares_cell(peer) && peer.data_centre == Some(self.data_centre)
     }
 
-    /// Returns whether a peer is in the same cell; one of which nobody knows yet
-    /// where it stands is in none but that of a whole fleet.
-    fn is_together(&self, peer: &Peer<'_>) -> bool {
+    /// Returns whether a peer is in the same cell. A peer whose data centre is unknown is in
+    /// no cell unless the cell is a whole fleet.
+    fn shares_cell(&self, peer: &Peer<'_>) -> bool {
         let own = (self.host, self.data_centre);
         let data_centre = peer.data_centre.unwrap_or_default();
         self.cells.are_in_same_cell(own, (peer.host, data_centre))
     }
 }
 
-/// Whom to tell, by their places among the peers.
+/// The recipients of an update, as indices into the list of peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recipients {
-    /// Peers in the same data centre, and some that are down.
+    /// Peers in the same data centre, and peers that are down.
     pub local: Vec<usize>,
     /// Peers in other data centres.
     pub remote: Vec<usize>,
-    /// How peers in other data centres are told, if they are now.
+    /// The pace of updates to other data centres, if an update is sent to them now.
     pub pace: Option<Pace>,
 }
 
-/// How often hosts in other data centres are told.
+/// How often updates are sent to other data centres.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pace {
-    /// Time until they are told again.
-    pub gap: Duration,
-    /// Whether any of them hear of it by others only.
-    is_passed_on: bool,
+    /// Time until the next update to them.
+    pub interval: Duration,
+    /// Whether any of them receive updates only through relays.
+    is_relayed: bool,
 }
 
 impl Pace {
-    /// Returns the time after which they are told without news. Those that are
-    /// to pass it on may be down, so it is shorter with them.
-    pub fn beat(self, beat: Duration) -> Duration {
-        match self.is_passed_on {
-            true => beat.min(2 * self.gap),
-            false => beat,
+    /// Returns the time after which an update is sent without a change. It is shorter where
+    /// updates are relayed, as the relays may be down.
+    pub fn heartbeat_interval(self, interval: Duration) -> Duration {
+        match self.is_relayed {
+            true => interval.min(2 * self.interval),
+            false => interval,
         }
     }
 
-    /// Adds one data centre of which so many hosts are told themselves.
-    fn add(&mut self, told: usize, is_passed_on: bool) {
-        if is_passed_on {
-            self.gap = self.gap.max(RELAY_INTERVAL);
-            self.is_passed_on = true;
+    /// Adds a data centre in which `direct_hosts` hosts receive updates directly.
+    fn add(&mut self, direct_hosts: usize, is_relayed: bool) {
+        if is_relayed {
+            self.interval = self.interval.max(RELAY_INTERVAL);
+            self.is_relayed = true;
         } else {
-            self.gap += FAR_GAP_PER_HOST * u32::try_from(told).unwrap_or(u32::MAX);
+            self.interval +=
+                REMOTE_INTERVAL_PER_HOST * u32::try_from(direct_hosts).unwrap_or(u32::MAX);
         }
     }
 }
 
-/// Who is to be told now.
+/// The groups of hosts to which an update is due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Due {
     /// Hosts in the same data centre.
@@ -137,116 +142,119 @@
     pub remote: bool,
 }
 
-/// When a host tells others how it is.
+/// Schedule of a host's state updates.
 ///
-/// Hosts near by are told at each change, those far away as often as their number
-/// allows, and all in each beat.
+/// Hosts in the same data centre receive an update at each change, hosts in other data
+/// centres as often as their number allows, and all at each heartbeat interval.
 #[derive(Clone, Copy, Debug)]
 pub struct Schedule {
-    beat: Duration,
+    heartbeat_interval: Duration,
     pace: Pace,
-    near_told: Instant,
-    far_told: Instant,
-    /// Whether there is news that those far away have not been told.
-    is_far_behind: bool,
+    local_sent_at: Instant,
+    remote_sent_at: Instant,
+    /// Whether a change has not been sent to other data centres yet.
+    is_remote_outdated: bool,
 }
 
 impl Schedule {
-    /// Returns the schedule of a host that speaks in each beat.
-    pub fn new(beat: Duration, now: Instant) -> Self {
+    /// Returns the schedule of a host that sends an update at least once per interval.
+    pub fn new(heartbeat_interval: Duration, now: Instant) -> Self {
         Self {
-            beat,
+            heartbeat_interval,
             pace: Pace::default(),
-            near_told: now,
-            far_told: now,
-            is_far_behind: true,
+            local_sent_at: now,
+            remote_sent_at: now,
+            is_remote_outdated: true,
         }
     }
 
-    /// Returns the time until somebody is to be told without further news.
+    /// Returns the time until the next update is due if nothing changes.
     pub fn wait(&self, now: Instant) -> Duration {
-        let near = (self.near_told + self.beat).saturating_duration_since(now);
-        let far = (self.far_told + self.far_gap()).saturating_duration_since(now);
-        near.min(far)
+        let local = (self.local_sent_at + self.heartbeat_interval).saturating_duration_since(now);
+        let remote = (self.remote_sent_at + self.remote_interval()).saturating_duration_since(now);
+        local.min(remote)
     }
 
-    /// Returns who is to be told now, which is then counted as done.
-    pub fn due(&mut self, is_news: bool, now: Instant) -> Due {
-        self.is_far_behind |= is_news;
+    /// Returns to whom an update is due, and records it as sent.
+    pub fn due(&mut self, is_changed: bool, now: Instant) -> Due {
+        self.is_remote_outdated |= is_changed;
         let due = Due {
-            local: is_news || now.duration_since(self.near_told) >= self.beat,
-            remote: now.duration_since(self.far_told) >= self.far_gap(),
+            local: is_changed || now.duration_since(self.local_sent_at) >= self.heartbeat_interval,
+            remote: now.duration_since(self.remote_sent_at) >= self.remote_interval(),
         };
         if due.local {
-            self.near_told = now;
+            self.local_sent_at = now;
         }
         if due.remote {
-            self.far_told = now;
-            self.is_far_behind = false;
+            self.remote_sent_at = now;
+            self.is_remote_outdated = false;
         }
         due
     }
 
-    /// Takes in how those far away were told.
+    /// Sets the pace of updates to other data centres.
     pub fn set_pace(&mut self, pace: Pace) {
         self.pace = pace;
     }
 
-    fn far_gap(&self) -> Duration {
-        match self.is_far_behind {
-            true => self.pace.gap,
-            false => self.pace.beat(self.beat),
+    fn remote_interval(&self) -> Duration {
+        match self.is_remote_outdated {
+            true => self.pace.interval,
+            false => self.pace.heartbeat_interval(self.heartbeat_interval),
         }
     }
 }
 
-/// Returns whom to tell: peers of the cell that live, and now and then the others.
+/// Returns the recipients of an update: the peers of the cell that are alive, and from time
+/// to time those that are down.
 pub fn recipients(
-    own: &Sender<'_>,
+    sender: &Sender<'_>,
     peers: &[Peer<'_>],
     due: Due,
     now: Instant,
     rng: &mut impl Rng,
 ) -> Recipients {
     let mut recipients = Recipients::default();
-    let mut far: HashMap<Option<&str>, Vec<usize>> = HashMap::new();
-    for (place, peer) in peers.iter().enumerate() {
-        if !own.is_together(peer) {
+    let mut remote: HashMap<Option<&str>, Vec<usize>> = HashMap::new();
+    for (index, peer) in peers.iter().enumerate() {
+        if !sender.shares_cell(peer) {
             continue;
         }
-        let is_far = peer.data_centre != Some(own.data_centre);
-        let told = peer.last_sent.map(|at| now.duration_since(at));
-        if peer.is_alive && is_far {
-            far.entry(peer.data_centre).or_default().push(place);
-        } else if due.local && (peer.is_alive || told.is_none_or(|ago| ago >= DOWN_BEAT)) {
-            recipients.local.push(place);
+        let is_remote = peer.data_centre != Some(sender.data_centre);
+        let since_sent = peer.last_sent.map(|at| now.duration_since(at));
+        if peer.is_alive && is_remote {
+            remote.entry(peer.data_centre).or_default().push(index);
+        } else if due.local
+            && (peer.is_alive || since_sent.is_none_or(|time| time >= DOWN_PEER_INTERVAL))
+        {
+            recipients.local.push(index);
         }
     }
     if !due.remote {
         return recipients;
     }
     let mut pace = Pace::default();
-    for hosts in far.values() {
-        let is_passed_on = hosts.len() >= HOSTS_MIN;
-        let told: Vec<usize> = match is_passed_on {
-            true => hosts.sample(rng, TOLD).copied().collect(),
+    for hosts in remote.values() {
+        let is_relayed = hosts.len() >= RELAYED_HOSTS_MIN;
+        let direct: Vec<usize> = match is_relayed {
+            true => hosts.sample(rng, RELAYS_PER_DATA_CENTRE).copied().collect(),
             false => hosts.clone(),
         };
-        pace.add(told.len(), is_passed_on);
-        recipients.remote.extend(told);
+        pace.add(direct.len(), is_relayed);
+        recipients.remote.extend(direct);
     }
     recipients.pace = Some(pace);
     recipients
 }
 
-/// Returns to whom a host passes on what it was told by hosts far away: all near
-/// it, or nobody where they are told themselves.
-pub fn relay_recipients(own: &Sender<'_>, peers: &[Peer<'_>]) -> Vec<usize> {
-    let near = peers.iter().enumerate();
-    let near = near.filter(|(_, peer)| peer.is_alive && own.is_local(peer));
-    let near: Vec<usize> = near.map(|(place, _)| place).collect();
-    if near.len() + 1 < HOSTS_MIN_INSIDE {
+/// Returns the peers to which a host relays the states received from other data centres: all
+/// local peers, or none where these receive the states directly.
+pub fn relay_recipients(relay: &Sender<'_>, peers: &[Peer<'_>]) -> Vec<usize> {
+    let local = peers.iter().enumerate();
+    let local = local.filter(|(_, peer)| peer.is_alive && relay.is_local(peer));
+    let local: Vec<usize> = local.map(|(index, _)| index).collect();
+    if local.len() + 1 < RELAYING_HOSTS_MIN {
         return Vec::new();
     }
-    near
+    local
 }
--- a/crates/routing/src/fingerprint.rs
+++ b/crates/routing/src/fingerprint.rs
@@ -1,9 +1,9 @@
-//! What names the content of a request, whoever sends it again and wherever.
+//! Fingerprints that identify requests by their content.
 //!
-//! A caller gives each attempt an id of its own, so ids cannot tell that a request
-//! came before. Its content can: the host that it names, its method, path, caller and
+//! A caller gives each attempt an id of its own, so ids do not reveal that a request was
+//! sent before. Its content does: the host that it names, its method, path, caller and
 //! body. SHA-256 was chosen over a faster hash such as xxHash, since a caller who finds
-//! another body with the same hash could have another's requests taken for his own.
+//! another body with the same hash could have another's requests taken for their own.
 //!
 //! ```
 //! use notchwharf_routing::fingerprint::{of, Content};
@@ -16,21 +16,21 @@
 use sha2::Digest as _;
 use sha2::Sha256;
 
-/// The name of a request's content, the same on all hosts and in all versions.
+/// Hash of the content of a request, the same on all hosts and in all versions.
 pub type Fingerprint = u128;
 
-/// What a fingerprint is made of.
+/// The parts of a request that make up its fingerprint.
 #[derive(Clone, Copy, Debug)]
 pub struct Content<'a> {
-    /// The host that the request names.
+    /// The host name in the request, as in the `Host` header.
     pub host: &'a str,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// Its path with the query.
+    /// The path with the query.
     pub path: &'a str,
-    /// Who calls, where callers are told apart.
+    /// The caller; empty where callers are not distinguished.
     pub caller: &'a [u8],
-    /// Its body.
+    /// The body.
     pub body: &'a [u8],
 }
 
@@ -45,16 +45,16 @@
     ];
     let mut hasher = Sha256::new();
     for part in parts {
-        // With its length, no part can pass for the end of the one before.
+        // The length prefix keeps the boundaries between parts unambiguous.
         hasher.update((part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
     let digest = hasher.finalize();
-    let first = digest.iter().take(size_of::<Fingerprint>());
-    first.fold(0, |number, byte| number << u8::BITS | u128::from(*byte))
+    let prefix = digest.iter().take(size_of::<Fingerprint>());
+    prefix.fold(0, |number, byte| number << u8::BITS | u128::from(*byte))
 }
 
-/// Returns a fingerprint as log lines and records have it.
+/// Returns the text form of a fingerprint in logs and records: 32 hexadecimal digits.
 pub fn to_hex(fingerprint: Fingerprint) -> String {
     format!("{fingerprint:032x}")
 }
--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -1,20 +1,21 @@
-//! Which requests are kept from targets, since targets crash under them.
+//! Decides which requests are kept from targets because targets crash under them.
 //!
-//! Some requests crash every target that begins to run them, and their callers send
-//! them again: the same content under another id, to any host. A crash also ends what
-//! else ran at the target, so one crash makes suspects of all that it ended, and only
-//! one of these is to blame. What tells them apart is whether they are there the next
-//! time. So hosts remember the requests under which targets crashed by their content,
-//! tell one another, and let
+//! Some requests crash every target that runs them, and their callers retry them: the same
+//! content under another id, sent to any host. A crash also ends everything else that ran
+//! at the target, so a single crash makes suspects of many requests of which only one is to
+//! blame. Only recurrence distinguishes them: the request to blame is present at the next
+//! crash too. Hosts therefore remember the requests under which targets crashed by a
+//! fingerprint of their content, send one another reports on them, and
 //!
-//! * a suspect run at no more targets at once, over all hosts, than it may still end;
-//! * a request that is blamed run nowhere until it has been kept away for long;
-//! * a request that ended well go free, or that ran for far longer than it takes to
-//!   crash a target: it does not crash every target that runs it.
+//! * run a suspect at no more targets at once, over all hosts, than it may still crash;
+//! * run a request that is blamed for its crashes nowhere until it has been blocked for a
+//!   long time;
+//! * clear a request that completed, or that ran for far longer than it takes to crash a
+//!   target: it does not crash every target that runs it.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
-//! use notchwharf_routing::quarantine::{Crash, Quarantine, Decision};
+//! use notchwharf_routing::quarantine::{Crash, Decision, Quarantine};
 //!
 //! let now = Instant::now();
 //! let mut quarantine = Quarantine::default();
@@ -28,30 +29,30 @@
 //!
 //! # Blame
 //!
-//! Targets also crash for reasons of their own, and a healthy request that is sent
-//! again may be there each time. How likely that is depends on how long it ran: where a
-//! target crashes every seven seconds, one that ran for 50 ms is hit with a chance of
-//! 0.7 in 100, one that ran for 3 s with 40. A request is blamed for three crashes if a
-//! healthy one would have met them with a chance below one in 100,000, and for six in
-//! any case. A fixed number of crashes was rejected: items of jobs run for seconds and
-//! would be taken for the cause whenever many targets crash. So was the rate of crashes
-//! as hosts see it: a request that is to blame raises it.
+//! Targets also crash for other reasons, and a healthy request that is retried may be
+//! present each time. The probability depends on its run time: where a target crashes every
+//! seven seconds, a request that ran for 50 ms meets a crash with a probability of 0.7 %,
+//! one that ran for 3 s with 40 %. A request is blamed for three crashes if a healthy one
+//! would have met them with a probability below one in 100,000, and for six in any case.
+//! A fixed number of crashes was rejected, as items of jobs run for seconds and would be
+//! blamed whenever many targets crash. The crash rate that hosts observe was rejected, as
+//! the request to blame raises it.
 //!
-//! Played with healthy requests only, a quarter to four in ten of all targets crashing every
-//! three or four seconds, 67 items met three or more crashes in 32 days of half a minute,
-//! and one was blamed: sent to a target at the moment of its crash, and seen to run there
-//! for 1 ms. Hence the least time that counts, the runs that clear a request without
-//! ending, and the early trial of what is owed.
+//! In simulations with healthy requests only, in which a quarter to four tenths of all
+//! targets crashed every three or four seconds, 67 items met three or more crashes in 32
+//! runs of half a minute each. One of them was blamed: it had been sent to a target at the
+//! moment of its crash, and appeared to have run there for 1 ms. Hence the minimum run time
+//! that counts, the clearance by runs that did not complete, and the early retry of items.
 //!
 //! # Trade-offs
 //!
-//! Two hosts that admit a suspect within the time that news takes between them both
-//! run it. Asking one host for leave was rejected: it costs a way there and back, and its
-//! death or a cut leaves nobody to ask. A request that is new everywhere may be running
-//! at any number of targets when it is first seen to end one.
+//! Two hosts that admit a suspect within the time that a report takes between them both run
+//! it. Requesting permission from one host was rejected: it costs a round trip, and if that
+//! host fails or is partitioned, there is nobody to ask. A request that no host has seen
+//! before may be running at any number of targets when its first crash is detected.
 //!
-//! Ages are measured on the clock given. Where that stands still, as a suspended
-//! machine's does, suspects are remembered and kept away for longer, never shorter.
+//! Ages are measured on the given clock. If it stops, as on a suspended machine, suspects
+//! are remembered and blocked for longer, never for shorter.
 
 mod suspect;
 
@@ -65,127 +66,126 @@
 
 use self::suspect::Suspect;
 
-/// The name of one life of a target, from a start to its end.
+/// Identifies one incarnation of a target, from a start of its process to its end.
 pub type IncarnationId = u64;
 
-/// Time for which a suspect is remembered after its last crash. A caller's repeats come
-/// within seconds or minutes; each crash leaves about eight suspects, most of which
-/// never come again.
-const REMEMBERED: Duration = Duration::from_secs(600);
+/// Time for which a suspect is remembered after its last crash. Callers retry within
+/// seconds or minutes; each crash leaves about eight suspects, most of which are never seen
+/// again.
+const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 
-/// Requests remembered at most, some 200 bytes each, so 3 MB. A crash adds about eight,
-/// so a caller who would fill it to have his own forgotten must crash 2,000 targets first,
-/// and those of which more is known stay longest.
+/// Maximum number of suspects, about 200 bytes each and 3 MB in total. A crash adds about
+/// eight, so a caller who wanted to have a suspect evicted would have to crash 2,000 targets
+/// first, and the suspects with the most crashes are evicted last.
 const SUSPECTS_MAX: usize = 16_384;
 
-/// A target's crash under a request.
+/// A crash of a target under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The life of the target that ended.
+    /// The incarnation of the target that crashed.
     pub incarnation: IncarnationId,
-    /// How long the request had run there.
+    /// Time for which the request had run there.
     pub run_time: Duration,
-    /// When it was noticed.
+    /// When the crash was detected.
     pub detected_at: Instant,
 }
 
 /// Whether a request may be sent to a target now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may. If it is a suspect, its run is noted until [`Quarantine::ended`].
+    /// It may. The run of a suspect is recorded until [`Quarantine::end_run`].
     Admit,
-    /// Others with the same content run now; it may when one of them has ended.
+    /// Requests with the same content are running; it may once one of them has ended.
     Wait,
     /// Targets crash under it.
     Refuse {
-        /// How many were seen to.
+        /// Number of crashes observed.
         crashes: u32,
         /// Time until it may be tried once more.
         retry_after: Duration,
     },
 }
 
-/// What one host tells others of a suspect. Times are relative, as hosts' clocks differ.
+/// A host's report on a suspect. Times are relative, as the clocks of hosts differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// How often it was cleared: crashes from before a clearance do not count.
+    /// Number of times it was cleared; crashes before a clearance do not count.
     pub clearances: u32,
-    /// The crashes since.
+    /// The crashes since the last clearance.
     pub crashes: Vec<CrashReport>,
-    /// How long ago the telling host began to run it, if it runs there.
+    /// Time since the reporting host started to run it; `None` if it does not run there.
     pub running_for: Option<Duration>,
 }
 
-/// A crash as one host tells another of it.
+/// A crash in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashReport {
-    /// The life of the target that ended.
+    /// The incarnation of the target that crashed.
     pub incarnation: IncarnationId,
-    /// How long the request had run there.
+    /// Time for which the request had run there.
     pub run_time: Duration,
-    /// How long ago it was noticed.
+    /// Time since the crash was detected.
     pub age: Duration,
 }
 
-/// What became of a suspect by a crash or by what a host told.
+/// Effect of a crash or a report on a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that was not known.
+    /// Everything was known already.
     None,
-    /// Another crash or clearance, or a run began or ended.
+    /// Another crash or clearance was added, or a run started or ended.
     Updated,
-    /// It is refused from now on, or for longer than before.
+    /// The request is refused from now on, or for longer than before.
     Blamed {
-        /// How many targets crashed under it.
+        /// Number of targets that crashed under it.
         crashes: u32,
     },
 }
 
-/// Requests under which targets have crashed.
+/// Requests under which targets crashed, as known to one host.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
 }
 
 impl Quarantine {
-    /// Returns whether no request is suspected, so that none needs a fingerprint.
+    /// Returns whether there are no suspects, so that no fingerprint has to be computed.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns the number of requests that are remembered.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Returns how many crashes under a request count.
+    /// Returns the number of crashes that count against a request.
     pub fn crash_count(&self, fingerprint: Fingerprint) -> u32 {
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(0, Suspect::crash_count)
     }
 
-    /// Returns the life of a target that a request met which was sent at a moment and
-    /// answered: the one that is taken for it, or a later one if that had ended by then.
+    /// Returns the incarnation of a target that answered a request sent at `sent_at`: the
+    /// known one, or a later one if the known one had crashed by then.
     ///
-    /// Guards against a host whose list of targets is old: it would take a target's next
-    /// crash for the one before, and the request would end more targets than it may.
-    /// Crashes that others tell are not judged so: a host that stood still takes an old
-    /// word for a new one, and one crash would count as often as it was told.
+    /// Guards against a host with an outdated list of targets, which would mistake the next
+    /// crash of a target for the previous one, so that the request could crash more targets
+    /// than allowed. Reported crashes are not corrected in this way: a host that was
+    /// suspended may take an old report for a new one, and the crash would then count as
+    /// often as it was reported.
     pub fn incarnation_of_run(
         &self,
         fingerprint: Fingerprint,
-        incarnation: IncarnationId,
-        sent: Instant,
+        known: IncarnationId,
+        sent_at: Instant,
     ) -> IncarnationId {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.map_or(incarnation, |suspect| {
-            suspect.incarnation_of_run(incarnation, sent)
-        })
+        suspect.map_or(known, |suspect| suspect.incarnation_of_run(known, sent_at))
     }
 
-    /// Decides whether a host may send a request now, and notes the run of a suspect.
+    /// Decides whether a host may send a request now, and records the run of a suspect.
     pub fn admit(&mut self, fingerprint: Fingerprint, host: &str, now: Instant) -> Decision {
         match self.suspects.get_mut(&fingerprint) {
             Some(suspect) => suspect.admit(host, false, now),
@@ -193,8 +193,9 @@
         }
     }
 
-    /// Decides the same of a request of which a result is owed, an item of a job: nobody
-    /// sends it again, and blamed by mistake it would be lost.
+    /// Decides the same for an item of a job. The system owes a result for each item and no
+    /// caller retries it, so an item that is blamed by mistake would be lost; it is tried
+    /// again sooner than an online request.
     pub fn admit_item(&mut self, fingerprint: Fingerprint, host: &str, now: Instant) -> Decision {
         match self.suspects.get_mut(&fingerprint) {
             Some(suspect) => suspect.admit(host, true, now),
@@ -202,31 +203,30 @@
         }
     }
 
-    /// Notes that a host's run of a request has ended.
+    /// Records that a host's run of a request has ended.
     pub fn end_run(&mut self, fingerprint: Fingerprint, host: &str) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.end_run(host);
         }
     }
 
-    /// Notes that a target crashed under a request.
+    /// Records that a target crashed under a request.
     pub fn record_crash(&mut self, fingerprint: Fingerprint, crash: Crash) -> Change {
         let now = crash.detected_at;
-        self.make_room(now);
+        self.evict_if_full(now);
         let suspect = self.suspects.entry(fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
-        suspect.noting(now, |suspect| suspect.add(crash))
+        suspect.update(now, |suspect| suspect.add(crash))
     }
 
-    /// Notes that a request ended well at a target; returns whether that clears a
-    /// suspect.
+    /// Records that a request completed at a target; returns whether that clears a suspect.
     pub fn record_success(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
         suspect.is_some_and(|suspect| suspect.clear(now))
     }
 
-    /// Notes that a run went on for a time and was ended by its host, the target being
-    /// well; returns whether that clears a suspect.
+    /// Records that a host ended a run after `run_time` while the target was healthy;
+    /// returns whether that clears a suspect.
     pub fn record_survival(
         &mut self,
         fingerprint: Fingerprint,
@@ -237,53 +237,52 @@
         suspect.is_some_and(|suspect| suspect.record_survival(run_time, now))
     }
 
-    /// Takes in what another host tells of a suspect.
-    pub fn merge_report(&mut self, host: &HostId, told: &Report, now: Instant) -> Change {
-        self.make_room(now);
-        let suspect = match self.suspects.entry(told.fingerprint) {
+    /// Merges another host's report on a suspect.
+    pub fn merge_report(&mut self, host: &HostId, report: &Report, now: Instant) -> Change {
+        self.evict_if_full(now);
+        let suspect = match self.suspects.entry(report.fingerprint) {
             Entry::Occupied(known) => known.into_mut(),
-            // A clearance of what is not known here says nothing.
-            Entry::Vacant(_) if told.crashes.is_empty() => return Change::None,
+            // The clearance of a request that is no suspect here has no effect.
+            Entry::Vacant(_) if report.crashes.is_empty() => return Change::None,
             Entry::Vacant(new) => new.insert(Suspect::new(now)),
         };
-        suspect.noting(now, |suspect| suspect.merge(host, told, now))
+        suspect.update(now, |suspect| suspect.merge_report(host, report, now))
     }
 
-    /// Returns what a host tells of a request; nothing if it is not remembered.
+    /// Returns a host's report on a request; `None` if it is not a suspect.
     pub fn report(&self, fingerprint: Fingerprint, host: &str, now: Instant) -> Option<Report> {
         let suspect = self.suspects.get(&fingerprint)?;
         Some(suspect.report(fingerprint, host, now))
     }
 
-    /// Returns what a host tells now and then, for those that missed it: the suspects
-    /// that came more than once, and what has changed lately.
+    /// Returns the reports that a host resends periodically, for hosts that missed them: on
+    /// suspects with more than one crash, and on those that changed recently.
     pub fn periodic_reports(&self, host: &str, now: Instant) -> Vec<Report> {
-        let worth = self.suspects.iter().filter(|(_, s)| s.is_retold(now));
-        worth
+        let resent = self.suspects.iter().filter(|(_, s)| s.is_resent(now));
+        resent
             .map(|(fingerprint, suspect)| suspect.report(*fingerprint, host, now))
             .collect()
     }
 
-    /// Forgets suspects that have not been to blame for long.
+    /// Evicts suspects whose last crash was long ago.
     pub fn evict_expired(&mut self, now: Instant) {
-        self.suspects
-            .retain(|_, suspect| !suspect.is_forgotten(now));
+        self.suspects.retain(|_, suspect| !suspect.is_expired(now));
     }
 
-    /// Forgets the suspects of which least is known if there are too many.
-    fn make_room(&mut self, now: Instant) {
+    /// Evicts the suspects with the fewest and oldest crashes if there are too many.
+    fn evict_if_full(&mut self, now: Instant) {
         if self.suspects.len() < SUSPECTS_MAX {
             return;
         }
         self.evict_expired(now);
-        let mut by_weight: Vec<_> = self
+        let mut by_rank: Vec<_> = self
             .suspects
             .iter()
-            .map(|(f, s)| (s.weight(), *f))
+            .map(|(f, s)| (s.retention_rank(), *f))
             .collect();
-        by_weight.sort_unstable();
-        // Many at a time, so that sorting is seldom.
-        for (_, fingerprint) in by_weight.into_iter().take(SUSPECTS_MAX / 8) {
+        by_rank.sort_unstable();
+        // Evicts many at once, so that sorting is rare.
+        for (_, fingerprint) in by_rank.into_iter().take(SUSPECTS_MAX / 8) {
             self.suspects.remove(&fingerprint);
         }
     }
--- a/crates/routing/src/quarantine/suspect.rs
+++ b/crates/routing/src/quarantine/suspect.rs
@@ -1,8 +1,9 @@
-//! What is known of one request under which targets crashed.
+//! State of one request under which targets crashed.
 //!
-//! Hosts hold this apart and merge what they are told, in any order and as often as it
-//! comes: crashes are a set, and a clearance outdoes all crashes from before it. A
-//! counter was rejected: told twice, it counts twice.
+//! Kept apart from the table of suspects because it is the unit that hosts merge. Reports
+//! arrive in any order and any number of times, so merging is idempotent and commutative:
+//! crashes form a set, and a clearance supersedes all crashes before it. A counter was
+//! rejected, as a report that arrives twice would count twice.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,71 +16,70 @@
 use super::CrashReport;
 use super::Decision;
 use super::IncarnationId;
-use super::REMEMBERED;
 use super::Report;
+use super::SUSPECT_RETENTION;
 use crate::fingerprint::Fingerprint;
 use crate::places::HostId;
 
-/// Targets that a request may end before it can be blamed.
+/// Number of targets that a request may crash before it can be blamed.
 const CRASHES_ALLOWED: u32 = 3;
 
-/// Crashes of a sound target in a second at most: four targets in ten every three
-/// seconds.
-const CRASH_RATE_MAX: f64 = 0.14;
-
-/// Chances of a healthy request to meet the crashes that it met below which it is
-/// blamed, by the number of crashes from [`CRASHES_ALLOWED`] on; beyond the last it is
-/// blamed in any case. At first one in 100,000, with some 1,000 requests a day that meet
-/// a crash at all; the fewer targets it may still end, the less it takes. Played for ten
-/// minutes with a crash of each target every 7.5 seconds, 1 of 28,500 online requests is
-/// refused, sent again after three runs that broke off, and none of 1,500 items that run
-/// for seven seconds; with a crash every 20 seconds none at all.
-const CHANCES_MIN: [f64; 3] = [1e-5, 1e-5, 1e-4];
-
-/// Least time for which a request counts as having run when a target crashed. A target
-/// that has crashed is still sent requests until that is noticed, and those break off at
-/// once; and what ran for 50 ms is no more to blame than what ran for 100.
-const RAN_MIN: Duration = Duration::from_millis(100);
-
-/// Times the longest run after which a target crashed that a run must outlast to show
-/// that its target bears the request: it would have crashed before.
-const OUTLASTS: u32 = 2;
-
-/// Least time that such a run lasts.
-const OUTLASTS_MIN: Duration = Duration::from_secs(1);
-
-/// Time for which a blamed request is kept from all targets, after the last crash that
-/// is allowed; each later crash doubles it. So it ends one target in ten minutes, then one
-/// in twenty, if its caller does not give up.
-const KEPT_AWAY: Duration = Duration::from_secs(600);
-
-/// The same for one of which a result is owed, as long as it may end targets besides
-/// those allowed. Blamed by mistake, an item ends well then and is only late; to blame,
-/// it ends three targets more within two minutes.
-const KEPT_AWAY_OWED: Duration = Duration::from_secs(15);
-
-/// Crashes from which that does not hold any more.
-const CRASHES_OWED_MAX: u32 = CRASHES_ALLOWED + 3;
-
-/// Time after which a run does not keep others waiting: targets crash some 100 ms after
-/// they begin a request that they cannot bear. It also ends the runs of hosts that
-/// died.
-const RUN_WATCHED: Duration = Duration::from_secs(1);
-
-/// Time for which changes are told again to those that may have missed them: some six
-/// times, each to two hosts.
-const RETOLD: Duration = Duration::from_secs(3);
-
-/// Crashes that are remembered of one request, the newest ones: with so many it is kept
-/// away for more than five hours after each.
-const CRASHES_KEPT: usize = 8;
+/// Highest crash rate of a target that crashes for other reasons: four targets in ten crash
+/// every three seconds.
+const CRASH_RATE_MAX_PER_S: f64 = 0.14;
+
+/// Probability below which a request is blamed, that a healthy request would meet the same
+/// crashes, by the number of crashes from [`CRASHES_ALLOWED`] on; beyond the last entry it
+/// is blamed in any case. It starts at one in 100,000, with about 1,000 requests a day that
+/// meet a crash at all, and rises as the request has fewer targets left to crash. Simulated
+/// for ten minutes with a crash of each target every 7.5 seconds, 1 of 28,500 online
+/// requests is refused, on a retry after three interrupted runs, and none of 1,500 items
+/// that run for seven seconds; with a crash every 20 seconds, none at all.
+const BLAME_PROBABILITIES: [f64; 3] = [1e-5, 1e-5, 1e-4];
+
+/// Minimum run time that a crash counts with. A crashed target is still sent requests until
+/// the crash is detected, and those fail at once; a request that ran for 50 ms is also no
+/// more suspicious than one that ran for 100 ms.
+const RUN_TIME_MIN: Duration = Duration::from_millis(100);
+
+/// Multiple of the longest run before a crash that a run must survive to clear a request:
+/// it would have crashed its target before.
+const SURVIVAL_FACTOR: u32 = 2;
+
+/// Minimum duration of such a run.
+const SURVIVAL_MIN: Duration = Duration::from_secs(1);
+
+/// Time for which a blamed request is blocked after the last crash that is allowed; each
+/// further crash doubles it. The request thus crashes one target in ten minutes, then one
+/// in twenty, as long as its caller retries.
+const BLOCK_TIME: Duration = Duration::from_secs(600);
+
+/// The same for an item of a job, until it reaches [`ITEM_CRASHES_MAX`]. An item that is
+/// blamed by mistake then completes and is only late; one that is to blame crashes three
+/// more targets within two minutes.
+const ITEM_BLOCK_TIME: Duration = Duration::from_secs(15);
+
+/// Number of crashes from which an item is blocked as long as an online request.
+const ITEM_CRASHES_MAX: u32 = CRASHES_ALLOWED + 3;
+
+/// Time after which a run no longer makes others wait. Targets crash some 100 ms after they
+/// start a request that crashes them. Also ends the runs of hosts that failed.
+const RUN_EXPIRY: Duration = Duration::from_secs(1);
+
+/// Time for which a change is resent to hosts that may have missed it: about six times, to
+/// two hosts each.
+const RESEND_PERIOD: Duration = Duration::from_secs(3);
+
+/// Number of crashes retained per request, the newest ones. With this many a request is
+/// blocked for more than five hours after each.
+const CRASHES_RETAINED: usize = 8;
 
 /// A request under which targets crashed.
 #[derive(Clone, Debug)]
 pub(super) struct Suspect {
     clearances: u32,
     crashes: Vec<Crash>,
-    /// When each host began its newest run.
+    /// When each host started its newest run.
     runs: HashMap<HostId, Instant>,
     changed_at: Instant,
 }
@@ -98,8 +98,8 @@
         u32::try_from(self.crashes.len()).unwrap_or(u32::MAX)
     }
 
-    pub(super) fn admit(&mut self, host: &str, is_owed: bool, now: Instant) -> Decision {
-        if let Some(retry_after) = self.kept_away(is_owed, now) {
+    pub(super) fn admit(&mut self, host: &str, is_item: bool, now: Instant) -> Decision {
+        if let Some(retry_after) = self.remaining_block(is_item, now) {
             return Decision::Refuse {
                 crashes: self.crash_count(),
                 retry_after,
@@ -109,10 +109,10 @@
             return Decision::Admit;
         }
         self.runs
-            .retain(|_, since| is_within(*since, RUN_WATCHED, now));
-        // A run for each target that it may still end; a blamed one is tried alone.
-        let at_once = CRASHES_ALLOWED.saturating_sub(self.crash_count()).max(1);
-        if self.runs.len() >= at_once as usize || self.runs.contains_key(host) {
+            .retain(|_, started_at| is_within(*started_at, RUN_EXPIRY, now));
+        // One run for each target that it may still crash; a blamed request runs alone.
+        let runs_max = CRASHES_ALLOWED.saturating_sub(self.crash_count()).max(1);
+        if self.runs.len() >= runs_max as usize || self.runs.contains_key(host) {
             return Decision::Wait;
         }
         self.runs.insert(host.to_owned(), now);
@@ -123,19 +123,19 @@
         self.runs.remove(host);
     }
 
-    /// Makes a change and tells what it comes to.
-    pub(super) fn noting(
+    /// Applies a change, which returns whether it had an effect; returns the effect.
+    pub(super) fn update(
         &mut self,
         now: Instant,
         change: impl FnOnce(&mut Self) -> bool,
     ) -> Change {
-        let newest = self.newest();
+        let last_crash_at = self.last_crash_at();
         let was_blamed = self.is_blamed();
         if !change(self) {
             return Change::None;
         }
         self.changed_at = now;
-        let is_crash = !was_blamed || self.newest() > newest;
+        let is_crash = !was_blamed || self.last_crash_at() > last_crash_at;
         if self.is_blamed() && is_crash {
             let crashes = self.crash_count();
             return Change::Blamed { crashes };
@@ -143,26 +143,26 @@
         Change::Updated
     }
 
-    /// Returns the first life from the given one on that is not known to have ended
-    /// before a moment.
+    /// Returns the first incarnation, from the known one on, that is not known to have
+    /// crashed before `sent_at`.
     pub(super) fn incarnation_of_run(
         &self,
-        incarnation: IncarnationId,
-        at: Instant,
+        known: IncarnationId,
+        sent_at: Instant,
     ) -> IncarnationId {
-        let has_ended = |incarnation| {
+        let has_crashed = |incarnation| {
             self.crashes
                 .iter()
-                .any(|c| c.incarnation == incarnation && c.detected_at < at)
+                .any(|c| c.incarnation == incarnation && c.detected_at < sent_at)
         };
-        let mut met = incarnation;
-        while has_ended(met) {
-            met = next_life(met);
+        let mut incarnation = known;
+        while has_crashed(incarnation) {
+            incarnation = next_incarnation(incarnation);
         }
-        met
+        incarnation
     }
 
-    /// Adds a crash; returns whether it was not known.
+    /// Adds a crash; returns whether it was unknown.
     pub(super) fn add(&mut self, crash: Crash) -> bool {
         if self
             .crashes
@@ -171,11 +171,11 @@
         {
             return false;
         }
-        if self.crashes.len() < CRASHES_KEPT {
+        if self.crashes.len() < CRASHES_RETAINED {
             self.crashes.push(crash);
             return true;
         }
-        // The newest says until when it is kept away, so the oldest makes room for it.
+        // The newest crash determines the end of the block, so the oldest is replaced.
         let oldest = self
             .crashes
             .iter_mut()
@@ -187,7 +187,7 @@
         true
     }
 
-    /// Forgets all crashes; returns whether there were any.
+    /// Removes all crashes; returns whether there were any.
     pub(super) fn clear(&mut self, now: Instant) -> bool {
         if self.crashes.is_empty() {
             return false;
@@ -198,46 +198,46 @@
         true
     }
 
-    /// Forgets all crashes if a run that lasted for so long shows that targets bear it;
+    /// Removes all crashes if a run of this duration shows that targets survive the request;
     /// returns whether it does.
     pub(super) fn record_survival(&mut self, run_time: Duration, now: Instant) -> bool {
         let longest = self.crashes.iter().map(|crash| crash.run_time).max();
-        let least = longest.map(|run_time| (run_time * OUTLASTS).max(OUTLASTS_MIN));
-        least.is_some_and(|least| run_time >= least) && self.clear(now)
+        let min = longest.map(|run_time| (run_time * SURVIVAL_FACTOR).max(SURVIVAL_MIN));
+        min.is_some_and(|min| run_time >= min) && self.clear(now)
     }
 
-    /// Merges what a host tells; returns whether anything was new.
-    pub(super) fn merge(&mut self, host: &HostId, told: &Report, now: Instant) -> bool {
-        let since = told.running_for.and_then(|age| now.checked_sub(age));
-        let before = match since {
-            Some(since) => self.runs.insert(host.clone(), since).is_some(),
+    /// Merges a host's report; returns whether it had an effect.
+    pub(super) fn merge_report(&mut self, host: &HostId, report: &Report, now: Instant) -> bool {
+        let started_at = report.running_for.and_then(|age| now.checked_sub(age));
+        let was_running = match started_at {
+            Some(started_at) => self.runs.insert(host.clone(), started_at).is_some(),
             None => self.runs.remove(host).is_some(),
         };
-        let is_run_news = before != since.is_some();
-        if told.clearances < self.clearances {
-            // That host has missed a clearance, so it is told again.
-            return !told.crashes.is_empty();
+        let is_run_changed = was_running != started_at.is_some();
+        if report.clearances < self.clearances {
+            // That host has missed a clearance, so the change is resent.
+            return !report.crashes.is_empty();
         }
-        let is_cleared = told.clearances > self.clearances;
+        let is_cleared = report.clearances > self.clearances;
         if is_cleared {
-            self.clearances = told.clearances;
+            self.clearances = report.clearances;
             self.crashes.clear();
         }
-        let mut is_news = is_cleared || is_run_news;
+        let mut is_changed = is_cleared || is_run_changed;
         for CrashReport {
             incarnation,
             run_time,
             age,
-        } in told.crashes.iter().copied()
+        } in report.crashes.iter().copied()
         {
             let detected_at = now.checked_sub(age).unwrap_or(now);
-            is_news |= self.add(Crash {
+            is_changed |= self.add(Crash {
                 incarnation,
                 run_time,
                 detected_at,
             });
         }
-        is_news
+        is_changed
     }
 
     pub(super) fn report(&self, fingerprint: Fingerprint, host: &str, now: Instant) -> Report {
@@ -251,48 +251,51 @@
             fingerprint,
             clearances: self.clearances,
             crashes: crashes.collect(),
-            running_for: self.runs.get(host).map(|since| age(*since)),
+            running_for: self.runs.get(host).map(|started_at| age(*started_at)),
         }
     }
 
-    pub(super) fn is_retold(&self, now: Instant) -> bool {
-        self.crashes.len() > 1 || is_within(self.changed_at, RETOLD, now)
+    /// Returns whether periodic reports include the suspect.
+    pub(super) fn is_resent(&self, now: Instant) -> bool {
+        self.crashes.len() > 1 || is_within(self.changed_at, RESEND_PERIOD, now)
     }
 
-    pub(super) fn is_forgotten(&self, now: Instant) -> bool {
-        let time = match self.is_blamed() {
-            // It is to be known still when it is tried again.
-            true => self.kept_away_for(false) * 2,
-            false => REMEMBERED,
+    pub(super) fn is_expired(&self, now: Instant) -> bool {
+        let retention = match self.is_blamed() {
+            // Must still be known when it is tried again.
+            true => self.block_time(false) * 2,
+            false => SUSPECT_RETENTION,
         };
-        !is_within(self.newest(), time, now)
+        !is_within(self.last_crash_at(), retention, now)
     }
 
-    /// Returns how much would be lost with it: the more crashes, and the newer, the more.
-    pub(super) fn weight(&self) -> (u32, Instant) {
-        (self.crash_count(), self.newest())
+    /// Returns the rank by which suspects are retained when there are too many: those with
+    /// more crashes, then those with newer ones.
+    pub(super) fn retention_rank(&self) -> (u32, Instant) {
+        (self.crash_count(), self.last_crash_at())
     }
 
-    fn newest(&self) -> Instant {
+    /// Returns the time of the newest crash, or of the last change if there is none.
+    fn last_crash_at(&self) -> Instant {
         let newest = self.crashes.iter().map(|crash| crash.detected_at).max();
         newest.unwrap_or(self.changed_at)
     }
 
-    /// Returns for how much longer it is kept from all targets, if it is.
-    fn kept_away(&self, is_owed: bool, now: Instant) -> Option<Duration> {
+    /// Returns the time for which the request remains blocked; `None` if it is not.
+    fn remaining_block(&self, is_item: bool, now: Instant) -> Option<Duration> {
         if !self.is_blamed() {
             return None;
         }
-        let since = now.saturating_duration_since(self.newest());
-        let rest = self.kept_away_for(is_owed).checked_sub(since)?;
-        (!rest.is_zero()).then_some(rest)
+        let elapsed = now.saturating_duration_since(self.last_crash_at());
+        let remaining = self.block_time(is_item).checked_sub(elapsed)?;
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    fn kept_away_for(&self, is_owed: bool) -> Duration {
+    fn block_time(&self, is_item: bool) -> Duration {
         let crashes = self.crash_count();
-        let base = match is_owed && crashes < CRASHES_OWED_MAX {
-            true => KEPT_AWAY_OWED,
-            false => KEPT_AWAY,
+        let base = match is_item && crashes < ITEM_CRASHES_MAX {
+            true => ITEM_BLOCK_TIME,
+            false => BLOCK_TIME,
         };
         base * 2u32.pow(crashes.saturating_sub(CRASHES_ALLOWED))
     }
@@ -302,21 +305,24 @@
         let Some(beyond) = beyond else {
             return false;
         };
-        let chance_min = CHANCES_MIN.get(beyond);
-        chance_min.is_none_or(|min| self.chance_if_healthy() < *min)
+        let threshold = BLAME_PROBABILITIES.get(beyond);
+        threshold.is_none_or(|threshold| self.probability_if_healthy() < *threshold)
     }
 
-    /// Returns the chance that a healthy request meets as many crashes so soon after it
-    /// began to run.
-    fn chance_if_healthy(&self) -> f64 {
-        let met = self.crashes.iter();
-        met.map(|crash| (CRASH_RATE_MAX * crash.run_time.max(RAN_MIN).as_secs_f64()).min(1.0))
+    /// Returns the probability that a healthy request meets as many crashes this soon after
+    /// it started to run.
+    fn probability_if_healthy(&self) -> f64 {
+        let crashes = self.crashes.iter();
+        crashes
+            .map(|crash| {
+                (CRASH_RATE_MAX_PER_S * crash.run_time.max(RUN_TIME_MIN).as_secs_f64()).min(1.0)
+            })
             .product()
     }
 }
 
-/// Returns a name for the life that follows one, the same at all hosts.
-fn next_life(incarnation: IncarnationId) -> IncarnationId {
+/// Returns an id for the incarnation that follows one, the same on all hosts.
+fn next_incarnation(incarnation: IncarnationId) -> IncarnationId {
     xxh3_64(&incarnation.to_le_bytes())
 }
 
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a host needs before it serves its first request, and when it had it.
+//! Readiness of the data that a host needs before it serves its first request.
 //!
-//! Each need has a task of its own that gets it, from the store or from peers, whichever
-//! answers first. A request that comes before waits for what its host lacks.
+//! Each dependency is loaded by a task of its own, from the store or from peers, whichever
+//! responds first. A request that arrives earlier waits for the dependencies that it needs.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -17,17 +17,17 @@
 //! # });
 //! ```
 //!
-//! Weighed: refusing at once what comes before (what is missing mostly comes within some
-//! ten milliseconds, and the caller would need another connection and another host), and
-//! listening only once all is there (a caller that finds nobody listening comes back
-//! late, and the balancer looks once a second).
+//! Alternatives rejected: refusing early requests at once (the missing data mostly arrives
+//! within some ten milliseconds, whereas the caller would need another connection to another
+//! host), and listening only once everything is loaded (a caller whose connection is refused
+//! retries late, and the load balancer checks hosts only once a second).
 
 use std::time::Duration;
 use std::time::Instant;
 
 use tokio::sync::watch;
 
-/// Something that a request needs.
+/// Data that requests depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dependency {
     /// The configuration.
@@ -36,14 +36,14 @@
     Targets,
     /// Requests under which targets crashed.
     Suspects,
-    /// Holders of the parts of limits.
+    /// The hosts that hold the shares of workspaces' limits.
     Limits,
 }
 
 impl Dependency {
     const COUNT: usize = 4;
 
-    /// Returns the name by which logs call it.
+    /// Returns the name used in logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Routes => "routes",
@@ -54,32 +54,32 @@
     }
 }
 
-/// What a host has of what it needs.
+/// The dependencies that a host has loaded so far.
 #[derive(Debug)]
 pub struct Startup {
-    started: Instant,
+    started_at: Instant,
     logger: slog::Logger,
-    wait: Duration,
-    had: [watch::Sender<bool>; Dependency::COUNT],
+    wait_max: Duration,
+    ready: [watch::Sender<bool>; Dependency::COUNT],
 }
 
 impl Startup {
-    /// Returns that a host that starts now has nothing yet. `wait` is the longest time
-    /// for which a request waits for one thing.
-    pub fn new(wait: Duration, logger: slog::Logger) -> Self {
+    /// Returns the state of a host that starts now and has loaded nothing yet. A request
+    /// waits up to `wait_max` for each dependency.
+    pub fn new(wait_max: Duration, logger: slog::Logger) -> Self {
         Self {
-            started: Instant::now(),
+            started_at: Instant::now(),
             logger,
-            wait,
-            had: std::array::from_fn(|_| watch::Sender::new(false)),
+            wait_max,
+            ready: std::array::from_fn(|_| watch::Sender::new(false)),
         }
     }
 
-    /// Notes that something is there, and from where it came; what comes later says
-    /// nothing new.
+    /// Records that a dependency has been loaded, and from which source. Only the first call
+    /// for each dependency has an effect.
     pub fn mark_ready(&self, dependency: Dependency, source: &str) {
-        // Asked first: some note what they have with each request.
-        if self.is_ready(dependency) || self.had[dependency as usize].send_replace(true) {
+        // Checked first, as some callers report a dependency with each request.
+        if self.is_ready(dependency) || self.ready[dependency as usize].send_replace(true) {
             return;
         }
         let took_ms = u64::try_from(self.uptime().as_millis()).unwrap_or(u64::MAX);
@@ -87,30 +87,30 @@
             "source" => source, "took_ms" => took_ms);
     }
 
-    /// Returns whether something is there.
+    /// Returns whether a dependency has been loaded.
     pub fn is_ready(&self, dependency: Dependency) -> bool {
-        *self.had[dependency as usize].borrow()
+        *self.ready[dependency as usize].borrow()
     }
 
     /// Returns the time since the host started.
     pub fn uptime(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Waits until something is there, as long as that takes.
+    /// Waits without a time limit until a dependency has been loaded.
     pub async fn wait_ready(&self, dependency: Dependency) {
         if self.is_ready(dependency) {
             return;
         }
-        let mut had = self.had[dependency as usize].subscribe();
-        // The sender lives as long as this does.
-        let _ = had.wait_for(|had| *had).await;
+        let mut ready = self.ready[dependency as usize].subscribe();
+        // Cannot fail: `self` owns the sender.
+        let _ = ready.wait_for(|is_ready| *is_ready).await;
     }
 
-    /// Waits for something as long as a request may, at most until its deadline; returns
-    /// whether it is there.
+    /// Waits for a dependency until a request's deadline, but no longer than the maximum
+    /// given to [`Startup::new`]; returns whether it has been loaded.
     pub async fn wait_ready_until(&self, dependency: Dependency, deadline: Instant) -> bool {
-        let until = deadline.min(Instant::now() + self.wait);
+        let until = deadline.min(Instant::now() + self.wait_max);
         let waited = tokio::time::timeout_at(until.into(), self.wait_ready(dependency));
         waited.await.is_ok()
     }
--- a/crates/startup/tests/startup.rs
+++ b/crates/startup/tests/startup.rs
@@ -1,4 +1,4 @@
-//! Requests that come before their host has what they need.
+//! Requests that arrive before their host has loaded the data that they depend on.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,11 +7,11 @@
 use notchwharf_startup::Startup;
 use rstest::rstest;
 
-/// Longer than any test takes.
+/// Exceeds the duration of any test.
 const LONG: Duration = Duration::from_secs(60);
 
-fn startup(wait: Duration) -> Startup {
-    Startup::new(wait, slog::Logger::root(slog::Discard, slog::o!()))
+fn startup(wait_max: Duration) -> Startup {
+    Startup::new(wait_max, slog::Logger::root(slog::Discard, slog::o!()))
 }
 
 #[rstest]
@@ -20,30 +20,33 @@
 #[case(Dependency::Suspects)]
 #[case(Dependency::Limits)]
 #[tokio::test]
-async fn whoever_waits_goes_on_when_it_is_there(#[case] dependency: Dependency) {
+async fn a_waiting_request_proceeds_once_the_dependency_is_ready(#[case] dependency: Dependency) {
     let startup = startup(LONG);
-    let waits = startup.wait_ready_until(dependency, Instant::now() + LONG);
-    let gets = async { startup.mark_ready(dependency, "store") };
-    let (is_there, ()) = tokio::join!(waits, gets);
-    assert!(is_there);
+    let wait = startup.wait_ready_until(dependency, Instant::now() + LONG);
+    let load = async { startup.mark_ready(dependency, "store") };
+    let (is_ready, ()) = tokio::join!(wait, load);
+    assert!(is_ready);
 }
 
 #[rstest]
-#[case::as_long_as_a_request_may(Duration::ZERO, LONG)]
-#[case::at_most_until_its_deadline(LONG, Duration::ZERO)]
+#[case::up_to_the_maximum_wait(Duration::ZERO, LONG)]
+#[case::up_to_its_deadline(LONG, Duration::ZERO)]
 #[tokio::test]
-async fn it_waits(#[case] wait: Duration, #[case] left: Duration) {
-    let startup = startup(wait);
+async fn a_request_waits_for_a_limited_time(
+    #[case] wait_max: Duration,
+    #[case] time_left: Duration,
+) {
+    let startup = startup(wait_max);
     startup.mark_ready(Dependency::Targets, "store");
     assert!(
         !startup
-            .wait_ready_until(Dependency::Routes, Instant::now() + left)
+            .wait_ready_until(Dependency::Routes, Instant::now() + time_left)
             .await
     );
 }
 
 #[tokio::test]
-async fn what_is_there_stays_there_and_needs_no_time() {
+async fn a_ready_dependency_stays_ready_and_needs_no_wait() {
     let startup = startup(Duration::ZERO);
     startup.mark_ready(Dependency::Routes, "store");
     startup.mark_ready(Dependency::Routes, "peer");
