--- a/crates/spread/tests/readers.rs
+++ b/crates/spread/tests/readers.rs
@@ -30,10 +30,12 @@
     is_up: bool,
     is_disconnected: bool,
     reads: bool,
-    heard: Duration,
-    heard_ranked_before: Duration,
+    /// When the newest records that it has were read from the log.
+    newest_read_at: Duration,
+    /// The same, considering only announcements of hosts ranked before it.
+    newest_read_at_ranked_before: Duration,
     sent: usize,
-    readings: usize,
+    read_count: usize,
     announced_at: Duration,
     staleness_max: Duration,
 }
@@ -68,10 +70,10 @@
             is_up: true,
             is_disconnected: false,
             reads: false,
-            heard: Duration::ZERO,
-            heard_ranked_before: Duration::ZERO,
+            newest_read_at: Duration::ZERO,
+            newest_read_at_ranked_before: Duration::ZERO,
             sent: 0,
-            readings: 0,
+            read_count: 0,
             announced_at: Duration::ZERO,
             staleness_max: Duration::ZERO,
         });
@@ -127,9 +129,10 @@
             );
             let reader = self.hosts[message.reader].name.clone();
             let host = &mut self.hosts[message.to];
-            host.heard = host.heard.max(message.read_at);
+            host.newest_read_at = host.newest_read_at.max(message.read_at);
             if ranks_before(&reader, &host.name) {
-                host.heard_ranked_before = host.heard_ranked_before.max(message.read_at);
+                host.newest_read_at_ranked_before =
+                    host.newest_read_at_ranked_before.max(message.read_at);
             }
         }
     }
@@ -137,18 +140,22 @@
     fn check(&mut self, number: usize) {
         let now = self.now();
         let host = &self.hosts[number];
-        let heard = match host.reads {
-            true => host.heard_ranked_before,
-            false => host.heard,
+        let newest_read_at = match host.reads {
+            true => host.newest_read_at_ranked_before,
+            false => host.newest_read_at,
         };
-        let is_due = should_read(self.ranks[number], now.saturating_sub(heard), self.timeouts);
+        let is_due = should_read(
+            self.ranks[number],
+            now.saturating_sub(newest_read_at),
+            self.timeouts,
+        );
         let host = &mut self.hosts[number];
         host.reads = is_due;
         if !is_due || host.is_disconnected {
             return;
         }
-        host.heard = now;
-        host.readings += 1;
+        host.newest_read_at = now;
+        host.read_count += 1;
         if now.saturating_sub(host.announced_at) < self.timeouts.announce_interval {
             return;
         }
@@ -176,7 +183,7 @@
                 .iter_mut()
                 .filter(|host| host.is_up && !host.is_disconnected)
             {
-                host.staleness_max = host.staleness_max.max(now - host.heard);
+                host.staleness_max = host.staleness_max.max(now - host.newest_read_at);
             }
         }
     }
@@ -206,7 +213,7 @@
     let sent: usize = simulation.hosts.iter().map(|host| host.sent).sum();
     let announcements = 20_000 / simulation.timeouts.announce_interval.as_millis() as usize;
     assert!(sent <= (announcements + 1) * (count - 1), "{sent} messages");
-    let readers = simulation.hosts.iter().filter(|host| host.readings > 0);
+    let readers = simulation.hosts.iter().filter(|host| host.read_count > 0);
     assert_eq!(readers.count(), 1);
 }
 
@@ -221,9 +228,9 @@
 ) {
     let mut simulation = Simulation::new(count, loss, seed);
     simulation.run(Duration::from_secs(5));
-    for (place, host) in simulation.ranked().into_iter().enumerate() {
-        let dies = place < first_ranks || (place * 37 + 11) % 100 < others_percent;
-        simulation.hosts[host].is_up = !dies;
+    for (rank, host) in simulation.ranked().into_iter().enumerate() {
+        let is_failed = rank < first_ranks || (rank * 37 + 11) % 100 < others_percent;
+        simulation.hosts[host].is_up = !is_failed;
     }
     simulation.run(Duration::from_secs(5));
     let staleness_max = simulation.staleness_max();
