--- a/crates/routing/src/discovery.rs
+++ b/crates/routing/src/discovery.rs
@@ -135,7 +135,7 @@
 
 impl<'a> Source<'a> {
     /// Returns the source of a read by this host.
-    fn read(read: &ReadInfo, evidence: &'a Evidence) -> Self {
+    fn from_read(read: &ReadInfo, evidence: &'a Evidence) -> Self {
         Self {
             at: read.answered_at,
             is_from_peer: false,
@@ -192,7 +192,7 @@
         records: Vec<Record<V>>,
         decode: impl Fn(&V) -> Result<Spec, E>,
     ) -> Vec<Change<E>> {
-        let source = Source::read(read, evidence);
+        let source = Source::from_read(read, evidence);
         let is_new = end >= self.end;
         let changes = self.apply_all(source, end, records, decode);
         if is_new {
@@ -210,7 +210,7 @@
         records: Vec<Record<V>>,
         decode: impl Fn(&V) -> Result<Spec, E>,
     ) -> Vec<Change<E>> {
-        let source = Source::read(read, evidence);
+        let source = Source::from_read(read, evidence);
         let mut changes = Vec::new();
         for record in records {
             if record.offset < self.end {
@@ -290,7 +290,7 @@
             changes.extend(self.apply_record(source, record, &decode));
         }
         for id in missing {
-            changes.extend(self.miss(source, id, end));
+            changes.extend(self.resolve_missing(source, id, end));
         }
         changes
     }
@@ -306,7 +306,7 @@
             return None;
         }
         let Some(value) = value else {
-            return self.miss(source, id, offset);
+            return self.resolve_missing(source, id, offset);
         };
         match decode(&value) {
             Ok(spec) => self.put(id, offset, spec),
@@ -341,7 +341,12 @@
     }
 
     /// Removes the target of a missing entry, or retains it if the entry may have expired.
-    fn miss<E>(&mut self, source: Source<'_>, id: TargetId, offset: u64) -> Option<Change<E>> {
+    fn resolve_missing<E>(
+        &mut self,
+        source: Source<'_>,
+        id: TargetId,
+        offset: u64,
+    ) -> Option<Change<E>> {
         if !self.known.contains_key(&id) {
             return None;
         }
--- a/crates/routing/src/dissemination.rs
+++ b/crates/routing/src/dissemination.rs
@@ -47,8 +47,8 @@
 const RELAYS_PER_DATA_CENTRE: usize = 2;
 
 /// Interval between two updates to data centres in which they are relayed, and between two
-/// relayed datagrams. Together they take a quarter of the time after which a silent host
-/// counts as down.
+/// relayed datagrams. An update takes at most both, 200 ms, well below the 1.2 s after which
+/// a silent host counts as down by default.
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The host that sends or relays.
--- a/crates/routing/tests/cells.rs
+++ b/crates/routing/tests/cells.rs
@@ -49,10 +49,12 @@
     let hosts: Vec<(String, &str)> = (0..200)
         .map(|number| (format!("h{number}"), ["d0", "d1"][number % 2]))
         .collect();
-    for (one, one_at) in &hosts {
-        for (other, other_at) in &hosts {
-            let are_in_same_cell = cells.are_in_same_cell((one, one_at), (other, other_at));
-            let have_same_name = cells.name_of((one, one_at)) == cells.name_of((other, other_at));
+    for (one, one_data_centre) in &hosts {
+        for (other, other_data_centre) in &hosts {
+            let are_in_same_cell =
+                cells.are_in_same_cell((one, one_data_centre), (other, other_data_centre));
+            let have_same_name =
+                cells.name_of((one, one_data_centre)) == cells.name_of((other, other_data_centre));
             assert_eq!(are_in_same_cell, have_same_name);
         }
     }
--- a/crates/routing/tests/discovery.rs
+++ b/crates/routing/tests/discovery.rs
@@ -315,13 +315,13 @@
 /// Outcome of a read.
 #[derive(Clone, Copy, Debug)]
 enum Outcome {
-    ReadInfo,
+    Answered,
     Failed(Failure),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
-        3 => Just(Outcome::ReadInfo),
+        3 => Just(Outcome::Answered),
         2 => Just(Outcome::Failed(Failure::Refused)),
         2 => Just(Outcome::Failed(Failure::Lost)),
         1 => Just(Outcome::Failed(Failure::Throttled)),
@@ -367,12 +367,12 @@
             }
             ms = answered_ms;
             match outcome {
-                Outcome::ReadInfo if removed_ms < ms && !is_removal_read => {
+                Outcome::Answered if removed_ms < ms && !is_removal_read => {
                     is_removal_read = true;
                     lost_ms = None;
                     host.read_removal(started_ms, ms, "t1");
                 }
-                Outcome::ReadInfo => {
+                Outcome::Answered => {
                     lost_ms = None;
                     host.read(started_ms, ms, None);
                 }
--- a/crates/routing/tests/dissemination.rs
+++ b/crates/routing/tests/dissemination.rs
@@ -400,9 +400,12 @@
     for host in (0..hosts).filter(|host| fleet.hosts[*host].is_up) {
         let sender = fleet.sender(host);
         for (number, peer) in fleet.peers(host).iter().enumerate() {
-            let sender_at = (sender.host, sender.data_centre);
-            let peer_at = (peer.host, peer.data_centre.unwrap());
-            let is_in_cell = sender.cells.are_in_same_cell(sender_at, peer_at) && number != host;
+            let sender_location = (sender.host, sender.data_centre);
+            let peer_location = (peer.host, peer.data_centre.unwrap());
+            let is_in_cell = sender
+                .cells
+                .are_in_same_cell(sender_location, peer_location)
+                && number != host;
             let is_up = fleet.hosts[number].is_up;
             assert!(!is_in_cell || peer.is_alive == is_up, "{host} of {number}");
         }
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -187,7 +187,7 @@
         now += retry_after;
         assert!(
             is_refused(quarantine.admit(REQUEST, "a", now)),
-            "an online request"
+            "an online request is still blocked"
         );
         assert_eq!(quarantine.admit_item(REQUEST, "a", now), Decision::Admit);
         quarantine.record_crash(REQUEST, crash(incarnation, SHORT_RUN, now));
--- a/crates/routing/tests/simulation/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CrashingOutcome {
     pub crashes: u32,
-    /// The longest time from the third crash until the request was sent again.
+    /// The longest time from the third crash to a send of the request.
     pub latest: Duration,
 }
 
@@ -76,7 +76,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    name: u128,
+    fingerprint: u128,
     host: usize,
     arrived_at: Duration,
     runs: u32,
@@ -105,7 +105,7 @@
     /// A host reports on a request once more.
     Report {
         from: usize,
-        name: u128,
+        fingerprint: u128,
     },
     ReportAll,
     Disturbance,
@@ -171,9 +171,9 @@
         self.start + self.now
     }
 
-    fn request(&mut self, name: u128, run: Duration, is_item: bool) -> Request {
+    fn request(&mut self, fingerprint: u128, run: Duration, is_item: bool) -> Request {
         Request {
-            name,
+            fingerprint,
             host: self.rng.random_range(0..self.hosts.len()),
             arrived_at: self.now,
             runs: 0,
@@ -183,10 +183,11 @@
         }
     }
 
-    fn broadcast(&mut self, from: usize, name: u128) {
-        let report = self.hosts[from]
-            .quarantine
-            .report(name, &from.to_string(), self.instant());
+    fn broadcast(&mut self, from: usize, fingerprint: u128) {
+        let report =
+            self.hosts[from]
+                .quarantine
+                .report(fingerprint, &from.to_string(), self.instant());
         let Some(report) = report else {
             return;
         };
@@ -262,7 +263,7 @@
                     .quarantine
                     .merge_report(&from.to_string(), &report, now);
             }
-            Event::Report { from, name } => self.broadcast(from, name),
+            Event::Report { from, fingerprint } => self.broadcast(from, fingerprint),
             Event::ReportAll => self.report_all(),
             Event::Disturbance => self.disturb(),
             Event::Reconnect(host) => self.hosts[host].is_partitioned = false,
@@ -275,11 +276,11 @@
         let (host, now) = (request.host, self.instant());
         let quarantine = &mut self.hosts[host].quarantine;
         let decision = match request.is_item {
-            true => quarantine.admit_item(request.name, &host.to_string(), now),
-            false => quarantine.admit(request.name, &host.to_string(), now),
+            true => quarantine.admit_item(request.fingerprint, &host.to_string(), now),
+            false => quarantine.admit(request.fingerprint, &host.to_string(), now),
         };
         if decision == Decision::Admit {
-            self.broadcast(host, request.name);
+            self.broadcast(host, request.fingerprint);
         }
         decision
     }
@@ -291,20 +292,23 @@
         let incarnation = self.incarnations;
         let quarantine = &mut self.hosts[request.host].quarantine;
         quarantine.record_crash(
-            request.name,
+            request.fingerprint,
             Crash {
                 incarnation,
                 run_time,
                 detected_at: at,
             },
         );
-        quarantine.end_run(request.name, &request.host.to_string());
-        if quarantine.crash_count(request.name) >= 3 {
-            self.saved = quarantine.report(request.name, "store", at);
+        quarantine.end_run(request.fingerprint, &request.host.to_string());
+        if quarantine.crash_count(request.fingerprint) >= 3 {
+            self.saved = quarantine.report(request.fingerprint, "store", at);
         }
-        self.broadcast(request.host, request.name);
-        let (from, name) = (request.host, request.name);
-        self.schedule(self.now + CRASH_RESEND_DELAY, Event::Report { from, name });
+        self.broadcast(request.host, request.fingerprint);
+        let (from, fingerprint) = (request.host, request.fingerprint);
+        self.schedule(
+            self.now + CRASH_RESEND_DELAY,
+            Event::Report { from, fingerprint },
+        );
     }
 
     fn retry(&mut self, request: Request) {
@@ -367,18 +371,18 @@
         /// Long enough for rare cases to occur.
         const DURATION: Duration = Duration::from_secs(600);
         let mut outcome = HealthyOutcome::default();
-        let mut name = 1_000;
+        let mut fingerprint = 1_000;
         let mut at = Duration::ZERO;
         while at < DURATION {
             self.now = at;
-            name += 1;
-            let is_item = name % 20 == 0;
-            let is_popular = name % 10 == 1;
+            fingerprint += 1;
+            let is_item = fingerprint % 20 == 0;
+            let is_popular = fingerprint % 10 == 1;
             let run = if is_item { ITEM_RUN } else { ONLINE_RUN };
             let content = if is_popular {
-                name / 10 % POPULAR
+                fingerprint / 10 % POPULAR
             } else {
-                name
+                fingerprint
             };
             let request = self.request(content, run, is_item);
             outcome.requests += u32::from(!is_item);
@@ -401,9 +405,9 @@
                 Some(Event::Success { request }) => {
                     let now = self.instant();
                     let quarantine = &mut self.hosts[request.host].quarantine;
-                    quarantine.end_run(request.name, &request.host.to_string());
-                    if quarantine.record_success(request.name, now) {
-                        self.broadcast(request.host, request.name);
+                    quarantine.end_run(request.fingerprint, &request.host.to_string());
+                    if quarantine.record_success(request.fingerprint, now) {
+                        self.broadcast(request.host, request.fingerprint);
                     }
                 }
                 _ => {}
@@ -442,8 +446,8 @@
         }
     }
 
-    /// Items resume after their last result; streams resume at another target, and are then
-    /// retried by their callers.
+    /// Items resume behind the output already produced; streams resume at another target and are
+    /// then retried by their callers.
     fn crash_healthy(&mut self, mut request: Request, started_at: Duration) {
         let run_time = self.now - started_at;
         self.record_crash(&request, run_time);
