--- a/crates/gateway/src/catalog/records.rs
+++ b/crates/gateway/src/catalog/records.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use notchwharf_proto::records;
-use notchwharf_routing::discovery::Availability;
+use notchwharf_routing::discovery::CallHistory;
 use notchwharf_routing::discovery::Difference;
 use notchwharf_routing::discovery::Evidence;
 use notchwharf_routing::discovery::Page;
@@ -45,7 +45,7 @@
     pub(crate) fn from_peer(message: &records::Reading, delay: Duration, now: Instant) -> Self {
         let at = |ago: Option<u64>| ago.and_then(|ago| now.checked_sub(ms(ago) + delay));
         let contact = |message: &records::Contact| {
-            Availability::from_peer(at(message.away_ms_ago), at(message.back_ms_ago))
+            CallHistory::from_peer(at(message.away_ms_ago), at(message.back_ms_ago))
         };
         Self {
             asked: at(message.age_ms),
@@ -138,7 +138,7 @@
         let known = lock(&self.known);
         let evidence = self.evidence(&known);
         let ago = |at: Option<Instant>| at.map(|at| millis(now.saturating_duration_since(at)));
-        let contact = |contact: &Availability| records::Contact {
+        let contact = |contact: &CallHistory| records::Contact {
             away_ms_ago: ago(contact.outage_at()),
             back_ms_ago: ago(contact.recovered_at()),
         };
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use notchwharf_routing::discovery::Availability;
+use notchwharf_routing::discovery::CallHistory;
 use notchwharf_routing::discovery::Evidence;
 use notchwharf_routing::discovery::Failure;
 
@@ -44,9 +44,9 @@
     lost_since: Option<Instant>,
     regained_at: Option<Instant>,
     /// How all calls have gone.
-    calls: Availability,
+    calls: CallHistory,
     /// How those have that read the entries of targets.
-    readings: Availability,
+    readings: CallHistory,
 }
 
 /// The newest record of each key.
--- a/crates/routing/src/discovery.rs
+++ b/crates/routing/src/discovery.rs
@@ -3,7 +3,7 @@
 //! Targets register themselves in the platform's store. When an entry is removed, its target
 //! is shutting down, and no request may reach it after a short drain time; but the entries
 //! of live targets also expire while the store is unavailable. [`TargetView`] distinguishes
-//! the two by evidence of outages ([`Availability`], [`Evidence`]), which is dated by when a
+//! the two by evidence of outages ([`CallHistory`], [`Evidence`]), which is dated by when a
 //! call was started and not by when its failure was detected.
 //!
 //! ```
@@ -30,7 +30,7 @@
 //! may concern something else, or be evidence of an outage long past), and probing the target
 //! (one that is shutting down answers like any other).
 
-mod availability;
+mod call_history;
 mod difference;
 mod record;
 
@@ -41,9 +41,9 @@
 
 use notchwharf_spread::changes::Changes;
 
-pub use self::availability::Availability;
-pub use self::availability::Evidence;
-pub use self::availability::Failure;
+pub use self::call_history::CallHistory;
+pub use self::call_history::Evidence;
+pub use self::call_history::Failure;
 pub use self::difference::Difference;
 pub use self::difference::Page;
 use self::difference::PartialListing;
--- a/crates/routing/src/discovery/availability.rs
+++ b/crates/routing/src/discovery/call_history.rs
@@ -1,4 +1,4 @@
-//! Availability of the store, derived from the outcomes of this host's calls.
+//! History of a host's calls of the store, from which outages of the store are derived.
 //!
 //! The time at which a failure is detected proves little: a call on a connection that has
 //! become unresponsive fails seconds later, and a kept connection may have been unresponsive
@@ -18,9 +18,9 @@
     Lost,
 }
 
-/// Outcomes of the calls of one kind, or of all calls.
+/// History of the calls of one kind, or of all calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Availability {
+pub struct CallHistory {
     last_response: Option<Instant>,
     /// When a call was lost, if none was answered since.
     lost_at: Option<Instant>,
@@ -28,8 +28,8 @@
     recovered_at: Option<Instant>,
 }
 
-impl Availability {
-    /// Returns the availability reported by another host.
+impl CallHistory {
+    /// Returns the history reported by another host.
     pub fn from_peer(outage_at: Option<Instant>, recovered_at: Option<Instant>) -> Self {
         Self {
             outage_at,
@@ -102,12 +102,12 @@
 /// Evidence of outages, by which missing entries are assessed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Outcomes of reads of targets' entries. An outage of the store may be limited to some
+    /// History of reads of targets' entries. An outage of the store may be limited to some
     /// topics.
-    pub reads: Availability,
-    /// Outcomes of all calls of the store. An outage may fall into the pause between two
+    pub reads: CallHistory,
+    /// History of all calls of the store. An outage may fall into the pause between two
     /// reads.
-    pub calls: Availability,
+    pub calls: CallHistory,
 }
 
 impl Evidence {
