--- a/crates/routing/src/cells.rs
+++ b/crates/routing/src/cells.rs
@@ -20,10 +20,10 @@
 //!
 //! Alternatives rejected: cells that span data centres, drawn by hash, each with a share of
 //! all targets (updates on four fifths of a cell's targets are as old as those from other
-//! cells here, shares differ by a seventh, and a full fleet has no capacity to spare);
+//! cells here, shares differ by a seventh, and a full fleet has no slots to spare);
 //! targets drawn for each host by rendezvous hashing (a host that uses 8 of 153 targets
-//! shares them with some 120 others); no updates on remote targets at all (where capacity is
-//! short, most guesses meet a full target).
+//! shares them with some 120 others); no updates on remote targets at all (where slots are
+//! scarce, most guesses meet a full target).
 
 use std::time::Duration;
 use std::time::Instant;
