--- a/crates/routing/tests/simulation/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Discrete-event simulation of a fleet whose hosts exchange quarantine reports.
-#![allow(unreachable_pub, reason = "A test module has no external users.")]
+//! Simulates in virtual time a fleet whose hosts send one another reports on suspects.
+#![allow(unreachable_pub, reason = "A test has no outside.")]
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,58 +16,58 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-/// Simulated time.
-const DURATION: Duration = Duration::from_secs(60);
-/// Time from a broken connection to the detection of the crash: a round trip to the target.
-const DETECTION_DELAY: Duration = Duration::from_millis(2);
-/// Range of the transit times between hosts.
-const TRANSIT_MS: std::ops::Range<f64> = 0.5..2.5;
-/// Time after which the report of a crash is repeated once.
-const REPEAT_DELAY: Duration = Duration::from_millis(50);
-/// Interval of periodic reports.
+/// Duration of a simulation.
+const SIMULATED: Duration = Duration::from_secs(60);
+/// Time from a failed run to the detection of the crash: a round trip to the target.
+const PROBE_TIME: Duration = Duration::from_millis(2);
+/// Range of message delays.
+const DELAY_MS: std::ops::Range<f64> = 0.5..2.5;
+/// Time after which a crash is reported once more.
+const CRASH_RESEND_DELAY: Duration = Duration::from_millis(50);
+/// Interval of the periodic reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which a waiting request is retried.
-const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time after which callers give up.
+/// Time after which a waiting request checks again.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which callers wait for a result.
 const DEADLINE: Duration = Duration::from_secs(5);
-/// Interval between injected faults.
-const FAULT_INTERVAL: Duration = Duration::from_secs(2);
-/// Duration of a network partition.
-const PARTITION_DURATION: Duration = Duration::from_secs(3);
-/// Interval in which a share of the targets crashes independently.
-const CRASH_INTERVAL: Duration = Duration::from_secs(3);
-/// Maximum runs per call and calls per request of online requests.
+/// Interval at which a host is partitioned or restarted.
+const DISTURBANCE_INTERVAL: Duration = Duration::from_secs(2);
+/// Duration of a partition.
+const PARTITION_TIME: Duration = Duration::from_secs(3);
+/// Time in which a share of the targets crashes, independently of one another.
+const CRASH_PERIOD: Duration = Duration::from_secs(3);
+/// Maximum number of runs per call of an online request, and of calls per request.
 const RUNS_MAX: u32 = 3;
 const CALLS_MAX: u32 = 2;
 const ONLINE_RUN: Duration = Duration::from_millis(700);
 const ITEM_RUN: Duration = Duration::from_secs(7);
-/// Number of popular requests, each with the same content; together five a second.
-const POPULAR_REQUESTS: u128 = 3;
+/// Number of popular requests: those with equal content arrive five times a second in total.
+const POPULAR: u128 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Disturbance {
     None,
-    /// One in ten datagrams is lost.
+    /// One datagram in ten is lost.
     Loss,
-    /// Hosts restart without state and receive reports from the others.
+    /// Hosts restart, lose their state and receive the reports of the others.
     Restarts,
-    /// All hosts restart at once in the middle of the simulation and load the saved state.
+    /// All hosts restart at once halfway through, and load the stored report.
     PowerLoss,
-    /// Hosts neither send nor receive datagrams.
+    /// Hosts are partitioned from all others.
     Partitions,
 }
 
-/// The outcome of a request that crashes targets.
+/// Outcome for a request that crashes targets.
 #[derive(Clone, Copy, Debug)]
-pub struct Crashing {
+pub struct CrashingOutcome {
     pub crashes: u32,
-    /// The longest time from the third crash to a later run.
+    /// The longest time from the third crash to a send of the request.
     pub latest: Duration,
 }
 
-/// The outcome of healthy requests.
+/// Outcome for healthy requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Healthy {
+pub struct HealthyOutcome {
     pub requests: u32,
     pub refused: u32,
     pub items: u32,
@@ -76,7 +76,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    id: u128,
+    fingerprint: u128,
     host: usize,
     arrived_at: Duration,
     runs: u32,
@@ -89,12 +89,12 @@
 #[derive(Clone, Debug)]
 enum Event {
     Arrive(Request),
-    /// The target crashes during the run.
+    /// The target of a run crashes.
     Crash {
         request: Request,
         started_at: Duration,
     },
-    Complete {
+    Success {
         request: Request,
     },
     Receive {
@@ -102,14 +102,14 @@
         from: usize,
         report: Box<Report>,
     },
-    /// A host repeats its report of a request.
-    RepeatReport {
+    /// A host reports on a request once more.
+    Report {
         from: usize,
-        id: u128,
+        fingerprint: u128,
     },
-    SendPeriodicReports,
-    InjectFault,
-    Heal(usize),
+    ReportAll,
+    Disturbance,
+    Reconnect(usize),
 }
 
 struct Host {
@@ -120,7 +120,7 @@
 pub struct Fleet {
     start: Instant,
     now: Duration,
-    fault: Fault,
+    disturbance: Disturbance,
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
@@ -130,7 +130,7 @@
 }
 
 impl Fleet {
-    pub fn new(hosts: usize, fault: Fault, seed: u64) -> Self {
+    pub fn new(hosts: usize, disturbance: Disturbance, seed: u64) -> Self {
         let host = || Host {
             quarantine: Quarantine::default(),
             is_partitioned: false,
@@ -138,7 +138,7 @@
         let mut fleet = Self {
             start: Instant::now(),
             now: Duration::ZERO,
-            fault,
+            disturbance,
             rng: ChaCha8Rng::seed_from_u64(seed),
             hosts: std::iter::repeat_with(host).take(hosts).collect(),
             queue: BinaryHeap::new(),
@@ -146,12 +146,12 @@
             incarnations: 0,
             saved: None,
         };
-        fleet.schedule(REPORT_INTERVAL, Event::SendPeriodicReports);
-        let first_fault = match fault {
-            Fault::PowerLoss => DURATION / 2,
-            _ => FAULT_INTERVAL,
+        fleet.schedule(REPORT_INTERVAL, Event::ReportAll);
+        let first = match disturbance {
+            Disturbance::PowerLoss => SIMULATED / 2,
+            _ => DISTURBANCE_INTERVAL,
         };
-        fleet.schedule(first_fault, Event::InjectFault);
+        fleet.schedule(first, Event::Disturbance);
         fleet
     }
 
@@ -161,7 +161,7 @@
         self.queue.push(Reverse((at, number)));
     }
 
-    fn next_event(&mut self) -> Option<Event> {
+    fn pop(&mut self) -> Option<Event> {
         let Reverse((at, number)) = self.queue.pop()?;
         self.now = at;
         self.events.remove(&number)
@@ -171,9 +171,9 @@
         self.start + self.now
     }
 
-    fn request(&mut self, id: u128, run: Duration, is_item: bool) -> Request {
+    fn request(&mut self, fingerprint: u128, run: Duration, is_item: bool) -> Request {
         Request {
-            id,
+            fingerprint,
             host: self.rng.random_range(0..self.hosts.len()),
             arrived_at: self.now,
             runs: 0,
@@ -183,10 +183,11 @@
         }
     }
 
-    fn broadcast_report(&mut self, from: usize, id: u128) {
-        let report = self.hosts[from]
-            .quarantine
-            .report(id, &from.to_string(), self.instant());
+    fn broadcast(&mut self, from: usize, fingerprint: u128) {
+        let report =
+            self.hosts[from]
+                .quarantine
+                .report(fingerprint, &from.to_string(), self.instant());
         let Some(report) = report else {
             return;
         };
@@ -196,17 +197,17 @@
     }
 
     fn send(&mut self, from: usize, to: usize, report: &Report) {
-        let is_lost = self.fault == Fault::Loss && self.rng.random_bool(0.1);
+        let is_lost = self.disturbance == Disturbance::Loss && self.rng.random_bool(0.1);
         if to == from || is_lost || self.hosts[from].is_partitioned || self.hosts[to].is_partitioned
         {
             return;
         }
-        let transit = Duration::from_secs_f64(self.rng.random_range(TRANSIT_MS) / 1e3);
+        let delay = Duration::from_secs_f64(self.rng.random_range(DELAY_MS) / 1e3);
         let report = Box::new(report.clone());
-        self.schedule(self.now + transit, Event::Receive { to, from, report });
+        self.schedule(self.now + delay, Event::Receive { to, from, report });
     }
 
-    fn send_periodic_reports(&mut self) {
+    fn report_all(&mut self) {
         for from in 0..self.hosts.len() {
             let reports = self.hosts[from]
                 .quarantine
@@ -218,23 +219,23 @@
                 }
             }
         }
-        self.schedule(self.now + REPORT_INTERVAL, Event::SendPeriodicReports);
+        self.schedule(self.now + REPORT_INTERVAL, Event::ReportAll);
     }
 
-    fn inject_fault(&mut self) {
+    fn disturb(&mut self) {
         let host = self.rng.random_range(0..self.hosts.len());
-        match self.fault {
-            Fault::None | Fault::Loss => return,
-            Fault::Restarts => {
+        match self.disturbance {
+            Disturbance::None | Disturbance::Loss => return,
+            Disturbance::Restarts => {
                 self.hosts[host].quarantine = Quarantine::default();
-                for by in 0..self.hosts.len() {
-                    let quarantine = &self.hosts[by].quarantine;
-                    for report in quarantine.periodic_reports(&by.to_string(), self.instant()) {
-                        self.send(by, host, &report);
+                for from in 0..self.hosts.len() {
+                    let quarantine = &self.hosts[from].quarantine;
+                    for report in quarantine.periodic_reports(&from.to_string(), self.instant()) {
+                        self.send(from, host, &report);
                     }
                 }
             }
-            Fault::PowerLoss => {
+            Disturbance::PowerLoss => {
                 let now = self.instant();
                 for host in &mut self.hosts {
                     host.quarantine = Quarantine::default();
@@ -245,15 +246,15 @@
                 }
                 return;
             }
-            Fault::Partitions => {
+            Disturbance::Partitions => {
                 self.hosts[host].is_partitioned = true;
-                self.schedule(self.now + PARTITION_DURATION, Event::Heal(host));
+                self.schedule(self.now + PARTITION_TIME, Event::Reconnect(host));
             }
         }
-        self.schedule(self.now + FAULT_INTERVAL, Event::InjectFault);
+        self.schedule(self.now + DISTURBANCE_INTERVAL, Event::Disturbance);
     }
 
-    /// Handles events that are independent of the kind of request; returns all others.
+    /// Handles the events that do not depend on the kind of request; returns any other.
     fn handle_common(&mut self, event: Event) -> Option<Event> {
         match event {
             Event::Receive { to, from, report } => {
@@ -262,10 +263,10 @@
                     .quarantine
                     .merge_report(&from.to_string(), &report, now);
             }
-            Event::RepeatReport { from, id } => self.broadcast_report(from, id),
-            Event::SendPeriodicReports => self.send_periodic_reports(),
-            Event::InjectFault => self.inject_fault(),
-            Event::Heal(host) => self.hosts[host].is_partitioned = false,
+            Event::Report { from, fingerprint } => self.broadcast(from, fingerprint),
+            Event::ReportAll => self.report_all(),
+            Event::Disturbance => self.disturb(),
+            Event::Reconnect(host) => self.hosts[host].is_partitioned = false,
             other => return Some(other),
         }
         None
@@ -274,49 +275,52 @@
     fn admit(&mut self, request: &Request) -> Decision {
         let (host, now) = (request.host, self.instant());
         let quarantine = &mut self.hosts[host].quarantine;
-        let verdict = match request.is_item {
-            true => quarantine.admit_item(request.id, &host.to_string(), now),
-            false => quarantine.admit(request.id, &host.to_string(), now),
+        let decision = match request.is_item {
+            true => quarantine.admit_item(request.fingerprint, &host.to_string(), now),
+            false => quarantine.admit(request.fingerprint, &host.to_string(), now),
         };
-        if verdict == Decision::Admit {
-            self.broadcast_report(host, request.id);
+        if decision == Decision::Admit {
+            self.broadcast(host, request.fingerprint);
         }
-        verdict
+        decision
     }
 
-    /// Records a crash at the host of a request and broadcasts it.
+    /// Records a crash at the host of a request, and reports it.
     fn record_crash(&mut self, request: &Request, run_time: Duration) {
         self.incarnations += 1;
         let at = self.instant();
         let incarnation = self.incarnations;
         let quarantine = &mut self.hosts[request.host].quarantine;
         quarantine.record_crash(
-            request.id,
+            request.fingerprint,
             Crash {
                 incarnation,
                 run_time,
                 detected_at: at,
             },
         );
-        quarantine.end_run(request.id, &request.host.to_string());
-        if quarantine.crash_count(request.id) >= 3 {
-            self.saved = quarantine.report(request.id, "store", at);
+        quarantine.end_run(request.fingerprint, &request.host.to_string());
+        if quarantine.crash_count(request.fingerprint) >= 3 {
+            self.saved = quarantine.report(request.fingerprint, "store", at);
         }
-        self.broadcast_report(request.host, request.id);
-        let (from, id) = (request.host, request.id);
-        self.schedule(self.now + REPEAT_DELAY, Event::RepeatReport { from, id });
+        self.broadcast(request.host, request.fingerprint);
+        let (from, fingerprint) = (request.host, request.fingerprint);
+        self.schedule(
+            self.now + CRASH_RESEND_DELAY,
+            Event::Report { from, fingerprint },
+        );
     }
 
     fn retry(&mut self, request: Request) {
         if self.now - request.arrived_at < DEADLINE {
-            self.schedule(self.now + RETRY_DELAY, Event::Arrive(request));
+            self.schedule(self.now + RECHECK_INTERVAL, Event::Arrive(request));
         }
     }
 
-    /// Simulates a request that crashes targets and arrives `rate` times a second on average.
-    pub fn simulate_crashing(mut self, rate: f64) -> Crashing {
+    /// Simulates a request that crashes targets and arrives `rate` times a second.
+    pub fn run_crashing(mut self, rate: f64) -> CrashingOutcome {
         let mut at = 0.0;
-        while at < DURATION.as_secs_f64() {
+        while at < SIMULATED.as_secs_f64() {
             at += -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
             self.now = Duration::from_secs_f64(at);
             let request = self.request(1, Duration::ZERO, false);
@@ -324,15 +328,15 @@
         }
         let mut crashed_at = Vec::new();
         let mut latest = Duration::ZERO;
-        while let Some(event) = self.next_event() {
-            if self.now > DURATION {
+        while let Some(event) = self.pop() {
+            if self.now > SIMULATED {
                 break;
             }
             match self.handle_common(event) {
                 Some(Event::Arrive(request)) => match self.admit(&request) {
                     Decision::Admit => {
-                        if let Some(third_crash) = crashed_at.get(2) {
-                            latest = latest.max(self.now.saturating_sub(*third_crash));
+                        if let Some(third) = crashed_at.get(2) {
+                            latest = latest.max(self.now.saturating_sub(*third));
                         }
                         let started_at = self.now;
                         let run_time = Duration::from_millis(self.rng.random_range(40..150));
@@ -352,42 +356,42 @@
                     started_at,
                 }) => {
                     let run_time = self.now - started_at;
-                    self.now += DETECTION_DELAY;
+                    self.now += PROBE_TIME;
                     self.record_crash(&request, run_time);
                 }
                 _ => {}
             }
         }
         let crashes = u32::try_from(crashed_at.len()).unwrap();
-        Crashing { crashes, latest }
+        CrashingOutcome { crashes, latest }
     }
 
     /// Simulates healthy requests while a share of the targets crashes repeatedly.
-    pub fn simulate_healthy(mut self, share: f64) -> Healthy {
+    pub fn run_healthy(mut self, share: f64) -> HealthyOutcome {
         /// Long enough for rare cases to occur.
-        const HEALTHY_DURATION: Duration = Duration::from_secs(600);
-        let mut outcome = Healthy::default();
-        let mut id = 1_000;
+        const DURATION: Duration = Duration::from_secs(600);
+        let mut outcome = HealthyOutcome::default();
+        let mut fingerprint = 1_000;
         let mut at = Duration::ZERO;
-        while at < HEALTHY_DURATION {
+        while at < DURATION {
             self.now = at;
-            id += 1;
-            let is_item = id % 20 == 0;
-            let is_popular = id % 10 == 1;
+            fingerprint += 1;
+            let is_item = fingerprint % 20 == 0;
+            let is_popular = fingerprint % 10 == 1;
             let run = if is_item { ITEM_RUN } else { ONLINE_RUN };
-            let content_id = if is_popular {
-                id / 10 % POPULAR_REQUESTS
+            let content = if is_popular {
+                fingerprint / 10 % POPULAR
             } else {
-                id
+                fingerprint
             };
-            let request = self.request(content_id, run, is_item);
+            let request = self.request(content, run, is_item);
             outcome.requests += u32::from(!is_item);
             outcome.items += u32::from(is_item);
             self.schedule(at, Event::Arrive(request));
             at += Duration::from_millis(20);
         }
-        while let Some(event) = self.next_event() {
-            if self.now > HEALTHY_DURATION {
+        while let Some(event) = self.pop() {
+            if self.now > DURATION {
                 break;
             }
             match self.handle_common(event) {
@@ -398,12 +402,12 @@
                 }) => {
                     self.crash_healthy(request, started_at);
                 }
-                Some(Event::Complete { request }) => {
+                Some(Event::Success { request }) => {
                     let now = self.instant();
                     let quarantine = &mut self.hosts[request.host].quarantine;
-                    quarantine.end_run(request.id, &request.host.to_string());
-                    if quarantine.record_success(request.id, now) {
-                        self.broadcast_report(request.host, request.id);
+                    quarantine.end_run(request.fingerprint, &request.host.to_string());
+                    if quarantine.record_success(request.fingerprint, now) {
+                        self.broadcast(request.host, request.fingerprint);
                     }
                 }
                 _ => {}
@@ -412,7 +416,7 @@
         outcome
     }
 
-    fn start_healthy(&mut self, request: Request, share: f64, outcome: &mut Healthy) {
+    fn start_healthy(&mut self, request: Request, share: f64, outcome: &mut HealthyOutcome) {
         match self.admit(&request) {
             Decision::Wait => return self.retry(request),
             Decision::Refuse { retry_after, .. } if request.is_item => {
@@ -426,9 +430,9 @@
             Decision::Admit => {}
         }
         let started_at = self.now;
-        let rate = share / CRASH_INTERVAL.as_secs_f64();
-        let crash = -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
-        let run_time = Duration::from_secs_f64(crash);
+        let rate = share / CRASH_PERIOD.as_secs_f64();
+        let time_to_crash_s = -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
+        let run_time = Duration::from_secs_f64(time_to_crash_s);
         if run_time < request.remaining {
             self.schedule(
                 started_at + run_time,
@@ -438,12 +442,12 @@
                 },
             );
         } else {
-            self.schedule(started_at + request.remaining, Event::Complete { request });
+            self.schedule(started_at + request.remaining, Event::Success { request });
         }
     }
 
-    /// Items resume from their progress. Online requests are run again on other targets, and then
-    /// called again by their callers.
+    /// Items resume behind the output already produced; streams resume at another target and are
+    /// then retried by their callers.
     fn crash_healthy(&mut self, mut request: Request, started_at: Duration) {
         let run_time = self.now - started_at;
         self.record_crash(&request, run_time);
