--- a/crates/waiting/benches/wait_queue.rs
+++ b/crates/waiting/benches/wait_queue.rs
@@ -1,5 +1,5 @@
-//! The decision whether a request may begin, and what is told of those that wait, against
-//! the number of workspaces that are known and of targets with room.
+//! Cost of deciding whether a request may start and of reporting waiting requests, by the
+//! number of known workspaces and of targets with free slots.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -22,21 +22,21 @@
 /// Other hosts of the data centre.
 const PEERS: u32 = 20;
 
-fn shares(workspaces: u32) -> SlotUsage {
-    let mut shares = SlotUsage::default();
+fn usage(workspaces: u32) -> SlotUsage {
+    let mut usage = SlotUsage::default();
     for workspace in 0..workspaces {
-        let held = vec![WorkspaceUsage {
+        let report = vec![WorkspaceUsage {
             workspace,
             weight: 10.0,
             slots: 1,
         }];
-        shares.update_peer(&format!("h{workspace}"), held);
+        usage.update_peer(&format!("h{workspace}"), report);
     }
-    shares
+    usage
 }
 
-fn line(now: Instant) -> WaitQueue {
-    let mut line = WaitQueue::default();
+fn queue(now: Instant) -> WaitQueue {
+    let mut queue = WaitQueue::default();
     for workspace in 0..WAITING {
         let request = Request {
             service: SERVICE,
@@ -45,46 +45,46 @@
             waiting_since: now,
             start_deadline: now + Duration::from_millis(200),
         };
-        line.enqueue(request, now);
+        queue.enqueue(request, now);
     }
-    let told = RequestSummary {
+    let waiting = RequestSummary {
         service: SERVICE,
         priority: 0,
         overuse_level: 0,
         age: Duration::from_millis(20),
     };
     for peer in 0..PEERS {
-        line.update_peer(&format!("h{peer}"), &[told; WAITING as usize], &[], now);
+        queue.update_peer(&format!("h{peer}"), &[waiting; WAITING as usize], &[], now);
     }
-    line
+    queue
 }
 
 fn may_start(c: &mut Criterion) {
-    let mut group = c.benchmark_group("may begin");
+    let mut group = c.benchmark_group("may start");
     for (workspaces, targets) in [(73, 15), (16_000, 153)] {
         let now = Instant::now();
-        let (mut line, shares) = (line(now), shares(workspaces));
-        let open: Vec<FreeSlots> = (0..targets)
+        let (mut queue, usage) = (queue(now), usage(workspaces));
+        let free: Vec<FreeSlots> = (0..targets)
             .map(|target| FreeSlots { target, count: 1 })
             .collect();
         let id = BenchmarkId::from_parameter(format!("{workspaces} workspaces, {targets} targets"));
         group.bench_function(id, |b| {
             b.iter(|| {
-                let first = line.first(SERVICE, &shares);
-                first.map(|first| line.may_start(black_box(&first), &open, 200.0, now))
+                let first = queue.first(SERVICE, &usage);
+                first.map(|first| queue.may_start(black_box(&first), &free, 200.0, now))
             });
         });
     }
     group.finish();
 }
 
-fn told(c: &mut Criterion) {
+fn report(c: &mut Criterion) {
     let now = Instant::now();
-    let (line, shares) = (line(now), shares(16_000));
-    c.bench_function("tell what waits", |b| {
-        b.iter(|| black_box(line.summary(&shares, now)));
+    let (queue, usage) = (queue(now), usage(16_000));
+    c.bench_function("report waiting requests", |b| {
+        b.iter(|| black_box(queue.summary(&usage, now)));
     });
 }
 
-criterion_group!(benches, may_start, told);
+criterion_group!(benches, may_start, report);
 criterion_main!(benches);
--- a/crates/waiting/src/lib.rs
+++ b/crates/waiting/src/lib.rs
@@ -1,12 +1,14 @@
-//! Online requests that wait at hosts for a place.
+//! Ordering of online requests that wait at hosts for a free target slot.
 //!
-//! A target takes requests in the order in which they come, and what waits there can go
-//! nowhere else. So a request waits at its host as long as no place is free, and begins
-//! at whichever target frees one first. All hosts of a data centre keep one [order]:
-//! by priority, then those whose workspaces exceed their part of the places after all
-//! others, then by age. A host whose request ends hands the place to whoever is first;
-//! whoever else sees a free place leaves it to as many requests of other hosts as come
-//! before its own.
+//! A target runs a limited number of requests at once; each unit of that limit is a slot. A
+//! target processes its queue in arrival order, and a request queued there cannot move to
+//! another target. Requests therefore wait at their host while all slots are in use, and
+//! start at whichever target frees a slot first. All hosts of a data centre apply the same
+//! [order]: by priority, then requests of workspaces that exceed their fair share of the
+//! slots after all others, then by age. The host whose request ends assigns the freed slot to
+//! the first request in that order and transfers it to a peer if the request waits there. Any
+//! other host that observes a free slot leaves as many slots as there are requests of other
+//! hosts ahead of its own.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -29,17 +31,17 @@
 //! assert_eq!(queue.may_start(&first, &free, 100.0, now), StartDecision::Any);
 //! ```
 //!
-//! What waits and what is held is told only while something waits, so in a calm hour it
-//! costs nothing.
+//! Hosts exchange waiting requests and slots in use only while some request waits, so an
+//! uncontended data centre has no overhead.
 //!
-//! Weighed: one host by target that hands its places out (a message there and back before
-//! each request, a death in the path); a request in the lines of two targets (it must be
-//! withdrawn from one, which costs a connection); fair queueing by virtual time (it needs
-//! one clock of service over all hosts; places held are told anyway).
+//! Alternatives rejected: one host per target that assigns its slots (a round trip before
+//! each request and a single point of failure), queueing a request at two targets (it must be
+//! withdrawn from one of them, which costs a connection), and fair queueing by virtual time
+//! (it needs a service clock shared by all hosts, whereas slots in use are exchanged anyway).
 //!
-//! Not ideal: the order holds among hosts that tell one another directly, those of a data
-//! centre. A request that excludes the only target with room holds up those behind it
-//! until it begins or is refused.
+//! Limitations: the order holds only among hosts that exchange messages directly, those of a
+//! data centre. A request that excludes the only target with a free slot blocks the requests
+//! behind it until it starts or is refused.
 //!
 //! [order]: Rank
 
@@ -64,17 +66,17 @@
 pub use self::usage::WorkspaceUsage;
 pub use self::wait_queue::WaitQueue;
 
-/// The short form of a service's name.
+/// Hash of a service's name.
 pub type ServiceKey = u32;
-/// The short form of a workspace's name.
+/// Hash of a workspace's name.
 pub type WorkspaceKey = u32;
-/// The short form of a target's name.
+/// Hash of a target's name.
 pub type TargetKey = u32;
-/// The name of a host.
+/// Name of a host.
 pub type HostId = String;
 
-/// Returns the short form of a service's or a workspace's name.
+/// Returns the hash of a service's or workspace's name.
 pub fn key(name: &str) -> u32 {
-    // The low half is as good a hash as the whole.
+    // The low half of an XXH3 hash is distributed as well as the whole.
     xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/waiting/src/request.rs
+++ b/crates/waiting/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests that wait, and what the line says of them.
+//! Waiting requests and the decisions about them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,99 +8,100 @@
 use crate::TargetKey;
 use crate::WorkspaceKey;
 
-/// The number of a request in its host's line.
+/// Number of a request in its host's wait queue.
 pub type Ticket = u64;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its service; those of one wait for those places only.
+    /// Its service; requests wait only for slots of their own service's targets.
     pub service: ServiceKey,
-    /// Whose it is.
+    /// Workspace that sent it.
     pub workspace: WorkspaceKey,
-    /// How urgent it is; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Since when it waits.
+    /// Time since which it has been waiting.
     pub waiting_since: Instant,
-    /// Until when it must begin to be served in time.
+    /// Latest start time that still meets the request's objective.
     pub start_deadline: Instant,
 }
 
-/// Where a request stands: less comes first.
+/// Position of a request in the order of all hosts; lower ranks start first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// How urgent it is.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// How far its workspace exceeds its part of the places.
+    /// How far its workspace exceeds its fair share of the slots, see
+    /// [`SlotUsage::overuse_level`](crate::SlotUsage::overuse_level).
     pub overuse_level: u8,
-    /// Since when it waits.
+    /// Time since which it has been waiting.
     pub waiting_since: Instant,
 }
 
-/// A request that waits at another host, as that tells it.
+/// A request that waits at another host, as reported by that host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSummary {
     /// Its service.
     pub service: ServiceKey,
-    /// How urgent it is.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// How far its workspace exceeds its part of the places.
+    /// How far its workspace exceeds its fair share of the slots.
     pub overuse_level: u8,
-    /// For how long it has waited.
+    /// Time for which it has been waiting.
     pub age: Duration,
 }
 
-/// The first request of a host's line.
+/// A request in a host's wait queue, with its rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// Its number.
+    /// Its number in the queue.
     pub ticket: Ticket,
     /// The request.
     pub request: Request,
-    /// Where it stands.
+    /// Its rank.
     pub rank: Rank,
-    /// Since when it stands there.
+    /// Time at which it was added to the queue.
     pub enqueued_at: Instant,
 }
 
-/// A target at which places are free of online requests, as far as known.
+/// Slots of a target not used by online requests, as far as this host knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreeSlots {
     /// The target.
     pub target: TargetKey,
-    /// How many places.
+    /// Number of free slots.
     pub count: u32,
 }
 
-/// Whether a request may take one of the places that are free.
+/// Whether a request may take a free slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartDecision {
-    /// It may, any.
+    /// It may take any free slot.
     Any,
-    /// It may take one at this target, which those before it have left.
+    /// It may only take a slot of this target, which the requests ahead have left unused.
     At(TargetKey),
-    /// It waits.
+    /// It keeps waiting.
     Wait,
 }
 
-/// When a request is expected to begin.
+/// When a waiting request is expected to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartEstimate {
-    /// Its number.
+    /// Its number in the queue.
     pub ticket: Ticket,
-    /// How many begin before it, over all hosts.
+    /// Number of requests, over all hosts, that start before it.
     pub ahead: u32,
-    /// How long it still waits.
+    /// Expected remaining wait.
     pub wait: Duration,
-    /// Whether it begins too late.
+    /// Whether it is unlikely to start by its deadline.
     pub is_late: bool,
 }
 
-/// Who takes a place that has fallen free at this host.
+/// The request to which a freed slot is assigned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Assignment {
-    /// This host's first request.
+    /// The first request of this host.
     Local(QueuedRequest),
-    /// A request of a peer, which is to be told.
+    /// The first request of a peer, which has to be notified.
     Peer(HostId),
 }
--- a/crates/waiting/src/retry.rs
+++ b/crates/waiting/src/retry.rs
@@ -1,36 +1,35 @@
-//! When those who were refused come back.
+//! Retry times of refused requests.
 //!
-//! Callers that are told the same time come back as the next burst, and those that come
-//! back while the line is as long as before are refused again. So each is told a turn: the
-//! line ahead drains first, and then they come one after the other, first refused, first
-//! back, as a part of what drains.
+//! Callers that receive the same retry time return as the next burst, and callers that return
+//! while the queue is as long as before are refused again. Retry times are therefore
+//! staggered: the requests already waiting start first, then refused callers return one after
+//! another in the order of their refusal, using a fraction of the slots that are freed.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Part of the places that fall free which those who come back may take: the other half is
-/// for those who come for the first time.
-const PART: f64 = 0.5;
+/// Fraction of freed slots available to returning callers; the rest is left to new requests.
+const RETRY_FRACTION: f64 = 0.5;
 
-/// Most time to a turn: most callers have gone by then, and a burst lasts some seconds.
-const TURN_MAX: Duration = Duration::from_secs(3);
+/// Longest retry time: bursts last a few seconds, and most callers give up after that.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(3);
 
-/// Least time to a turn: sooner costs a connection for a place in the same line.
-const TURN_MIN: Duration = Duration::from_millis(50);
+/// Shortest retry time: an earlier retry costs a connection and finds the same queue.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
-/// Least time between two turns, where nobody knows how fast places fall free.
-const GAP_MIN: Duration = Duration::from_millis(10);
+/// Shortest interval between two retry times, used while the drain rate is unknown.
+const RETRY_INTERVAL_MIN: Duration = Duration::from_millis(10);
 
-/// Turns that one host has given.
+/// Retry times issued by one host.
 #[derive(Clone, Debug, Default)]
 pub struct RetrySchedule {
-    last: Option<Instant>,
+    last_retry_at: Option<Instant>,
 }
 
 impl RetrySchedule {
-    /// Returns when a caller is to come back that was refused now: after `wait`, in which
-    /// those ahead begin, and after those who were refused before. `drain_per_s` places
-    /// fall free a second, for `hosts` hosts.
+    /// Returns the time after which a caller refused now should retry: after `wait`, within
+    /// which the requests ahead of it start, and after all callers refused before.
+    /// `drain_per_s` slots are freed per second and shared by `hosts` hosts.
     pub fn next_retry_after(
         &mut self,
         wait: Duration,
@@ -38,15 +37,15 @@
         hosts: u32,
         now: Instant,
     ) -> Duration {
-        let gap_s = f64::from(hosts.max(1)) / (drain_per_s * PART);
-        let gap = Duration::try_from_secs_f64(gap_s).unwrap_or(TURN_MAX);
-        let gap = gap.clamp(GAP_MIN, TURN_MAX);
-        let earliest = now + wait.clamp(TURN_MIN, TURN_MAX);
-        let turn = self
-            .last
-            .map_or(earliest, |last| (last + gap).max(earliest));
-        let turn = turn.min(now + TURN_MAX);
-        self.last = Some(turn);
-        turn.saturating_duration_since(now)
+        let interval_s = f64::from(hosts.max(1)) / (drain_per_s * RETRY_FRACTION);
+        let interval = Duration::try_from_secs_f64(interval_s).unwrap_or(RETRY_AFTER_MAX);
+        let interval = interval.clamp(RETRY_INTERVAL_MIN, RETRY_AFTER_MAX);
+        let earliest = now + wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
+        let retry_at = self
+            .last_retry_at
+            .map_or(earliest, |last| (last + interval).max(earliest));
+        let retry_at = retry_at.min(now + RETRY_AFTER_MAX);
+        self.last_retry_at = Some(retry_at);
+        retry_at.saturating_duration_since(now)
     }
 }
--- a/crates/waiting/src/usage.rs
+++ b/crates/waiting/src/usage.rs
@@ -1,178 +1,180 @@
-//! How many places each workspace holds, over the hosts that tell one another.
+//! Slots in use by each workspace, over all hosts that exchange their usage.
 //!
-//! Places held were chosen as what is shared out: callers take places from each other for
-//! as long as their requests run, however many these are. Requests or tokens served would
-//! have to be remembered over some time, which is a constant more, and a host that starts
-//! would know nothing of them.
+//! Fairness is measured by slots in use: callers compete for slots for as long as their
+//! requests run, however many requests there are. Measuring served requests or tokens was
+//! rejected because they have to be averaged over a period, which adds a parameter, and a
+//! host that has just started has no history of them.
 
 use std::collections::HashMap;
 
 use crate::HostId;
 use crate::WorkspaceKey;
 
-/// Workspaces of which a host tells how many places they hold, those with most: a host
-/// runs some ten requests at a time, and what one caller holds does not count.
-const TOLD_MAX: usize = 8;
+/// Number of workspaces reported to peers, those with the most slots: a host runs about ten
+/// requests at a time, and a single caller's usage does not affect the levels.
+const REPORTED_WORKSPACES_MAX: usize = 8;
 
-/// Places that a workspace may hold without being compared with others: what a single
-/// caller has under way at a time. Without it the second request of a small workspace would
-/// come after all of a large one.
-const FREE_PLACES: u32 = 2;
+/// Slots that a workspace may use without being compared with others: what a single caller
+/// has in flight. Without it, the second request of a small workspace would be ordered after
+/// all requests of a large one.
+const EXEMPT_SLOTS: u32 = 2;
 
-/// Times the usual share above which a workspace takes more than its part. Requests come in
-/// no even stream, and all whose part is about the same wait by age alone: then a request
-/// knows when it begins.
-const EXCESS: f64 = 1.25;
+/// Multiple of the average usage per weight above which a workspace exceeds its fair share.
+/// Requests do not arrive evenly; below this bound workspaces are ordered by age alone, which
+/// keeps start times predictable.
+const FAIR_SHARE_MARGIN: f64 = 1.25;
 
-/// Most levels: beyond, it does not matter any more by how much a part is exceeded.
-const LEVEL_MAX: u8 = 4;
+/// Highest overuse level; beyond it, the degree of overuse no longer matters.
+const OVERUSE_LEVEL_MAX: u8 = 4;
 
-/// Least weight of a workspace: one whose limit is zero or unsound must not divide by it.
+/// Smallest weight; avoids a division by zero for a workspace whose limit is zero or invalid.
 const WEIGHT_MIN: f64 = 0.1;
 
-/// Greatest weight: no fleet serves as many requests a second.
+/// Largest weight; no fleet serves as many requests per second.
 const WEIGHT_MAX: f64 = 1e6;
 
-/// Places that a workspace holds.
+/// Slots in use by a workspace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkspaceUsage {
     /// The workspace.
     pub workspace: WorkspaceKey,
-    /// What it may hold against others.
+    /// Weight of its fair share relative to other workspaces.
     pub weight: f64,
-    /// How many places it holds.
+    /// Number of slots in use.
     pub slots: u32,
 }
 
-/// What is known of one workspace.
+/// Usage of one workspace.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct Usage {
     weight: f64,
     own: u32,
-    others: u32,
+    peers: u32,
 }
 
-impl Known {
-    fn held(self) -> u32 {
-        self.own.saturating_add(self.others)
+impl Usage {
+    fn total(self) -> u32 {
+        self.own.saturating_add(self.peers)
     }
 }
 
-/// Places that workspaces hold.
+/// Slots in use by workspace.
 #[derive(Clone, Debug, Default)]
 pub struct SlotUsage {
-    known: HashMap<WorkspaceKey, Known>,
+    workspaces: HashMap<WorkspaceKey, Usage>,
     peers: HashMap<HostId, Vec<WorkspaceUsage>>,
-    /// The sum of places over all workspaces.
-    held: u64,
-    /// The sum of the weights of all that hold places.
-    weight: f64,
+    /// Slots in use over all workspaces.
+    total_slots: u64,
+    /// Sum of the weights of all workspaces that use slots.
+    total_weight: f64,
 }
 
 impl SlotUsage {
-    /// Counts a place that a request of this host takes.
+    /// Counts a slot taken by a request of this host.
     pub fn acquire(&mut self, workspace: WorkspaceKey, weight: f64) {
-        self.change(workspace, weight, |known| known.own += 1);
+        self.update(workspace, weight, |usage| usage.own += 1);
     }
 
     /// Counts the end of a request of this host.
     pub fn release(&mut self, workspace: WorkspaceKey) {
-        self.change(workspace, 0.0, |known| {
-            known.own = known.own.saturating_sub(1)
+        self.update(workspace, 0.0, |usage| {
+            usage.own = usage.own.saturating_sub(1)
         });
     }
 
-    /// Takes in what is held at a peer; it replaces what was known.
-    pub fn update_peer(&mut self, host: &str, held: Vec<WorkspaceUsage>) {
+    /// Replaces the usage reported by a peer.
+    pub fn update_peer(&mut self, host: &str, usage: Vec<WorkspaceUsage>) {
         self.remove_peer(host);
-        if held.is_empty() {
+        if usage.is_empty() {
             return;
         }
-        for one in &held {
-            self.change(one.workspace, one.weight, |known| {
-                known.others = known.others.saturating_add(one.slots);
+        for reported in &usage {
+            self.update(reported.workspace, reported.weight, |workspace| {
+                workspace.peers = workspace.peers.saturating_add(reported.slots);
             });
         }
-        self.peers.insert(host.to_owned(), held);
+        self.peers.insert(host.to_owned(), usage);
     }
 
-    /// Forgets a peer: it is down.
+    /// Removes a peer that is down.
     pub fn remove_peer(&mut self, host: &str) {
-        for one in self.peers.remove(host).unwrap_or_default() {
-            self.change(one.workspace, 0.0, |known| {
-                known.others = known.others.saturating_sub(one.slots);
+        for reported in self.peers.remove(host).unwrap_or_default() {
+            self.update(reported.workspace, 0.0, |usage| {
+                usage.peers = usage.peers.saturating_sub(reported.slots);
             });
         }
     }
 
-    /// Changes what is known of a workspace, and the sums with it. The weight counts if it
-    /// is not known.
-    fn change(&mut self, workspace: WorkspaceKey, weight: f64, change: impl FnOnce(&mut Known)) {
-        let known = self.known.entry(workspace).or_insert_with(|| Known {
-            weight: sound(weight),
-            ..Known::default()
+    /// Changes the usage of a workspace and updates the sums. `weight` applies only if the
+    /// workspace has none yet.
+    fn update(&mut self, workspace: WorkspaceKey, weight: f64, apply: impl FnOnce(&mut Usage)) {
+        let usage = self.workspaces.entry(workspace).or_insert_with(|| Usage {
+            weight: clamp_weight(weight),
+            ..Usage::default()
         });
-        let before = known.held();
-        change(known);
-        let (after, weight) = (known.held(), known.weight);
-        self.held = (self.held + u64::from(after)).saturating_sub(u64::from(before));
+        let before = usage.total();
+        apply(usage);
+        let (after, weight) = (usage.total(), usage.weight);
+        self.total_slots = (self.total_slots + u64::from(after)).saturating_sub(u64::from(before));
         match (before > 0, after > 0) {
-            (false, true) => self.weight += weight,
-            (true, false) => self.weight -= weight,
+            (false, true) => self.total_weight += weight,
+            (true, false) => self.total_weight -= weight,
             _ => {}
         }
         if after == 0 {
-            self.known.remove(&workspace);
+            self.workspaces.remove(&workspace);
         }
-        if self.known.is_empty() {
-            // What rounding has left over.
-            self.weight = 0.0;
+        if self.workspaces.is_empty() {
+            // Discards accumulated rounding errors.
+            self.total_weight = 0.0;
         }
     }
 
-    /// Returns how many places a workspace holds, as far as known.
+    /// Returns the number of slots known to be in use by a workspace.
     pub fn slots_in_use(&self, workspace: WorkspaceKey) -> u32 {
-        self.known.get(&workspace).map_or(0, |known| known.held())
+        self.workspaces
+            .get(&workspace)
+            .map_or(0, |usage| usage.total())
     }
 
-    /// Returns how far a workspace exceeds its part of all places that are held: 0 if it
-    /// does not, and one more with each doubling.
+    /// Returns how far a workspace exceeds its fair share of all slots in use: 0 if it does
+    /// not, and one more for each doubling.
     pub fn overuse_level(&self, workspace: WorkspaceKey) -> u8 {
-        let Some(known) = self.known.get(&workspace) else {
+        let Some(usage) = self.workspaces.get(&workspace) else {
             return 0;
         };
-        if known.held() <= FREE_PLACES || self.weight <= 0.0 {
+        if usage.total() <= EXEMPT_SLOTS || self.total_weight <= 0.0 {
             return 0;
         }
-        let usual = self.held as f64 / self.weight;
-        let times = f64::from(known.held()) / known.weight / usual;
+        let average = self.total_slots as f64 / self.total_weight;
+        let ratio = f64::from(usage.total()) / usage.weight / average;
         let mut level = 0;
-        let mut bound = EXCESS;
-        while times > bound && level < LEVEL_MAX {
+        let mut bound = FAIR_SHARE_MARGIN;
+        while ratio > bound && level < OVERUSE_LEVEL_MAX {
             level += 1;
             bound *= 2.0;
         }
         level
     }
 
-    /// Returns what this host tells its peers.
+    /// Returns the usage that this host reports to its peers.
     pub fn summary(&self) -> Vec<WorkspaceUsage> {
-        let own = self.known.iter().filter(|(_, known)| known.own > 0);
-        let mut held: Vec<WorkspaceUsage> = own
-            .map(|(workspace, known)| WorkspaceUsage {
+        let in_use = self.workspaces.iter().filter(|(_, usage)| usage.own > 0);
+        let mut summary: Vec<WorkspaceUsage> = in_use
+            .map(|(workspace, usage)| WorkspaceUsage {
                 workspace: *workspace,
-                weight: known.weight,
-                slots: known.own,
+                weight: usage.weight,
+                slots: usage.own,
             })
             .collect();
-        held.sort_unstable_by_key(|one| (u32::MAX - one.slots, one.workspace));
-        held.truncate(TOLD_MAX);
-        held
+        summary.sort_unstable_by_key(|usage| (u32::MAX - usage.slots, usage.workspace));
+        summary.truncate(REPORTED_WORKSPACES_MAX);
+        summary
     }
 }
 
-/// Returns a weight that can be divided by; no number is the least.
-fn sound(weight: f64) -> f64 {
+/// Returns a weight that is safe to divide by; NaN becomes the smallest weight.
+fn clamp_weight(weight: f64) -> f64 {
     if weight >= WEIGHT_MIN {
         weight.min(WEIGHT_MAX)
     } else {
--- a/crates/waiting/tests/order.rs
+++ b/crates/waiting/tests/order.rs
@@ -1,4 +1,4 @@
-//! The order of requests that wait, and what of it one host decides.
+//! Order of waiting requests, and the decisions one host derives from it.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use std::time::Duration;
@@ -32,7 +32,7 @@
     }
 }
 
-fn told(priority: u8, overuse_level: u8, age_ms: u32) -> RequestSummary {
+fn reported(priority: u8, overuse_level: u8, age_ms: u32) -> RequestSummary {
     RequestSummary {
         service: SERVICE,
         priority,
@@ -41,216 +41,224 @@
     }
 }
 
-fn open(places: u32) -> Vec<FreeSlots> {
+fn free(slots: u32) -> Vec<FreeSlots> {
     let one = FreeSlots {
         target: T1,
-        count: places,
+        count: slots,
     };
-    (places > 0).then_some(one).into_iter().collect()
+    (slots > 0).then_some(one).into_iter().collect()
 }
 
-/// Returns shares in which a workspace holds so many places, and others one each.
-fn holding(places: u32) -> SlotUsage {
-    let mut shares = SlotUsage::default();
-    (0..places).for_each(|_| shares.acquire(CHOIR, 10.0));
-    (100..120).for_each(|workspace| shares.acquire(workspace, 10.0));
-    shares
+/// Returns usage in which one workspace uses the given number of slots, and 20 others one
+/// each.
+fn usage_with(slots: u32) -> SlotUsage {
+    let mut usage = SlotUsage::default();
+    (0..slots).for_each(|_| usage.acquire(CHOIR, 10.0));
+    (100..120).for_each(|workspace| usage.acquire(workspace, 10.0));
+    usage
 }
 
 #[rstest]
-#[case::the_more_urgent_first((1, CHOIR, 9), (0, BAND, 0), 1)]
-#[case::then_who_does_not_exceed_its_part((0, CHOIR, 9), (0, BAND, 0), 1)]
-#[case::then_the_older((0, BAND, 0), (0, BAND, 9), 1)]
-#[case::urgency_before_parts((0, CHOIR, 0), (1, BAND, 9), 0)]
+#[case::higher_priority_first((1, CHOIR, 9), (0, BAND, 0), 1)]
+#[case::then_within_its_fair_share((0, CHOIR, 9), (0, BAND, 0), 1)]
+#[case::then_older((0, BAND, 0), (0, BAND, 9), 1)]
+#[case::priority_before_fair_share((0, CHOIR, 0), (1, BAND, 9), 0)]
 fn requests_are_ordered(
     #[case] one: (u8, u32, u32),
     #[case] other: (u8, u32, u32),
     #[case] first: usize,
 ) {
     let now = Instant::now();
-    let shares = holding(12);
-    let mut line = WaitQueue::default();
+    let usage = usage_with(12);
+    let mut queue = WaitQueue::default();
     let tickets = [one, other].map(|(priority, workspace, age_ms)| {
-        let since = now - age_ms * MS;
-        line.enqueue(request(workspace, priority, since), now)
+        let waiting_since = now - age_ms * MS;
+        queue.enqueue(request(workspace, priority, waiting_since), now)
     });
-    assert_eq!(line.first(SERVICE, &shares).unwrap().ticket, tickets[first]);
-    assert_eq!(line.first(SERVICE + 1, &shares), None);
+    assert_eq!(queue.first(SERVICE, &usage).unwrap().ticket, tickets[first]);
+    assert_eq!(queue.first(SERVICE + 1, &usage), None);
 }
 
 #[rstest]
-#[case::more_places_than_requests_before_it(3, &[5, 4], 5, StartDecision::Any)]
-#[case::as_many(2, &[5, 4], 5, StartDecision::Wait)]
-#[case::none(0, &[], 5, StartDecision::Wait)]
-#[case::younger_ones_do_not_count(1, &[1, 1], 5, StartDecision::Any)]
-#[case::not_known_to_others_yet(1, &[], 0, StartDecision::Wait)]
-#[case::room_for_all_that_may_come(8, &[], 0, StartDecision::Any)]
-fn a_place_is_left_to_those_before(
-    #[case] places: u32,
-    #[case] peers_ms: &[u32],
+#[case::more_slots_than_requests_ahead(3, &[5, 4], 5, StartDecision::Any)]
+#[case::as_many_slots_as_requests_ahead(2, &[5, 4], 5, StartDecision::Wait)]
+#[case::no_free_slot(0, &[], 5, StartDecision::Wait)]
+#[case::younger_requests_do_not_count(1, &[1, 1], 5, StartDecision::Any)]
+#[case::not_yet_known_to_other_hosts(1, &[], 0, StartDecision::Wait)]
+#[case::enough_slots_for_concurrent_requests(8, &[], 0, StartDecision::Any)]
+fn a_slot_is_left_to_requests_ahead(
+    #[case] slots: u32,
+    #[case] peer_ages_ms: &[u32],
     #[case] age_ms: u32,
-    #[case] begin: StartDecision,
+    #[case] decision: StartDecision,
 ) {
     let now = Instant::now();
-    let mut line = WaitQueue::default();
-    let entered = now - age_ms * MS;
-    line.enqueue(request(CHOIR, 0, now - 3 * MS), entered);
-    let peers: Vec<RequestSummary> = peers_ms.iter().map(|age| told(0, 0, *age)).collect();
-    line.update_peer("a2", &peers, &[], now);
-    let shares = SlotUsage::default();
-    let first = line.first(SERVICE, &shares).unwrap();
-    assert_eq!(line.may_start(&first, &open(places), 100.0, now), begin);
+    let mut queue = WaitQueue::default();
+    let enqueued_at = now - age_ms * MS;
+    queue.enqueue(request(CHOIR, 0, now - 3 * MS), enqueued_at);
+    let reports: Vec<RequestSummary> = peer_ages_ms
+        .iter()
+        .map(|age_ms| reported(0, 0, *age_ms))
+        .collect();
+    queue.update_peer("a2", &reports, &[], now);
+    let usage = SlotUsage::default();
+    let first = queue.first(SERVICE, &usage).unwrap();
+    assert_eq!(queue.may_start(&first, &free(slots), 100.0, now), decision);
 }
 
 #[test]
-fn a_place_that_nobody_takes_is_not_left_for_long() {
+fn an_unclaimed_slot_is_taken_after_a_timeout() {
     let now = Instant::now();
-    let mut line = WaitQueue::default();
-    line.enqueue(request(CHOIR, 0, now), now);
-    line.update_peer("a2", &[told(0, 0, 50)], &[], now);
-    let shares = SlotUsage::default();
-    let first = line.first(SERVICE, &shares).unwrap();
-    for (after_ms, begin) in [
+    let mut queue = WaitQueue::default();
+    queue.enqueue(request(CHOIR, 0, now), now);
+    queue.update_peer("a2", &[reported(0, 0, 50)], &[], now);
+    let usage = SlotUsage::default();
+    let first = queue.first(SERVICE, &usage).unwrap();
+    for (after_ms, decision) in [
         (0, StartDecision::Wait),
         (7, StartDecision::Wait),
         (8, StartDecision::At(T1)),
     ] {
         let at = now + after_ms * MS;
-        assert_eq!(line.may_start(&first, &open(1), 100.0, at), begin);
+        assert_eq!(queue.may_start(&first, &free(1), 100.0, at), decision);
     }
-    // Taken and free again, it is left anew.
+    // The wait starts anew once the slot has been in use in between.
     let later = now + 9 * MS;
     assert_eq!(
-        line.may_start(&first, &[], 100.0, later),
+        queue.may_start(&first, &[], 100.0, later),
         StartDecision::Wait
     );
     assert_eq!(
-        line.may_start(&first, &open(1), 100.0, later),
+        queue.may_start(&first, &free(1), 100.0, later),
         StartDecision::Wait
     );
 }
 
 #[test]
-fn who_frees_a_place_hands_it_to_the_first_over_all_hosts() {
+fn a_freed_slot_is_assigned_to_the_first_request_of_all_hosts() {
     let now = Instant::now();
-    let (mut line, shares) = (WaitQueue::default(), SlotUsage::default());
-    let ticket = line.enqueue(request(CHOIR, 0, now - 20 * MS), now);
-    line.update_peer("a2", &[told(0, 0, 40), told(0, 0, 10)], &[], now);
-    line.update_peer("a3", &[told(0, 0, 30)], &[], now);
-    let mut next = || line.assign_freed(SERVICE, T1, &shares, now).unwrap();
+    let (mut queue, usage) = (WaitQueue::default(), SlotUsage::default());
+    let ticket = queue.enqueue(request(CHOIR, 0, now - 20 * MS), now);
+    queue.update_peer("a2", &[reported(0, 0, 40), reported(0, 0, 10)], &[], now);
+    queue.update_peer("a3", &[reported(0, 0, 30)], &[], now);
+    let mut next = || queue.assign_freed(SERVICE, T1, &usage, now).unwrap();
     assert_eq!(next(), Assignment::Peer("a2".into()));
-    // What was handed over counts as served, though nobody has told so yet.
+    // A transferred slot counts as used although the peer has not reported it yet.
     assert_eq!(next(), Assignment::Peer("a3".into()));
     let Assignment::Local(first) = next() else {
-        panic!("It is this host's turn.");
+        panic!("This host's request ranks next.");
     };
     assert_eq!(first.ticket, ticket);
-    assert_eq!(line.recent_transfers(now), [T1]);
-    // The word was lost: after a moment it is handed over again.
+    assert_eq!(queue.recent_transfers(now), [T1]);
+    // The notification was lost: the slot is transferred again after a timeout.
     let later = now + 10 * MS;
     assert_eq!(
-        line.assign_freed(SERVICE, T1, &shares, later),
+        queue.assign_freed(SERVICE, T1, &usage, later),
         Some(Assignment::Peer("a2".into()))
     );
 }
 
 #[test]
-fn a_place_that_was_handed_over_is_not_free_for_others() {
+fn a_transferred_slot_is_not_free_for_other_hosts() {
     let now = Instant::now();
-    let (mut line, shares) = (WaitQueue::default(), SlotUsage::default());
-    line.enqueue(request(CHOIR, 0, now), now - 10 * MS);
-    let first = line.first(SERVICE, &shares).unwrap();
-    line.update_peer("a2", &[], &[T1], now);
+    let (mut queue, usage) = (WaitQueue::default(), SlotUsage::default());
+    queue.enqueue(request(CHOIR, 0, now), now - 10 * MS);
+    let first = queue.first(SERVICE, &usage).unwrap();
+    queue.update_peer("a2", &[], &[T1], now);
     assert_eq!(
-        line.may_start(&first, &open(1), 100.0, now),
+        queue.may_start(&first, &free(1), 100.0, now),
         StartDecision::Wait
     );
     let later = now + 7 * MS;
     assert_eq!(
-        line.may_start(&first, &open(1), 100.0, later),
+        queue.may_start(&first, &free(1), 100.0, later),
         StartDecision::Any
     );
-    // Handed over once more, though nobody looked at the line meanwhile.
-    line.update_peer("a2", &[], &[T1], later);
+    // A second transfer is recorded although the queue was not read in between.
+    queue.update_peer("a2", &[], &[T1], later);
     let again = later + 7 * MS;
-    line.update_peer("a2", &[], &[T1], again);
-    assert_eq!(line.reserved(T1, again), 1);
+    queue.update_peer("a2", &[], &[T1], again);
+    assert_eq!(queue.reserved(T1, again), 1);
 }
 
-/// A peer that is down, or says that nothing waits there, holds nobody up; what it told
-/// twice counts once.
+/// A peer that is down or reports no waiting requests delays nobody, and a repeated report
+/// counts once.
 #[test]
-fn what_a_peer_tells_replaces_what_it_told() {
+fn a_report_replaces_the_previous_one_of_the_peer() {
     let now = Instant::now();
-    let mut line = WaitQueue::default();
-    line.enqueue(request(CHOIR, 0, now), now - 10 * MS);
-    let shares = SlotUsage::default();
-    let first = line.first(SERVICE, &shares).unwrap();
-    let begin = |line: &mut WaitQueue| line.may_start(&first, &open(2), 100.0, now);
-    line.update_peer("a2", &[told(0, 0, 50)], &[], now);
-    line.update_peer("a2", &[told(0, 0, 50)], &[], now);
-    assert_eq!(begin(&mut line), StartDecision::Any);
-    line.update_peer("a2", &[told(0, 0, 50), told(0, 0, 40)], &[], now);
-    assert_eq!(begin(&mut line), StartDecision::Wait);
-    assert!(line.update_peer("a2", &[], &[], now));
-    assert_eq!(begin(&mut line), StartDecision::Any);
-    line.update_peer("a2", &[told(0, 0, 50), told(0, 0, 40)], &[], now);
-    line.remove_peer("a2");
-    assert_eq!(begin(&mut line), StartDecision::Any);
+    let mut queue = WaitQueue::default();
+    queue.enqueue(request(CHOIR, 0, now), now - 10 * MS);
+    let usage = SlotUsage::default();
+    let first = queue.first(SERVICE, &usage).unwrap();
+    let decision = |queue: &mut WaitQueue| queue.may_start(&first, &free(2), 100.0, now);
+    queue.update_peer("a2", &[reported(0, 0, 50)], &[], now);
+    queue.update_peer("a2", &[reported(0, 0, 50)], &[], now);
+    assert_eq!(decision(&mut queue), StartDecision::Any);
+    queue.update_peer("a2", &[reported(0, 0, 50), reported(0, 0, 40)], &[], now);
+    assert_eq!(decision(&mut queue), StartDecision::Wait);
+    assert!(queue.update_peer("a2", &[], &[], now));
+    assert_eq!(decision(&mut queue), StartDecision::Any);
+    queue.update_peer("a2", &[reported(0, 0, 50), reported(0, 0, 40)], &[], now);
+    queue.remove_peer("a2");
+    assert_eq!(decision(&mut queue), StartDecision::Any);
 }
 
 #[rstest]
 #[case::in_time(8, 0, false)]
-#[case::unlikely_and_told_at_once(25, 0, true)]
-#[case::let_in_and_still_in_time(15, 20, false)]
-#[case::its_time_is_over(0, 200, true)]
-fn what_cannot_begin_in_time_is_late(
-    #[case] before: usize,
+#[case::unlikely_when_new(25, 0, true)]
+#[case::queued_before_and_still_in_time(15, 20, false)]
+#[case::past_its_deadline(0, 200, true)]
+fn requests_that_cannot_start_in_time_are_late(
+    #[case] ahead: usize,
     #[case] waited_ms: u32,
     #[case] is_late: bool,
 ) {
-    let came = Instant::now();
-    let mut line = WaitQueue::default();
-    line.enqueue(request(CHOIR, 0, came), came);
-    line.update_peer("a2", &vec![told(0, 0, 50); before], &[], came);
-    let now = came + waited_ms * MS;
-    // Ten milliseconds for each place.
-    let expected = line.estimate_starts(SERVICE, 100.0, &SlotUsage::default(), now);
-    assert_eq!(expected[0].ahead as usize, before);
-    assert_eq!(expected[0].is_late, is_late);
+    let enqueued_at = Instant::now();
+    let mut queue = WaitQueue::default();
+    queue.enqueue(request(CHOIR, 0, enqueued_at), enqueued_at);
+    queue.update_peer("a2", &vec![reported(0, 0, 50); ahead], &[], enqueued_at);
+    let now = enqueued_at + waited_ms * MS;
+    // 10 ms per slot.
+    let estimates = queue.estimate_starts(SERVICE, 100.0, &SlotUsage::default(), now);
+    assert_eq!(estimates[0].ahead as usize, ahead);
+    assert_eq!(estimates[0].is_late, is_late);
 }
 
 #[rstest]
 #[case::zero(0.0)]
 #[case::negative(-5.0)]
-#[case::no_number(f64::NAN)]
+#[case::not_a_number(f64::NAN)]
 #[case::huge(f64::INFINITY)]
-fn unsound_weights_count_as_the_least_or_the_greatest(#[case] weight: f64) {
-    let mut shares = SlotUsage::default();
-    (0..5).for_each(|_| shares.acquire(CHOIR, weight));
-    shares.acquire(BAND, 10.0);
-    assert!(shares.overuse_level(CHOIR) <= 4);
-    assert_eq!(shares.overuse_level(BAND), 0);
-    (0..5).for_each(|_| shares.release(CHOIR));
-    // A workspace that is gone holds nothing, and what ends twice does no harm.
-    shares.release(CHOIR);
-    assert_eq!(shares.slots_in_use(CHOIR), 0);
-    assert_eq!(shares.overuse_level(CHOIR), 0);
+fn invalid_weights_are_clamped(#[case] weight: f64) {
+    let mut usage = SlotUsage::default();
+    (0..5).for_each(|_| usage.acquire(CHOIR, weight));
+    usage.acquire(BAND, 10.0);
+    assert!(usage.overuse_level(CHOIR) <= 4);
+    assert_eq!(usage.overuse_level(BAND), 0);
+    (0..5).for_each(|_| usage.release(CHOIR));
+    // A workspace without requests uses no slots, and an extra release is harmless.
+    usage.release(CHOIR);
+    assert_eq!(usage.slots_in_use(CHOIR), 0);
+    assert_eq!(usage.overuse_level(CHOIR), 0);
 }
 
 #[test]
-fn those_who_are_refused_come_back_one_after_the_other() {
+fn retry_times_are_staggered() {
     let now = Instant::now();
-    let mut turns = RetrySchedule::default();
+    let mut retries = RetrySchedule::default();
     let mut last = Duration::ZERO;
     for _ in 0..5 {
-        let turn = turns.next_retry_after(100 * MS, 160.0, 20, now);
-        assert!(turn >= 100 * MS && turn > last, "{turn:?}");
-        last = turn;
+        let retry_after = retries.next_retry_after(100 * MS, 160.0, 20, now);
+        assert!(
+            retry_after >= 100 * MS && retry_after > last,
+            "{retry_after:?}"
+        );
+        last = retry_after;
     }
-    // Ten hosts' worth of drain in 250 ms for each host: half of it for those who return.
+    // 20 hosts share 160 freed slots per second, half of them for retries: 250 ms between the
+    // retry times of one host.
     assert_eq!(last, 1_100 * MS);
-    // Nobody knows how fast places fall free: still not all at once.
+    // Retry times are staggered even while the drain rate is unknown.
     let mut unknown = RetrySchedule::default();
     let first = unknown.next_retry_after(Duration::ZERO, f64::INFINITY, 20, now);
     assert!(unknown.next_retry_after(Duration::ZERO, f64::INFINITY, 20, now) > first);
@@ -258,31 +266,32 @@
 }
 
 proptest! {
-    /// Whatever hosts tell in whatever order, the sums are those of their last words.
+    /// The sums equal those of the last report of each host, in whichever order reports
+    /// arrive.
     #[test]
-    fn places_held_add_up(words in prop::collection::vec((0u8..4, 0u32..5, 0u32..9), 0..60)) {
-        let mut shares = SlotUsage::default();
-        let mut last = [[0u32; 5]; 4];
-        for (host, workspace, places) in words {
+    fn slots_in_use_add_up(reports in prop::collection::vec((0u8..4, 0u32..5, 0u32..9), 0..60)) {
+        let mut usage = SlotUsage::default();
+        let mut latest = [[0u32; 5]; 4];
+        for (host, workspace, slots) in reports {
             let host = usize::from(host);
-            last[host] = [0; 5];
-            let mut held = Vec::new();
-            if places > 0 {
-                last[host][workspace as usize] = places;
-                held.push(WorkspaceUsage { workspace, weight: 2.0, slots: places });
+            latest[host] = [0; 5];
+            let mut report = Vec::new();
+            if slots > 0 {
+                latest[host][workspace as usize] = slots;
+                report.push(WorkspaceUsage { workspace, weight: 2.0, slots });
             }
-            shares.update_peer(&host.to_string(), held);
+            usage.update_peer(&host.to_string(), report);
         }
         for workspace in 0..5 {
-            let sum: u32 = last.iter().map(|held| held[workspace as usize]).sum();
-            prop_assert_eq!(shares.slots_in_use(workspace), sum);
+            let sum: u32 = latest.iter().map(|usage| usage[workspace as usize]).sum();
+            prop_assert_eq!(usage.slots_in_use(workspace), sum);
         }
         for host in 0..4 {
-            shares.remove_peer(&host.to_string());
+            usage.remove_peer(&host.to_string());
         }
         for workspace in 0..5 {
-            prop_assert_eq!(shares.slots_in_use(workspace), 0);
-            prop_assert_eq!(shares.overuse_level(workspace), 0);
+            prop_assert_eq!(usage.slots_in_use(workspace), 0);
+            prop_assert_eq!(usage.overuse_level(workspace), 0);
         }
     }
 }
--- a/crates/waiting/tests/simulation/mod.rs
+++ b/crates/waiting/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! The hosts and targets of a data centre in virtual time, the same for the same seed:
-//! hosts know what others run by news that is some milliseconds old, targets take requests
-//! in the order in which they come.
+//! Simulates the hosts and targets of a data centre in virtual time, deterministically for a
+//! seed. Hosts learn of one another's load from status messages that are a few milliseconds
+//! old; targets process requests in arrival order.
 #![allow(unreachable_pub, reason = "Private to the tests.")]
 
 use std::cmp::Reverse;
@@ -25,43 +25,44 @@
 use rand_chacha::ChaCha8Rng;
 
 pub const SECOND: u64 = 1_000_000;
-/// Places of a target.
-const SLOTS: usize = 8;
-/// How long a request runs.
+/// Slots of a target.
+const SLOTS_PER_TARGET: usize = 8;
+/// Running time of a request.
 const RUN_US: std::ops::Range<u64> = 450_000..950_000;
-/// How long news and words take, with the gap between two words of a host.
-const NEWS_US: std::ops::Range<u64> = 300..3_000;
-const WORD_US: std::ops::Range<u64> = 150..400;
-/// Time between two looks at a line.
-const LOOK_US: u64 = 4_000;
-/// Time to begin within: an objective of 300 ms, less the time to a first event.
-pub const BEGIN_MS: u64 = 260;
+/// Message delay of a status and of a transfer; the former includes the report interval.
+const STATUS_DELAY_US: std::ops::Range<u64> = 300..3_000;
+const TRANSFER_DELAY_US: std::ops::Range<u64> = 150..400;
+/// Interval at which a host checks its wait queue.
+const CHECK_INTERVAL_US: u64 = 4_000;
+/// Time within which requests must start: an objective of 300 ms less the time to the first
+/// event.
+pub const START_OBJECTIVE_MS: u64 = 260;
 const SERVICE: u32 = 1;
 
 /// Where requests wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// In the queues of targets, as far as they are expected to begin in time there.
+pub enum QueueLocation {
+    /// In the queues of targets, as long as they are expected to start there in time.
     Targets,
     /// At hosts.
     Hosts,
 }
 
-/// A workspace and what it sends.
+/// A workspace and its request rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender {
     pub weight: f64,
     pub per_s: f64,
 }
 
-/// What became of a workspace's requests.
+/// Outcomes of a workspace's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     pub sent: u32,
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
-    /// Refused later than 10 ms after they came.
+    /// Refused later than 10 ms after their arrival.
     pub refused_late: u32,
 }
 
@@ -74,8 +75,8 @@
         self.refused_late += other.refused_late;
     }
 
-    /// Returns the share of requests that began in time.
-    pub fn share(self) -> f64 {
+    /// Returns the fraction of requests that started in time.
+    pub fn in_time_fraction(self) -> f64 {
         f64::from(self.in_time) / f64::from(self.sent.max(1))
     }
 }
@@ -84,9 +85,9 @@
 enum Event {
     Arrive(usize),
     End(usize),
-    Look(usize),
-    News(usize, usize, usize),
-    Hand(usize, usize),
+    CheckQueue(usize),
+    Status(usize, usize, usize),
+    Transfer(usize, usize),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -94,98 +95,105 @@
     host: usize,
     workspace: usize,
     target: usize,
-    came_us: u64,
+    arrived_us: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct News {
+struct Status {
     loads: Vec<i32>,
     waiting: Vec<RequestSummary>,
-    held: Vec<WorkspaceUsage>,
-    handed: Vec<u32>,
+    usage: Vec<WorkspaceUsage>,
+    transfers: Vec<u32>,
 }
 
 struct Host {
-    own: Vec<i32>,
-    others: Vec<Vec<i32>>,
-    /// The number of the newest news of each.
-    heard: Vec<usize>,
-    line: WaitQueue,
-    shares: SlotUsage,
+    own_load: Vec<i32>,
+    peer_loads: Vec<Vec<i32>>,
+    /// Number of the newest status received from each host.
+    newest_status: Vec<usize>,
+    queue: WaitQueue,
+    usage: SlotUsage,
     waiting: HashMap<Ticket, (usize, u64)>,
     is_up: bool,
 }
 
 impl Host {
     fn load(&self, target: usize) -> i32 {
-        let others: i32 = self.others.iter().map(|loads| loads[target]).sum();
-        self.own[target] + others
+        let peers: i32 = self.peer_loads.iter().map(|loads| loads[target]).sum();
+        self.own_load[target] + peers
     }
 
-    fn room(&self, target: usize) -> usize {
-        SLOTS.saturating_sub(usize::try_from(self.load(target)).unwrap_or(0))
+    fn free_slots(&self, target: usize) -> usize {
+        SLOTS_PER_TARGET.saturating_sub(usize::try_from(self.load(target)).unwrap_or(0))
     }
 }
 
 /// A data centre.
 pub struct Fleet {
-    way: Way,
+    queue_location: QueueLocation,
     rng: ChaCha8Rng,
     start: Instant,
     now_us: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    count: u64,
+    event_count: u64,
     hosts: Vec<Host>,
     targets: Vec<(usize, VecDeque<usize>)>,
     runs: Vec<Run>,
-    news: Vec<News>,
+    statuses: Vec<Status>,
     senders: Vec<Sender>,
     pub outcomes: Vec<Outcome>,
 }
 
 impl Fleet {
-    pub fn new(way: Way, hosts: usize, targets: usize, senders: &[Sender], seed: u64) -> Self {
+    pub fn new(
+        queue_location: QueueLocation,
+        hosts: usize,
+        targets: usize,
+        senders: &[Sender],
+        seed: u64,
+    ) -> Self {
         let host = || Host {
-            own: vec![0; targets],
-            others: vec![vec![0; targets]; hosts],
-            heard: vec![0; hosts],
-            line: WaitQueue::default(),
-            shares: SlotUsage::default(),
+            own_load: vec![0; targets],
+            peer_loads: vec![vec![0; targets]; hosts],
+            newest_status: vec![0; hosts],
+            queue: WaitQueue::default(),
+            usage: SlotUsage::default(),
             waiting: HashMap::new(),
             is_up: true,
         };
         Self {
-            way,
+            queue_location,
             rng: ChaCha8Rng::seed_from_u64(seed),
             start: Instant::now(),
             now_us: 0,
             events: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             hosts: (0..hosts).map(|_| host()).collect(),
             targets: vec![(0, VecDeque::new()); targets],
             runs: Vec::new(),
-            news: Vec::new(),
+            statuses: Vec::new(),
             senders: senders.to_vec(),
             outcomes: vec![Outcome::default(); senders.len()],
         }
     }
 
     fn push(&mut self, at_us: u64, event: Event) {
-        self.count += 1;
-        self.events.push(Reverse((at_us, self.count, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at_us, self.event_count, event)));
     }
 
     fn now(&self) -> Instant {
         self.start + Duration::from_micros(self.now_us)
     }
 
-    /// Lets a workspace send for a time, `times` what it usually does.
-    pub fn send(&mut self, workspace: usize, span_us: std::ops::Range<u64>, times: f64) {
+    /// Lets a workspace send requests for a period, at its usual rate multiplied by
+    /// `load_factor`.
+    pub fn send(&mut self, workspace: usize, span_us: std::ops::Range<u64>, load_factor: f64) {
         let mut at_us = span_us.start;
-        let per_s = self.senders[workspace].per_s * times;
+        let per_s = self.senders[workspace].per_s * load_factor;
         loop {
-            let unit: f64 = self.rng.random_range(1e-9..1.0);
-            at_us += (-unit.ln() / per_s * SECOND as f64) as u64;
+            let uniform: f64 = self.rng.random_range(1e-9..1.0);
+            at_us += (-uniform.ln() / per_s * SECOND as f64) as u64;
             if at_us >= span_us.end {
                 return;
             }
@@ -193,7 +201,7 @@
         }
     }
 
-    /// Ends a host without a word: its requests are lost, and nobody hears of it.
+    /// Stops a host silently: its requests are lost, and no other host is notified.
     pub fn kill(&mut self, host: usize) {
         self.hosts[host].is_up = false;
     }
@@ -215,15 +223,15 @@
         match event {
             Event::Arrive(workspace) => self.arrive(workspace),
             Event::End(run) => self.end(run),
-            Event::Look(host) => {
-                self.serve(host);
-                self.refuse(host);
-                if !self.hosts[host].line.is_empty() {
-                    self.push(self.now_us + LOOK_US, Event::Look(host));
+            Event::CheckQueue(host) => {
+                self.start_waiting(host);
+                self.refuse_late(host);
+                if !self.hosts[host].queue.is_empty() {
+                    self.push(self.now_us + CHECK_INTERVAL_US, Event::CheckQueue(host));
                 }
             }
-            Event::News(to, from, number) => self.hear(to, from, number),
-            Event::Hand(host, target) => self.take_handed(host, target),
+            Event::Status(to, from, number) => self.receive_status(to, from, number),
+            Event::Transfer(host, target) => self.accept_transfer(host, target),
         }
     }
 
@@ -233,8 +241,8 @@
             .collect();
         let host = *up.choose(&mut self.rng).unwrap();
         self.outcomes[workspace].sent += 1;
-        if self.way == Way::Targets {
-            return self.join(host, workspace);
+        if self.queue_location == QueueLocation::Targets {
+            return self.send_to_target(host, workspace);
         }
         let now = self.now();
         let request = Request {
@@ -242,99 +250,101 @@
             workspace: workspace as u32,
             priority: 0,
             waiting_since: now,
-            start_deadline: now + Duration::from_millis(BEGIN_MS),
+            start_deadline: now + Duration::from_millis(START_OBJECTIVE_MS),
         };
-        let ticket = self.hosts[host].line.enqueue(request, now);
+        let ticket = self.hosts[host].queue.enqueue(request, now);
         self.hosts[host]
             .waiting
             .insert(ticket, (workspace, self.now_us));
-        self.serve(host);
-        self.refuse(host);
-        if !self.hosts[host].line.is_empty() {
-            self.tell(host);
-            self.push(self.now_us + LOOK_US, Event::Look(host));
+        self.start_waiting(host);
+        self.refuse_late(host);
+        if !self.hosts[host].queue.is_empty() {
+            self.report(host);
+            self.push(self.now_us + CHECK_INTERVAL_US, Event::CheckQueue(host));
         }
     }
 
-    /// Sends a request to the target with the shortest queue, as far as known.
-    fn join(&mut self, host: usize, workspace: usize) {
-        let draw = self.rng.random_range(0..self.targets.len());
-        let targets = (0..self.targets.len()).map(|i| (i + draw) % self.targets.len());
+    /// Sends a request to the target with the shortest known queue.
+    fn send_to_target(&mut self, host: usize, workspace: usize) {
+        let random = self.rng.random_range(0..self.targets.len());
+        let targets = (0..self.targets.len()).map(|i| (i + random) % self.targets.len());
         let target = targets.min_by_key(|t| self.hosts[host].load(*t)).unwrap();
-        let behind = (self.hosts[host].load(target) + 1 - SLOTS as i32).max(0);
-        if f64::from(behind) * 700.0 / SLOTS as f64 > BEGIN_MS as f64 {
+        let queued_before = (self.hosts[host].load(target) + 1 - SLOTS_PER_TARGET as i32).max(0);
+        if f64::from(queued_before) * 700.0 / SLOTS_PER_TARGET as f64 > START_OBJECTIVE_MS as f64 {
             self.outcomes[workspace].refused += 1;
             return;
         }
-        self.begin(host, workspace, target, self.now_us);
+        self.submit(host, workspace, target, self.now_us);
     }
 
     fn drain_per_s(&self) -> f64 {
-        // As hosts know it from requests that ran while places were free.
-        (self.targets.len() * SLOTS) as f64 / 0.6
+        // Drain rate as hosts measure it on requests that ran while slots were free.
+        (self.targets.len() * SLOTS_PER_TARGET) as f64 / 0.6
     }
 
-    fn serve(&mut self, host: usize) {
+    fn start_waiting(&mut self, host: usize) {
         loop {
             let now = self.now();
             let drain_per_s = self.drain_per_s();
             let targets = self.targets.len();
             let this = &mut self.hosts[host];
-            let Some(first) = this.line.first(SERVICE, &this.shares) else {
+            let Some(first) = this.queue.first(SERVICE, &this.usage) else {
                 return;
             };
-            let rooms = (0..targets).map(|target| FreeSlots {
+            let slots = (0..targets).map(|target| FreeSlots {
                 target: target as u32,
-                count: this.room(target) as u32,
+                count: this.free_slots(target) as u32,
             });
-            let open: Vec<FreeSlots> = rooms.filter(|open| open.count > 0).collect();
-            let target = match this.line.may_start(&first, &open, drain_per_s, now) {
+            let free: Vec<FreeSlots> = slots.filter(|slots| slots.count > 0).collect();
+            let target = match this.queue.may_start(&first, &free, drain_per_s, now) {
                 StartDecision::Any => {
-                    let draw = self.rng.random_range(0..open.len());
-                    let drawn = (0..open.len()).map(|i| open[(i + draw) % open.len()]);
-                    drawn.max_by_key(|open| open.count).unwrap().target as usize
+                    let random = self.rng.random_range(0..free.len());
+                    let rotated = (0..free.len()).map(|i| free[(i + random) % free.len()]);
+                    rotated.max_by_key(|slots| slots.count).unwrap().target as usize
                 }
                 StartDecision::At(target) => target as usize,
                 StartDecision::Wait => return,
             };
-            self.grant(host, first.ticket, target);
+            self.start_queued(host, first.ticket, target);
         }
     }
 
-    fn grant(&mut self, host: usize, ticket: Ticket, target: usize) {
+    fn start_queued(&mut self, host: usize, ticket: Ticket, target: usize) {
         let this = &mut self.hosts[host];
-        this.line.remove(ticket);
-        let (workspace, came_us) = this.waiting.remove(&ticket).unwrap();
+        this.queue.remove(ticket);
+        let (workspace, arrived_us) = this.waiting.remove(&ticket).unwrap();
         let weight = self.senders[workspace].weight;
-        this.shares.acquire(workspace as u32, weight);
-        self.begin(host, workspace, target, came_us);
+        this.usage.acquire(workspace as u32, weight);
+        self.submit(host, workspace, target, arrived_us);
     }
 
-    fn begin(&mut self, host: usize, workspace: usize, target: usize, came_us: u64) {
-        self.hosts[host].own[target] += 1;
+    fn submit(&mut self, host: usize, workspace: usize, target: usize, arrived_us: u64) {
+        self.hosts[host].own_load[target] += 1;
         self.runs.push(Run {
             host,
             workspace,
             target,
-            came_us,
+            arrived_us,
         });
         let run = self.runs.len() - 1;
         let (running, queue) = &mut self.targets[target];
-        if *running < SLOTS {
+        if *running < SLOTS_PER_TARGET {
             *running += 1;
             self.start(run);
         } else {
             queue.push_back(run);
         }
-        self.tell(host);
+        self.report(host);
     }
 
     fn start(&mut self, run: usize) {
         let Run {
-            workspace, came_us, ..
+            workspace,
+            arrived_us,
+            ..
         } = self.runs[run];
         let outcome = &mut self.outcomes[workspace];
-        match self.now_us - came_us <= BEGIN_MS * 1_000 {
+        match self.now_us - arrived_us <= START_OBJECTIVE_MS * 1_000 {
             true => outcome.in_time += 1,
             false => outcome.late += 1,
         }
@@ -359,92 +369,92 @@
         if !this.is_up {
             return;
         }
-        this.own[target] -= 1;
-        if self.way == Way::Hosts {
-            this.shares.release(workspace as u32);
-            if this.room(target) > 0 {
+        this.own_load[target] -= 1;
+        if self.queue_location == QueueLocation::Hosts {
+            this.usage.release(workspace as u32);
+            if this.free_slots(target) > 0 {
                 match this
-                    .line
-                    .assign_freed(SERVICE, target as u32, &this.shares, now)
+                    .queue
+                    .assign_freed(SERVICE, target as u32, &this.usage, now)
                 {
-                    Some(Assignment::Local(first)) => self.grant(host, first.ticket, target),
+                    Some(Assignment::Local(first)) => self.start_queued(host, first.ticket, target),
                     Some(Assignment::Peer(peer)) => {
-                        let at_us = self.now_us + self.rng.random_range(WORD_US);
-                        self.push(at_us, Event::Hand(peer.parse().unwrap(), target));
+                        let at_us = self.now_us + self.rng.random_range(TRANSFER_DELAY_US);
+                        self.push(at_us, Event::Transfer(peer.parse().unwrap(), target));
                     }
                     None => {}
                 }
             }
         }
-        self.tell(host);
+        self.report(host);
     }
 
-    fn take_handed(&mut self, host: usize, target: usize) {
+    fn accept_transfer(&mut self, host: usize, target: usize) {
         let this = &self.hosts[host];
-        if let (true, Some(first)) = (this.is_up, this.line.first(SERVICE, &this.shares)) {
-            self.grant(host, first.ticket, target);
+        if let (true, Some(first)) = (this.is_up, this.queue.first(SERVICE, &this.usage)) {
+            self.start_queued(host, first.ticket, target);
         }
     }
 
-    fn refuse(&mut self, host: usize) {
+    fn refuse_late(&mut self, host: usize) {
         let (now, drain_per_s) = (self.now(), self.drain_per_s());
         let this = &mut self.hosts[host];
-        let expected = this
-            .line
-            .estimate_starts(SERVICE, drain_per_s, &this.shares, now);
-        for late in expected.into_iter().filter(|e| e.is_late) {
-            this.line.remove(late.ticket);
-            let (workspace, came_us) = this.waiting.remove(&late.ticket).unwrap();
+        let estimates = this
+            .queue
+            .estimate_starts(SERVICE, drain_per_s, &this.usage, now);
+        for late in estimates.into_iter().filter(|e| e.is_late) {
+            this.queue.remove(late.ticket);
+            let (workspace, arrived_us) = this.waiting.remove(&late.ticket).unwrap();
             self.outcomes[workspace].refused += 1;
-            if self.now_us - came_us > 10_000 {
+            if self.now_us - arrived_us > 10_000 {
                 self.outcomes[workspace].refused_late += 1;
             }
         }
     }
 
-    fn tell(&mut self, host: usize) {
+    fn report(&mut self, host: usize) {
         let now = self.now();
         let this = &self.hosts[host];
-        let is_contended = this.line.is_contended();
-        let news = News {
-            loads: this.own.clone(),
-            waiting: this.line.summary(&this.shares, now),
-            handed: this.line.recent_transfers(now),
-            held: if is_contended {
-                this.shares.summary()
+        let is_contended = this.queue.is_contended();
+        let status = Status {
+            loads: this.own_load.clone(),
+            waiting: this.queue.summary(&this.usage, now),
+            transfers: this.queue.recent_transfers(now),
+            usage: if is_contended {
+                this.usage.summary()
             } else {
                 Vec::new()
             },
         };
-        self.news.push(news);
-        let number = self.news.len() - 1;
+        self.statuses.push(status);
+        let number = self.statuses.len() - 1;
         for to in 0..self.hosts.len() {
             if to != host {
-                let at_us = self.now_us + self.rng.random_range(NEWS_US);
-                self.push(at_us, Event::News(to, host, number));
+                let at_us = self.now_us + self.rng.random_range(STATUS_DELAY_US);
+                self.push(at_us, Event::Status(to, host, number));
             }
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize, number: usize) {
+    fn receive_status(&mut self, to: usize, from: usize, number: usize) {
         let now = self.now();
-        let News {
+        let Status {
             loads,
             waiting,
-            held,
-            handed,
-        } = self.news[number].clone();
+            usage,
+            transfers,
+        } = self.statuses[number].clone();
         let this = &mut self.hosts[to];
-        if number < this.heard[from] {
+        if number < this.newest_status[from] {
             return;
         }
-        this.heard[from] = number;
-        this.others[from] = loads;
+        this.newest_status[from] = number;
+        this.peer_loads[from] = loads;
         let name = from.to_string();
-        this.line.update_peer(&name, &waiting, &handed, now);
-        this.shares.update_peer(&name, held);
-        if !this.line.is_empty() {
-            self.serve(to);
+        this.queue.update_peer(&name, &waiting, &transfers, now);
+        this.usage.update_peer(&name, usage);
+        if !this.queue.is_empty() {
+            self.start_waiting(to);
         }
     }
 }
