--- a/crates/quota/benches/decide.rs
+++ b/crates/quota/benches/decide.rs
@@ -1,6 +1,4 @@
-//! What the decision costs from key to answer, in a configuration of 16,000 workspaces.
-//!
-//! Before there was none. Medians of one run on one core: see `docs/CAPACITY.md`.
+//! Cost of a decision, from API key to admission, in a configuration of 16,000 workspaces.
 
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/allowance.rs
@@ -1,33 +1,35 @@
-//! When buckets may begin with more than nothing.
+//! Rule for starting buckets with a startup allowance.
 //!
-//! A holder that starts does not know what the one before let in. It may have let in all
-//! that a window holds, so a bucket has to begin empty; then callers below their limits
-//! are refused just after all hosts have started. So a part of what limits may be exceeded
-//! by is kept out of the buckets, and a holder that knows nothing begins with that: as
-//! often as once a window and no oftener. That is what the store is asked for, in one
-//! record for each slot; while hosts run, nothing is written.
+//! A holder that starts does not know what its predecessor admitted, which may be all that a
+//! window permits, so its buckets have to start empty. Requests below their limits would then
+//! be refused right after all hosts have restarted. A fraction of the tolerated excess is
+//! therefore withheld from the buckets, and a holder without prior state starts with that
+//! allowance, at most once per window. The store records when it was last granted, in one
+//! record per holder slot; nothing is written in normal operation.
 //!
-//! Weighed: counts written behind (several calls a second, and what was let in since the
-//! last one is unknown all the same), reserving ahead (the same calls, and a store that is
-//! away stops requests), and a proof that no earlier holder lives (it says nothing of what
-//! that one let in). Figures are in `docs/design/start-limits.md`.
+//! Alternatives rejected: writing counts asynchronously (several store calls per second, and
+//! the requests admitted since the last write are unknown anyway), reserving tokens ahead (as
+//! many calls, and requests stop while the store is unavailable), and proving that no earlier
+//! holder is alive (which does not tell how much it admitted).
 
 use std::time::Duration;
 
-use crate::holder::ALLOWANCE_TIME;
+use crate::holder::ALLOWANCE_TTL;
 
-/// By how much the times of day of two hosts may differ, in steps of a clock that is set
-/// as well. The platform promises less; a wrong clock alone must not break a limit.
-const CLOCKS_APART_MAX: Duration = Duration::from_millis(2_500);
+/// Largest expected difference between the wall clocks of two hosts, including steps of a
+/// clock that is being adjusted. The platform promises less, but an incorrect clock alone
+/// must not exceed a limit.
+const CLOCK_SKEW_MAX: Duration = Duration::from_millis(2_500);
 
-/// Returns whether an allowance may be taken now that was last taken, or asked for, at a
-/// time of day; nothing if it never was. What parts bring late counts too.
+/// Returns whether the allowance may be granted now, given the wall-clock time at which it
+/// was last granted or requested; `None` if it never was. The period during which leases
+/// still add their allowance is taken into account.
 pub fn is_allowance_due(last_unix_ms: Option<u64>, now_unix_ms: u64, window: Duration) -> bool {
     let Some(last_unix_ms) = last_unix_ms else {
         return true;
     };
-    let least = window + ALLOWANCE_TIME + CLOCKS_APART_MAX;
-    // One that lies ahead was written by a host whose clock goes ahead.
-    let passed = now_unix_ms.checked_sub(last_unix_ms);
-    passed.is_some_and(|passed| Duration::from_millis(passed) >= least)
+    let min_elapsed = window + ALLOWANCE_TTL + CLOCK_SKEW_MAX;
+    // A time in the future was written by a host whose clock is ahead.
+    let elapsed = now_unix_ms.checked_sub(last_unix_ms);
+    elapsed.is_some_and(|elapsed| Duration::from_millis(elapsed) >= min_elapsed)
 }
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -1,57 +1,59 @@
-//! A host's own part: to whom it is lent, and until when.
+//! Lease of a host's own share: which holder has it, and until when.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::HostKey;
 
-/// The part of one host in one slot.
+/// A host's share of one holder slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Lender {
+pub(crate) struct Grantor {
     started: Instant,
-    lent: Option<(HostKey, Instant)>,
+    lease: Option<(HostKey, Instant)>,
 }
 
-impl Lender {
+impl Grantor {
     pub(crate) fn new(started: Instant) -> Self {
         Self {
             started,
-            lent: None,
+            lease: None,
         }
     }
 
-    /// Returns whether the part may be lent to a holder for a time. A host that has just
-    /// started may have lent it before: to a holder that says that it has it, or to one
-    /// whose time will be over when so much has passed. `is_free` says that all hosts have
-    /// been asked and none has it.
-    pub(crate) fn may_lend(
+    /// Returns whether the share may be leased to a holder. A host that has just restarted
+    /// may have leased it before: either to a holder that reports having it, or to one whose
+    /// lease expires within `duration` of the start. `is_unleased` states that all hosts have
+    /// been asked and none holds the share.
+    pub(crate) fn may_grant(
         &self,
         holder: HostKey,
         is_held: bool,
-        is_free: bool,
-        valid: Duration,
+        is_unleased: bool,
+        duration: Duration,
         now: Instant,
     ) -> bool {
-        match self.lent {
-            Some((lent_to, until)) if now < until => lent_to == holder,
+        match self.lease {
+            Some((leased_to, expires_at)) if now < expires_at => leased_to == holder,
             Some(_) => true,
-            None => is_held || is_free || now.saturating_duration_since(self.started) >= valid,
+            None => {
+                is_held || is_unleased || now.saturating_duration_since(self.started) >= duration
+            }
         }
     }
 
-    /// Lends the part. The time begins here no earlier than at the holder, which counts
-    /// from when it spoke.
-    pub(crate) fn lend(&mut self, holder: HostKey, valid: Duration, now: Instant) {
-        let until = now + valid;
-        let longest = self.lent.filter(|(lent_to, _)| *lent_to == holder);
-        let until = longest.map_or(until, |(_, before)| before.max(until));
-        self.lent = Some((holder, until));
+    /// Leases the share. The lease expires here no earlier than at the holder, which counts
+    /// from the time at which it sent its request.
+    pub(crate) fn grant(&mut self, holder: HostKey, duration: Duration, now: Instant) {
+        let expires_at = now + duration;
+        let current = self.lease.filter(|(leased_to, _)| *leased_to == holder);
+        let expires_at = current.map_or(expires_at, |(_, before)| before.max(expires_at));
+        self.lease = Some((holder, expires_at));
     }
 
-    /// Returns to whom the part is lent.
-    pub(crate) fn lent_to(&self, now: Instant) -> Option<HostKey> {
-        self.lent
-            .filter(|(_, until)| now < *until)
-            .map(|(holder, _)| holder)
+    /// Returns the holder of the current lease.
+    pub(crate) fn leased_to(&self, now: Instant) -> Option<HostKey> {
+        self.lease
+            .filter(|(_, expires_at)| now < *expires_at)
+            .map(|(leased_to, _)| leased_to)
     }
 }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,5 +1,4 @@
-//! What a host may let in for all others: the parts that were lent to it, and a bucket
-//! for each limited workspace.
+//! State of a holder: the shares leased to it, and a token bucket per limited workspace.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -11,266 +10,283 @@
 use crate::bucket::Bucket;
 use crate::limit::BucketParams;
 
-/// Time for which parts bring their allowance after it was asked for: a healthy store
-/// answers within some ten milliseconds, and parts come within three calls. Two that are
-/// asked for a window apart must not come closer by more than this.
-pub(crate) const ALLOWANCE_TIME: Duration = Duration::from_secs(1);
+/// Time after the allowance was requested during which leases still add theirs: a healthy
+/// store responds within about 10 ms, and leases arrive within three requests. Two allowances
+/// requested one window apart must not move closer together than this.
+pub(crate) const ALLOWANCE_TTL: Duration = Duration::from_secs(1);
 
-/// Time after the first part within which whoever would be refused is told to ask again:
-/// the other parts and the allowance mostly come within it.
-const PENDING: Duration = Duration::from_millis(200);
+/// Time after the first lease within which requests that would be refused are answered as
+/// unknown instead, so that they are retried: the other leases and the allowance usually
+/// arrive within it.
+const FILL_TIME: Duration = Duration::from_millis(200);
 
-/// What came of a request's question.
+/// Decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may go when so much time has passed.
+    /// The request may run after a delay.
     Admitted {
-        /// The time.
+        /// Time until the request may run.
         delay: Duration,
     },
     /// The limit is reached.
     Refused {
-        /// When there is room again.
+        /// Time until a token is available again.
         retry_after: Duration,
     },
-    /// No part is lent to the holder, or it knows of no such limit.
+    /// The holder has no leases, or does not know the workspace's limit.
     Unknown,
 }
 
-/// Part of a slot from which on its holder asks for the allowance: more than half, which
-/// two hosts cannot have at once.
-const SHARE_MIN: f64 = 0.6;
+/// Fraction of a slot above which its holder requests the allowance: more than half, which no
+/// two hosts can hold at the same time.
+const ALLOWANCE_SHARE_MIN: f64 = 0.6;
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    part: f64,
-    until: Instant,
+struct Lease {
+    share: f64,
+    expires_at: Instant,
 }
 
-/// The buckets of one slot. They are settled whenever the sum of parts changes: between
-/// two changes each fills evenly, however seldom it is looked at.
+/// Buckets of one holder slot. They are refilled whenever the total share changes, so each
+/// refills at a constant rate between two changes, however rarely it is used.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Holder {
-    parts: HashMap<HostKey, Part>,
-    /// The sum of the parts.
-    share: f64,
-    terms: HashMap<WorkspaceKey, BucketParams>,
+    leases: HashMap<HostKey, Lease>,
+    /// Sum of the leased shares.
+    total_share: f64,
+    limits: HashMap<WorkspaceKey, BucketParams>,
     buckets: HashMap<WorkspaceKey, Bucket>,
-    /// When the next part falls back.
-    next_end: Option<Instant>,
+    /// Expiry of the lease that ends next.
+    next_expiry: Option<Instant>,
     allowance: Allowance,
-    /// Until when it is worth a wait whether the allowance is given.
+    /// Time until which a refusal is reported as unknown because more tokens may still be
+    /// added.
     pending_until: Option<Instant>,
 }
 
-/// Whether the buckets of a holder that knows nothing of what went before may begin with
-/// the allowance.
+/// State of the allowance for buckets of a holder that does not know what was admitted
+/// before.
 #[derive(Clone, Debug, Default)]
 enum Allowance {
-    /// Nobody has asked for it.
+    /// It has not been requested.
     #[default]
-    Unasked,
-    /// It was asked for.
-    Query,
-    /// It was not given, or is over.
+    NotRequested,
+    /// It has been requested.
+    Requested,
+    /// It was denied, or its time is over.
     Closed,
-    /// Parts that come until then bring their allowance, each once.
+    /// Leases obtained until `until` add their allowance, each host's once.
     Open {
         until: Instant,
-        brought: HashSet<HostKey>,
+        added: HashSet<HostKey>,
     },
 }
 
 impl Holder {
-    /// Puts other limits in force. Buckets of the first limits begin empty: nobody knows
-    /// what went before. Later ones belong to limits that were not there before, under
-    /// which nothing is counted, and begin full.
-    pub(crate) fn set_limits(&mut self, terms: HashMap<WorkspaceKey, BucketParams>, now: Instant) {
-        self.settle(now);
-        let is_first = self.terms.is_empty();
-        self.terms = terms;
-        self.buckets.retain(|key, _| self.terms.contains_key(key));
-        for (key, terms) in &self.terms {
-            let capacity = terms.share(self.share).capacity;
-            let level = if is_first { 0.0 } else { capacity };
+    /// Replaces the limits. Buckets of the initial limits start empty because earlier
+    /// requests are unknown. Buckets added later belong to limits that did not exist before,
+    /// for which nothing was counted, and start full.
+    pub(crate) fn set_limits(&mut self, limits: HashMap<WorkspaceKey, BucketParams>, now: Instant) {
+        self.refill_buckets(now);
+        let is_first = self.limits.is_empty();
+        self.limits = limits;
+        self.buckets.retain(|key, _| self.limits.contains_key(key));
+        for (key, params) in &self.limits {
+            let capacity = params.scale(self.total_share).capacity;
+            let tokens = if is_first { 0.0 } else { capacity };
             let bucket = self.buckets.entry(*key);
-            let bucket = bucket.or_insert_with(|| Bucket::new(level, now));
-            bucket.fill(terms.share(self.share), now);
+            let bucket = bucket.or_insert_with(|| Bucket::new(tokens, now));
+            bucket.refill(params.scale(self.total_share), now);
         }
     }
 
-    /// Takes in that a host has lent its part until a time.
-    pub(crate) fn lent(&mut self, host: HostKey, part: f64, until: Instant, now: Instant) {
-        self.expire(now);
-        if until <= now {
+    /// Adds or extends the lease of a host's share.
+    pub(crate) fn add_lease(
+        &mut self,
+        host: HostKey,
+        share: f64,
+        expires_at: Instant,
+        now: Instant,
+    ) {
+        self.remove_expired(now);
+        if expires_at <= now {
             return;
         }
-        let before = self.parts.get(&host);
-        let is_change = before.is_none_or(|before| before.part != part);
-        if self.parts.is_empty() {
-            self.pending_until = Some(now + PENDING);
+        let previous = self.leases.get(&host);
+        let is_changed = previous.is_none_or(|previous| previous.share != share);
+        if self.leases.is_empty() {
+            self.pending_until = Some(now + FILL_TIME);
         }
-        let until = before.map_or(until, |before| before.until.max(until));
-        self.parts.insert(host, Part { part, until });
-        self.next_end = Some(self.next_end.map_or(until, |end| end.min(until)));
-        if is_change {
-            self.sum_up(now);
+        let expires_at =
+            previous.map_or(expires_at, |previous| previous.expires_at.max(expires_at));
+        self.leases.insert(host, Lease { share, expires_at });
+        self.next_expiry = Some(
+            self.next_expiry
+                .map_or(expires_at, |expiry| expiry.min(expires_at)),
+        );
+        if is_changed {
+            self.update_total_share(now);
         }
-        self.bring(now);
+        self.add_allowance(now);
     }
 
-    /// Returns whether the allowance should be asked for: nearly all of the slot is here,
-    /// so that no other host has as much, and nobody has asked since.
-    pub(crate) fn next_allowance_request(&self, whole: f64) -> bool {
-        let is_new = matches!(self.allowance, Allowance::Unasked);
-        is_new && self.has_limits() && self.share >= whole * SHARE_MIN
+    /// Returns whether the allowance should be requested: it has not been yet, and the holder
+    /// has so much of the slot that no other host has as much.
+    pub(crate) fn should_request_allowance(&self, slot_share: f64) -> bool {
+        let is_unrequested = matches!(self.allowance, Allowance::NotRequested);
+        is_unrequested && self.has_limits() && self.total_share >= slot_share * ALLOWANCE_SHARE_MIN
     }
 
-    /// Notes that the allowance is being asked for.
-    pub(crate) fn ask_allowance(&mut self) {
-        self.allowance = Allowance::Query;
+    /// Records that the allowance is being requested.
+    pub(crate) fn mark_allowance_requested(&mut self) {
+        self.allowance = Allowance::Requested;
     }
 
-    /// Notes that the allowance is not given.
+    /// Records that the allowance was denied.
     pub(crate) fn deny_allowance(&mut self) {
         self.allowance = Allowance::Closed;
     }
 
-    /// Returns whether more may come than what flows in.
-    fn is_pending(&self, now: Instant) -> bool {
+    /// Returns whether more tokens than the refill rate yields may still be added.
+    fn may_gain_tokens(&self, now: Instant) -> bool {
         let is_open = !matches!(self.allowance, Allowance::Closed);
         is_open && self.pending_until.is_some_and(|until| now < until)
     }
 
-    /// Takes the allowance: for the parts that are here, and for those to come. Its time
-    /// runs from when it was asked for, which the record says, and not from the store's
-    /// answer: that may be late, and the next one be given meanwhile.
-    pub(crate) fn grant_allowance(&mut self, asked: Instant, now: Instant) {
+    /// Grants the allowance, for current leases and those still to come. Its time starts when
+    /// it was requested, as recorded in the store, and not when the store responded: a late
+    /// response could otherwise overlap with the next allowance.
+    pub(crate) fn grant_allowance(&mut self, requested_at: Instant, now: Instant) {
         self.allowance = Allowance::Open {
-            until: asked + ALLOWANCE_TIME,
-            brought: HashSet::new(),
+            until: requested_at + ALLOWANCE_TTL,
+            added: HashSet::new(),
         };
-        self.bring(now);
+        self.add_allowance(now);
     }
 
-    /// Adds the allowance of parts that have not brought it yet.
-    fn bring(&mut self, now: Instant) {
-        let Allowance::Open { until, brought } = &mut self.allowance else {
+    /// Adds the allowance of leases that have not added theirs yet.
+    fn add_allowance(&mut self, now: Instant) {
+        let Allowance::Open { until, added } = &mut self.allowance else {
             return;
         };
         if now >= *until {
             self.allowance = Allowance::Closed;
             return;
         }
-        let new = self.parts.iter().filter(|(host, _)| brought.insert(**host));
-        let share: f64 = new.map(|(_, part)| part.part).sum();
-        if share <= 0.0 {
+        let new_leases = self.leases.iter().filter(|(host, _)| added.insert(**host));
+        let new_share: f64 = new_leases.map(|(_, lease)| lease.share).sum();
+        if new_share <= 0.0 {
             return;
         }
         for (key, bucket) in &mut self.buckets {
-            if let Some(terms) = self.terms.get(key) {
-                let allowance = terms.share(share).allowance;
-                bucket.add(allowance, terms.share(self.share));
+            if let Some(params) = self.limits.get(key) {
+                let allowance = params.scale(new_share).allowance;
+                bucket.add(allowance, params.scale(self.total_share));
             }
         }
     }
 
-    /// Gives back parts whose time is over.
-    pub(crate) fn expire(&mut self, now: Instant) {
-        if self.next_end.is_none_or(|end| now < end) {
+    /// Removes expired leases.
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
+        if self.next_expiry.is_none_or(|expiry| now < expiry) {
             return;
         }
-        let before = self.parts.len();
-        self.parts.retain(|_, part| now < part.until);
-        self.next_end = self.parts.values().map(|part| part.until).min();
-        if self.parts.len() < before {
-            self.sum_up(now);
+        let count_before = self.leases.len();
+        self.leases.retain(|_, lease| now < lease.expires_at);
+        self.next_expiry = self.leases.values().map(|lease| lease.expires_at).min();
+        if self.leases.len() < count_before {
+            self.update_total_share(now);
         }
     }
 
-    /// Lets all parts go.
-    pub(crate) fn let_go(&mut self, now: Instant) {
-        self.parts.clear();
-        self.next_end = None;
-        self.sum_up(now);
+    /// Releases all leases.
+    pub(crate) fn release_all(&mut self, now: Instant) {
+        self.leases.clear();
+        self.next_expiry = None;
+        self.update_total_share(now);
     }
 
-    /// Sums the parts up: buckets have filled by the share until now, and what they hold
-    /// beyond the new one runs over.
-    fn sum_up(&mut self, now: Instant) {
-        self.settle(now);
-        let sum: f64 = self.parts.values().map(|part| part.part).sum();
-        self.share = sum.min(1.0);
-        if self.parts.is_empty() {
-            // With the last part what was known of earlier requests is lost.
-            self.allowance = Allowance::Unasked;
+    /// Recalculates the total share. Buckets refill at the previous share until now; tokens
+    /// above the new capacity are discarded.
+    fn update_total_share(&mut self, now: Instant) {
+        self.refill_buckets(now);
+        let sum: f64 = self.leases.values().map(|lease| lease.share).sum();
+        self.total_share = sum.min(1.0);
+        if self.leases.is_empty() {
+            // Knowledge of earlier requests ends with the last lease.
+            self.allowance = Allowance::NotRequested;
         }
-        self.settle(now);
+        self.refill_buckets(now);
     }
 
-    fn settle(&mut self, now: Instant) {
+    fn refill_buckets(&mut self, now: Instant) {
         for (key, bucket) in &mut self.buckets {
-            if let Some(terms) = self.terms.get(key) {
-                bucket.fill(terms.share(self.share), now);
+            if let Some(params) = self.limits.get(key) {
+                bucket.refill(params.scale(self.total_share), now);
             }
         }
     }
 
-    /// Returns whether a host's part is here.
-    pub(crate) fn has(&self, host: HostKey, now: Instant) -> bool {
-        self.parts.get(&host).is_some_and(|part| now < part.until)
+    /// Returns whether a host's share is leased to this holder.
+    pub(crate) fn has_lease(&self, host: HostKey, now: Instant) -> bool {
+        self.leases
+            .get(&host)
+            .is_some_and(|lease| now < lease.expires_at)
     }
 
     /// Returns whether any workspace is limited.
     pub(crate) fn has_limits(&self) -> bool {
-        !self.terms.is_empty()
+        !self.limits.is_empty()
     }
 
-    /// Returns the sum of the parts that are here.
-    pub(crate) fn share(&self) -> f64 {
-        self.share
+    /// Returns the sum of the leased shares.
+    pub(crate) fn total_share(&self) -> f64 {
+        self.total_share
     }
 
-    /// Answers whether a request may go, now or within a time: one that comes a moment
-    /// before there is room is served in time all the same. Promises are made only for as
-    /// long as no part falls back, so that they are kept by what is held.
-    pub(crate) fn take(
+    /// Decides whether a request may run, now or within `max_delay`: a request that arrives
+    /// shortly before a token is available can still meet its objective. A delay never
+    /// extends beyond the next expiry of a lease, so that the leases held now cover it.
+    pub(crate) fn decide(
         &mut self,
         workspace: WorkspaceKey,
-        patience: Duration,
+        max_delay: Duration,
         now: Instant,
     ) -> Decision {
-        self.expire(now);
-        let certain = self.next_end.map(|end| end.saturating_duration_since(now));
-        let patience = patience.min(certain.unwrap_or_default());
-        let is_pending = self.is_pending(now);
-        let (Some(terms), Some(bucket)) =
-            (self.terms.get(&workspace), self.buckets.get_mut(&workspace))
-        else {
+        self.remove_expired(now);
+        let until_expiry = self
+            .next_expiry
+            .map(|expiry| expiry.saturating_duration_since(now));
+        let max_delay = max_delay.min(until_expiry.unwrap_or_default());
+        let may_gain_tokens = self.may_gain_tokens(now);
+        let (Some(params), Some(bucket)) = (
+            self.limits.get(&workspace),
+            self.buckets.get_mut(&workspace),
+        ) else {
             return Decision::Unknown;
         };
-        if self.share <= 0.0 {
+        if self.total_share <= 0.0 {
             return Decision::Unknown;
         }
-        let terms = terms.share(self.share);
-        bucket.fill(terms, now);
-        if let Some(delay) = bucket.take(terms, patience) {
+        let params = params.scale(self.total_share);
+        bucket.refill(params, now);
+        if let Some(delay) = bucket.try_take(params, max_delay) {
             return Decision::Admitted { delay };
         }
-        if is_pending {
+        if may_gain_tokens {
             return Decision::Unknown;
         }
         Decision::Refused {
-            retry_after: bucket.retry_after(terms, now),
+            retry_after: bucket.next_retry_after(params, now),
         }
     }
 
-    /// Takes back what a request took that did not go.
+    /// Returns the token of a request that was not run.
     pub(crate) fn refund(&mut self, workspace: WorkspaceKey, now: Instant) {
-        self.expire(now);
-        let terms = self.terms.get(&workspace);
-        if let (Some(terms), Some(bucket)) = (terms, self.buckets.get_mut(&workspace)) {
-            bucket.put_back(terms.share(self.share));
+        self.remove_expired(now);
+        let params = self.limits.get(&workspace);
+        if let (Some(params), Some(bucket)) = (params, self.buckets.get_mut(&workspace)) {
+            bucket.refund(params.scale(self.total_share));
         }
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,15 +1,17 @@
-//! How many requests workspaces may send over all hosts.
+//! Distributed rate limiter for the requests of workspaces, over all hosts.
 //!
-//! A limit is cut into as many parts as there are hosts. A host lends its part, for a
-//! time, to a holder; what was lent to a holder is the share of every limit by which it
-//! answers hosts that ask whether a request may go. Whoever is cut off from a holder
-//! takes its part along when the time is over, and lends it to a holder on its own side.
-//! So all holders together never have more than the whole, whatever is cut, paused or
-//! started again, and no clock is compared with another.
+//! Every host owns an equal share of each limit and leases it, for a limited time, to a
+//! *holder*. A holder keeps a token bucket per workspace, sized by the sum of the shares
+//! leased to it, and decides about requests on behalf of all hosts. When a network partition
+//! separates a host from its holder, the lease expires and the host leases its share to a
+//! holder on its own side. The holders therefore never have more than the whole limit between
+//! them, whatever partitions, pauses or restarts occur, and clocks of different hosts are
+//! never compared.
 //!
-//! The path of a request costs one question to another host and no more. There are
-//! [`HOLDER_SLOTS`] holders at a time with half of each part each: when one is gone, the other
-//! still lets in half of every limit until parts are lent anew.
+//! Deciding about a request costs at most one round trip to another host. There are
+//! [`HOLDER_SLOTS`] holders at a time, each of which receives an equal part of every share.
+//! If one fails, the other still admits half of each limit until the leases have been renewed
+//! elsewhere.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -22,7 +24,7 @@
 //! let choir = workspace_key("choir");
 //! let mut limiter = Limiter::new(1, 0, start);
 //! limiter.set_limits([(choir, BucketParams::new(limit, bounds))].into(), start);
-//! // A host that starts does not lend at once: it may have lent before.
+//! // A host that has just started grants no leases yet: it may have granted some before.
 //! let later = start + Duration::from_secs(4);
 //! let fleet = Fleet { members: &[1], is_complete: true, ..Fleet::default() };
 //! limiter.tick(&fleet, true, later);
@@ -32,8 +34,15 @@
 //! assert!(matches!(query, Query::Decided { decision: Decision::Admitted { .. }, .. }));
 //! ```
 //!
-//! Ways that were rejected, with figures, are in `docs/design/limits.md`: counts that
-//! hosts tell one another, and shares that follow demand.
+//! Alternatives rejected, with figures of the simulation in `examples/ways.rs`:
+//!
+//! - Gossiped counts, where each host subtracts the requests admitted elsewhere from a bucket
+//!   of the whole limit: hosts admit requests before they learn of others, so a flood over 12
+//!   hosts exceeded the bounds. Every host also reports to every other, which took 1.4 kB/s
+//!   per host at 12 hosts and 7.6 kB/s at 61; leased shares took at most 1.0 and 0.4 kB/s.
+//! - Shares that follow demand: the share of the receiving host is often too small. Of the
+//!   requests that a large workspace sent to all hosts at 0.9 times its limit, 19 % were
+//!   refused at 12 hosts and 60 % at 61; leased shares refused none.
 
 mod allowance;
 mod bucket;
@@ -55,24 +64,24 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The short form of a host's name.
+/// Hash of a host's name.
 pub type HostKey = u32;
-/// The short form of a workspace's name.
+/// Hash of a workspace's name.
 pub type WorkspaceKey = u64;
-/// The number of one of the holders that there are at a time.
+/// Index of a holder slot, the role of one of the concurrent holders.
 pub type HolderSlot = u8;
 
-/// Holders at a time. With one, its death stops every limited workspace for as long as
-/// parts are lent; with three, more is told than gained.
+/// Number of concurrent holders. With one, its failure stops all limited workspaces for the
+/// duration of a lease; with three, the additional messages outweigh the benefit.
 pub const HOLDER_SLOTS: usize = 2;
 
-/// Returns the short form of a host's name.
+/// Returns the hash of a host's name.
 pub fn host_key(name: &str) -> HostKey {
-    // Half of the hash's bits tell thousands of hosts apart.
+    // Half of the hash's bits are enough to distinguish thousands of hosts.
     (xxh3_64(name.as_bytes()) >> HostKey::BITS) as HostKey
 }
 
-/// Returns the short form of a workspace's name.
+/// Returns the hash of a workspace's name.
 pub fn workspace_key(name: &str) -> WorkspaceKey {
     xxh3_64(name.as_bytes())
 }
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -1,46 +1,48 @@
-//! What a limit comes to.
+//! Token bucket parameters that keep a limit within its bounds.
 
 use std::time::Duration;
 
 use notchwharf_config::access::RateLimit;
 
-/// By how much limits may be exceeded, as the platform states it: in no span of
-/// `window` more than (rate x window + burst) x (1 + excess) + slack.
+/// Tolerated excess of limits, as stated by the platform: no period of length `window`
+/// contains more than (rate x window + burst) x (1 + excess) + slack requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The span in which requests are counted.
+    /// Period over which requests are counted.
     pub window: Duration,
-    /// The part of a limit by which it may be exceeded.
+    /// Fraction by which a limit may be exceeded.
     pub excess: f64,
-    /// Requests beyond that.
+    /// Additional requests beyond that fraction.
     pub slack: f64,
 }
 
-/// Part of the slack that is kept for holders that have forgotten what was let in: some
-/// seconds of a small workspace, whose bucket fills by one request a second. A large one
-/// is let in again at its rate, and needs all else to come unevenly below its limit.
-const ALLOWANCE_PART: f64 = 0.3;
+/// Fraction of the slack reserved for the allowance of holders without prior state: a few
+/// seconds of a small workspace, whose bucket refills by one request per second. A large
+/// workspace is admitted at its refill rate again, and needs the rest of the slack for uneven
+/// arrivals below its limit.
+const ALLOWANCE_FRACTION: f64 = 0.3;
 
-/// A bucket that fills at a rate up to a capacity.
+/// Parameters of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BucketParams {
-    /// Requests a second.
+    /// Tokens added per second.
     pub refill_per_s: f64,
-    /// Requests that fit.
+    /// Maximum number of tokens.
     pub capacity: f64,
-    /// Requests with which a bucket begins whose holder does not know what went before,
-    /// if nobody else has begun so within a window.
+    /// Tokens with which a bucket starts if its holder does not know what was admitted
+    /// before, and no other holder has used the allowance within a window.
     pub allowance: f64,
 }
 
 impl BucketParams {
-    /// Returns the terms under which no span exceeds the bounds. A bucket lets in at
-    /// most its capacity and what flows in during a span, and one that takes its place
-    /// the allowance on top; the two share the burst, the excess and the slack.
+    /// Returns the parameters that keep every window within the bounds. A bucket admits at
+    /// most its capacity and the tokens added during the window, and a bucket that replaces
+    /// it admits the allowance in addition; the burst, the excess and the slack are divided
+    /// between the two.
     pub fn new(limit: RateLimit, bounds: Bounds) -> Self {
-        let owed = limit.per_s * bounds.window.as_secs_f64() + limit.burst;
-        let tolerance = owed * bounds.excess + bounds.slack;
-        let allowance = bounds.slack * ALLOWANCE_PART;
+        let nominal = limit.per_s * bounds.window.as_secs_f64() + limit.burst;
+        let tolerance = nominal * bounds.excess + bounds.slack;
+        let allowance = bounds.slack * ALLOWANCE_FRACTION;
         Self {
             refill_per_s: limit.per_s,
             capacity: limit.burst + tolerance - allowance,
@@ -48,8 +50,8 @@
         }
     }
 
-    /// Returns the terms of a share.
-    pub(crate) fn share(self, share: f64) -> Self {
+    /// Returns the parameters scaled to a share of the limit.
+    pub(crate) fn scale(self, share: f64) -> Self {
         Self {
             refill_per_s: self.refill_per_s * share,
             capacity: self.capacity * share,
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -1,4 +1,7 @@
-//! One host's part in all this: what it lends, what it holds, and what it asks.
+//! Rate limiter of one host: the leases it grants, the slots it holds, and its queries.
+//!
+//! It reads no clock and performs no I/O: times and messages are passed in, and the messages
+//! to send are returned.
 
 mod queries;
 
@@ -12,7 +15,7 @@
 use crate::HolderSlot;
 use crate::HostKey;
 use crate::WorkspaceKey;
-use crate::grantor::Lender;
+use crate::grantor::Grantor;
 use crate::holder::Decision;
 use crate::holder::Holder;
 use crate::limit::BucketParams;
@@ -20,136 +23,136 @@
 use crate::message::Message;
 use crate::message::millis;
 
-use self::queries::Open;
-
-/// Time between two calls of a holder to lend it parts, in a fleet of up to
-/// [`HOSTS_PER_CALL`] hosts. Each call costs a datagram to every host and one back, some
-/// 30 bytes. With 300 ms and four calls in the time for which parts are lent, hosts that
-/// all lost power refused limited workspaces for 1.9 s; that time is the least between
-/// their start and the first request that is let in.
-const CALL_GAP: Duration = Duration::from_millis(200);
-/// Hosts up to which the time between two calls does not grow: a holder sends as many
-/// datagrams a second however large the fleet is.
-const HOSTS_PER_CALL: usize = 100;
-/// Time after its start for which a host calls three times as often, and asks who has
-/// its parts: when all hosts start together, limited workspaces wait for that.
-const STARTING: Duration = Duration::from_secs(3);
-/// Time between two times that a host asks who has its parts: many times the way between
-/// data centres, a tenth of the time for which parts are lent.
-const ASK_GAP: Duration = Duration::from_millis(60);
-/// Calls of a host that has just started in the time of one later.
-const CALLS_STARTING: u32 = 3;
-/// Time after its start for which a host calls at each tick until it has most parts: each
-/// of the others lends as soon as it knows that its part is free.
-const GATHERING: Duration = Duration::from_secs(1);
-/// Part of a slot that counts as most of it.
-const GATHERED_MIN: f64 = 0.9;
-/// Calls within the time for which a part is lent: two may be lost in a row.
-const CALLS_VALID: u32 = 3;
-
-/// One of the holders' places, as this host sees it.
+use self::queries::PendingQuery;
+
+/// Interval at which a holder requests leases, in a fleet of up to [`HOSTS_PER_INTERVAL`]
+/// hosts. Each request costs one datagram of about 30 bytes to every host and one back. With
+/// 300 ms and four requests per lease, a fleet that lost power refused requests of limited
+/// workspaces for 1.9 s after its restart; the lease duration is the minimum for that time.
+const LEASE_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of hosts up to which the interval is constant. Above it the interval grows with the
+/// fleet, so that a holder's datagram rate does not.
+const HOSTS_PER_INTERVAL: usize = 100;
+/// Time after its start during which a host requests leases three times as often and asks
+/// which hosts hold its shares: when all hosts start together, limited workspaces wait for
+/// this.
+const STARTUP_TIME: Duration = Duration::from_secs(3);
+/// Interval at which a host asks which hosts hold its shares: many times the message delay
+/// between data centres, a tenth of the lease duration.
+const HELD_QUERY_INTERVAL: Duration = Duration::from_millis(60);
+/// Factor by which a host that has just started requests leases more often.
+const STARTUP_INTERVAL_DIVISOR: u32 = 3;
+/// Time after its start during which a host requests leases at every tick until it holds most
+/// shares: each host grants its lease as soon as it knows that its share is not leased.
+const GATHER_TIME: Duration = Duration::from_secs(1);
+/// Fraction of a slot that counts as most of it.
+const GATHERED_FRACTION: f64 = 0.9;
+/// Requests per lease duration; tolerates the loss of two in a row.
+const REQUESTS_PER_LEASE: u32 = 3;
+
+/// A holder slot as seen by this host.
 #[derive(Debug)]
 struct Slot {
     holder: Holder,
-    lender: Lender,
-    /// Holders that called, with how long each call counts.
-    callers: HashMap<HostKey, Instant>,
+    grantor: Grantor,
+    /// Hosts that requested leases as the holder, and the expiry of each request.
+    requesters: HashMap<HostKey, Instant>,
 }
 
-/// The hosts of the fleet, as one host knows them.
+/// The hosts of the fleet as known to one host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fleet<'a> {
-    /// Other hosts that could hold a slot, as far as this one hears them.
+    /// Other hosts that are reachable and could hold a slot.
     pub holder_candidates: &'a [HostKey],
     /// All hosts.
     pub members: &'a [HostKey],
-    /// Those of them that have been silent for so long that they hold nothing any more.
+    /// Members that have been silent for so long that their leases have expired.
     pub expired: &'a [HostKey],
-    /// Whether no host can be missing from `members`.
+    /// Whether `members` is certain to contain all hosts.
     pub is_complete: bool,
 }
 
-/// One host.
+/// Rate limiter of one host.
 #[derive(Debug)]
 pub struct Limiter {
     own: HostKey,
     started: Instant,
     slots: [Slot; HOLDER_SLOTS],
-    /// The hosts of the fleet, with this one, as its own list has them.
+    /// Number of hosts in this host's own list, itself included.
     hosts: u32,
-    /// Whether that list is whole.
-    is_list_whole: bool,
-    /// The hosts of the fleet as the last holder that called had them.
-    hosts_told: Option<u32>,
-    /// The other hosts that could hold a slot.
-    alive: Vec<HostKey>,
-    /// What other hosts have said that they hold of this one's parts, since it started.
-    held_at: HashMap<HostKey, u8>,
-    /// Whether all hosts of the fleet have said so.
-    is_known_where: bool,
-    /// What stamps begin at: another number at each start, so that none of an earlier
-    /// start is taken for one of this.
-    first_stamp_ms: u64,
-    called: Option<Instant>,
-    asked_where: Option<Instant>,
-    /// How long parts are lent, and the stamp of the first call that said so.
-    valid: (Duration, u64),
-    open: HashMap<u32, Open>,
+    /// Whether that list is complete.
+    is_list_complete: bool,
+    /// Number of hosts reported by the last holder that requested a lease.
+    reported_hosts: Option<u32>,
+    /// Other hosts that could hold a slot.
+    holder_candidates: Vec<HostKey>,
+    /// Leases of this host's shares reported by other hosts since its start, as slot bits.
+    held_by: HashMap<HostKey, u8>,
+    /// Whether all hosts of the fleet have reported.
+    is_held_known: bool,
+    /// Base of timestamps, random at each start so that none from before a restart is
+    /// mistaken for a current one.
+    stamp_base_ms: u64,
+    requested_at: Option<Instant>,
+    held_asked_at: Option<Instant>,
+    /// Lease duration, and the timestamp of the first request that stated it.
+    lease_duration: (Duration, u64),
+    pending: HashMap<u32, PendingQuery>,
     next_number: u32,
-    /// Slots by which requests were let in, to give back.
-    given: HashMap<u32, (usize, WorkspaceKey)>,
+    /// Slots that admitted a request, for refunds.
+    admitted: HashMap<u32, (usize, WorkspaceKey)>,
 }
 
 impl Limiter {
-    /// Returns a host that has just started.
-    /// `drawn` is another number at each start.
-    pub fn new(own: HostKey, drawn: u32, now: Instant) -> Self {
+    /// Returns the limiter of a host that has just started. `stamp_base` must be random for
+    /// each start.
+    pub fn new(own: HostKey, stamp_base: u32, now: Instant) -> Self {
         let slot = || Slot {
             holder: Holder::default(),
-            lender: Lender::new(now),
-            callers: HashMap::new(),
+            grantor: Grantor::new(now),
+            requesters: HashMap::new(),
         };
         Self {
             own,
             started: now,
             slots: std::array::from_fn(|_| slot()),
             hosts: 1,
-            is_list_whole: false,
-            hosts_told: None,
-            alive: Vec::new(),
-            held_at: HashMap::new(),
-            is_known_where: false,
-            first_stamp_ms: drawn.into(),
-            called: None,
-            asked_where: None,
-            valid: (Duration::ZERO, 0),
-            open: HashMap::new(),
+            is_list_complete: false,
+            reported_hosts: None,
+            holder_candidates: Vec::new(),
+            held_by: HashMap::new(),
+            is_held_known: false,
+            stamp_base_ms: stamp_base.into(),
+            requested_at: None,
+            held_asked_at: None,
+            lease_duration: (Duration::ZERO, 0),
+            pending: HashMap::new(),
             next_number: 0,
-            given: HashMap::new(),
+            admitted: HashMap::new(),
         }
     }
 
-    /// Puts other limits in force.
-    pub fn set_limits(&mut self, terms: HashMap<WorkspaceKey, BucketParams>, now: Instant) {
+    /// Replaces the limits.
+    pub fn set_limits(&mut self, limits: HashMap<WorkspaceKey, BucketParams>, now: Instant) {
         for slot in &mut self.slots {
-            slot.holder.set_limits(terms.clone(), now);
+            slot.holder.set_limits(limits.clone(), now);
         }
     }
 
-    /// Lets all parts go that were lent to this host, before it leaves the list of hosts:
-    /// one that starts anew asks those in the list who holds its part.
+    /// Releases all leases held by this host before it leaves the host list: a host that
+    /// restarts only asks the listed hosts which of them hold its share.
     pub fn release_leases(&mut self, now: Instant) {
         for slot in &mut self.slots {
-            slot.holder.let_go(now);
+            slot.holder.release_all(now);
         }
     }
 
-    /// Returns when to come back where nobody could tell: a host that has just started
-    /// lends its parts when those that it may have lent before are back.
+    /// Returns the retry time for a request that no holder could decide: a host that has just
+    /// started grants leases once any granted before its start have expired.
     pub fn retry_after(&self, now: Instant) -> Duration {
-        let gap = call_gap(self.hosts);
-        let lends_at = self.started + gap * (CALLS_VALID + 1);
-        lends_at.saturating_duration_since(now).max(gap)
+        let interval = lease_request_interval(self.hosts);
+        let grants_at = self.started + interval * (REQUESTS_PER_LEASE + 1);
+        grants_at.saturating_duration_since(now).max(interval)
     }
 
     /// Returns whether any workspace is limited.
@@ -157,175 +160,198 @@
         self.slots.iter().any(|slot| slot.holder.has_limits())
     }
 
-    /// Returns a slot that this host holds without knowing what was let in before, if the
-    /// allowance of its buckets has not been asked for; it counts as asked for then. The
-    /// caller finds out whether [`is_allowance_due`](crate::is_allowance_due) lets it be taken.
+    /// Returns a slot that this host holds without knowing what was admitted before, if the
+    /// allowance of its buckets has not been requested yet, and marks it as requested. The
+    /// caller determines with [`is_allowance_due`](crate::is_allowance_due) whether it may be
+    /// granted.
     pub fn next_allowance_request(&mut self) -> Option<HolderSlot> {
-        let whole = 1.0 / HOLDER_SLOTS as f64;
+        let slot_share = 1.0 / HOLDER_SLOTS as f64;
         let mut slots = self.slots.iter_mut().enumerate();
-        let (number, slot) = slots.find(|(_, slot)| slot.holder.next_allowance_request(whole))?;
-        slot.holder.ask_allowance();
-        Some(number as HolderSlot)
+        let (index, slot) =
+            slots.find(|(_, slot)| slot.holder.should_request_allowance(slot_share))?;
+        slot.holder.mark_allowance_requested();
+        Some(index as HolderSlot)
     }
 
-    /// Notes that the buckets of a slot begin without the allowance.
+    /// Records that the buckets of a slot start without the allowance.
     pub fn deny_allowance(&mut self, slot: HolderSlot) {
         if let Some(slot) = self.slots.get_mut(usize::from(slot)) {
             slot.holder.deny_allowance();
         }
     }
 
-    /// Lets the buckets of a slot begin with the allowance that was asked for at a moment.
-    pub fn grant_allowance(&mut self, slot: HolderSlot, asked: Instant, now: Instant) {
+    /// Grants the allowance, requested at `requested_at`, to the buckets of a slot.
+    pub fn grant_allowance(&mut self, slot: HolderSlot, requested_at: Instant, now: Instant) {
         if let Some(slot) = self.slots.get_mut(usize::from(slot)) {
-            slot.holder.grant_allowance(asked, now);
+            slot.holder.grant_allowance(requested_at, now);
         }
     }
 
     /// Returns the share of each slot that this host holds.
     pub fn held_shares(&self) -> [f64; HOLDER_SLOTS] {
-        std::array::from_fn(|slot| self.slots[slot].holder.share())
+        std::array::from_fn(|slot| self.slots[slot].holder.total_share())
     }
 
-    /// Calls for parts where this host should hold a slot. One that leaves calls for
-    /// nothing any more and answers as long as it holds parts. Returns what is to be sent.
+    /// Requests leases for the slots that this host should hold; returns the messages to
+    /// send. A host that is leaving requests no leases and decides queries for as long as it
+    /// holds any.
     pub fn tick(
         &mut self,
         fleet: &Fleet<'_>,
-        is_staying: bool,
+        may_hold: bool,
         now: Instant,
     ) -> Vec<(HostKey, Message)> {
-        let listed = fleet.members.iter().copied();
-        let others: Vec<HostKey> = listed.filter(|host| *host != self.own).collect();
+        let members = fleet.members.iter().copied();
+        let others: Vec<HostKey> = members.filter(|host| *host != self.own).collect();
         self.hosts = u32::try_from(others.len() + 1).unwrap_or(u32::MAX);
-        self.is_list_whole = fleet.is_complete;
-        self.alive = fleet.holder_candidates.to_vec();
+        self.is_list_complete = fleet.is_complete;
+        self.holder_candidates = fleet.holder_candidates.to_vec();
         let age = now.saturating_duration_since(self.started);
-        let is_starting = age < STARTING;
-        let mut told = Vec::new();
-        if is_starting && fleet.is_complete && !self.is_known_where {
-            let speaking = others.iter().copied();
-            let speaking = speaking.filter(|host| !fleet.expired.contains(host));
-            let speaking: Vec<HostKey> = speaking.collect();
-            told = self.ask_where(&speaking, now);
+        let is_starting = age < STARTUP_TIME;
+        let mut messages = Vec::new();
+        if is_starting && fleet.is_complete && !self.is_held_known {
+            let reachable = others.iter().copied();
+            let reachable = reachable.filter(|host| !fleet.expired.contains(host));
+            let reachable: Vec<HostKey> = reachable.collect();
+            messages = self.ask_held(&reachable, now);
         }
-        let gap = call_gap(self.hosts);
-        let pause = if age < GATHERING && !self.has_gathered() {
+        let interval = lease_request_interval(self.hosts);
+        let wait = if age < GATHER_TIME && !self.has_gathered() {
             Duration::ZERO
         } else if is_starting {
-            gap / CALLS_STARTING
+            interval / STARTUP_INTERVAL_DIVISOR
         } else {
-            gap
+            interval
         };
-        if self.called.is_none_or(|called| now >= called + pause) {
-            self.called = Some(now);
-            told.extend(self.calls(&others, gap * CALLS_VALID, is_staying, now));
+        if self
+            .requested_at
+            .is_none_or(|requested_at| now >= requested_at + wait)
+        {
+            self.requested_at = Some(now);
+            messages.extend(self.lease_requests(
+                &others,
+                interval * REQUESTS_PER_LEASE,
+                may_hold,
+                now,
+            ));
         }
-        told
+        messages
     }
 
-    /// Returns whether this host has most parts of each slot that it should hold.
+    /// Returns whether this host holds most of each slot that it should hold.
     fn has_gathered(&self) -> bool {
-        let mine = (0..HOLDER_SLOTS).filter(|slot| self.best(*slot) == self.own);
-        let mut shares = mine.map(|slot| self.slots[slot].holder.share());
-        shares.all(|share| share >= GATHERED_MIN / HOLDER_SLOTS as f64)
+        let own_slots = (0..HOLDER_SLOTS).filter(|slot| self.preferred_holder(*slot) == self.own);
+        let mut shares = own_slots.map(|slot| self.slots[slot].holder.total_share());
+        shares.all(|share| share >= GATHERED_FRACTION / HOLDER_SLOTS as f64)
     }
 
-    /// Asks the hosts that have not said yet what they hold of this one's parts.
-    fn ask_where(&mut self, others: &[HostKey], now: Instant) -> Vec<(HostKey, Message)> {
-        let silent = others
+    /// Asks the hosts that have not reported yet which of this host's shares they hold.
+    fn ask_held(&mut self, others: &[HostKey], now: Instant) -> Vec<(HostKey, Message)> {
+        let unreported = others
             .iter()
-            .filter(|host| !self.held_at.contains_key(host));
-        let asked: Vec<_> = silent.map(|host| (*host, Message::AskHeld)).collect();
-        self.is_known_where = asked.is_empty();
-        if self.asked_where.is_some_and(|at| now < at + ASK_GAP) {
+            .filter(|host| !self.held_by.contains_key(host));
+        let queries: Vec<_> = unreported.map(|host| (*host, Message::AskHeld)).collect();
+        self.is_held_known = queries.is_empty();
+        if self
+            .held_asked_at
+            .is_some_and(|at| now < at + HELD_QUERY_INTERVAL)
+        {
             return Vec::new();
         }
-        self.asked_where = Some(now);
-        asked
+        self.held_asked_at = Some(now);
+        queries
     }
 
-    /// Returns whether nobody holds this host's part of a slot.
-    fn is_free(&self, slot: usize) -> bool {
-        self.is_known_where && self.held_at.values().all(|held| held & (1 << slot) == 0)
+    /// Returns whether no host holds this host's share of a slot.
+    fn is_unleased(&self, slot: usize) -> bool {
+        self.is_held_known && self.held_by.values().all(|held| held & (1 << slot) == 0)
     }
 
-    fn calls(
+    fn lease_requests(
         &mut self,
         others: &[HostKey],
-        valid: Duration,
-        is_staying: bool,
+        duration: Duration,
+        may_hold: bool,
         now: Instant,
     ) -> Vec<(HostKey, Message)> {
         let stamp_ms = self.stamp_ms(now);
-        if self.valid.0 != valid {
-            self.valid = (valid, stamp_ms);
+        if self.lease_duration.0 != duration {
+            self.lease_duration = (duration, stamp_ms);
         }
-        let mut calls = Vec::new();
-        let Some(hosts) = self.fleet() else {
-            return calls;
+        let mut requests = Vec::new();
+        let Some(hosts) = self.fleet_size() else {
+            return requests;
         };
-        for number in 0..HOLDER_SLOTS {
-            self.slots[number].callers.retain(|_, until| now < *until);
-            self.slots[number].holder.expire(now);
-            if !is_staying || self.best(number) != self.own {
+        for index in 0..HOLDER_SLOTS {
+            self.slots[index]
+                .requesters
+                .retain(|_, expires_at| now < *expires_at);
+            self.slots[index].holder.remove_expired(now);
+            if !may_hold || self.preferred_holder(index) != self.own {
                 continue;
             }
-            self.lend_to_self(number, hosts, valid, now);
+            self.lease_to_self(index, hosts, duration, now);
             for host in others {
                 let message = Message::Call {
-                    slot: number as HolderSlot,
+                    slot: index as HolderSlot,
                     stamp_ms,
-                    valid_ms: millis(valid),
-                    is_held: self.slots[number].holder.has(*host, now),
+                    valid_ms: millis(duration),
+                    is_held: self.slots[index].holder.has_lease(*host, now),
                     hosts,
                 };
-                calls.push((*host, message));
+                requests.push((*host, message));
             }
         }
-        calls
+        requests
     }
 
-    /// Returns which host should hold a slot: the same one in the eyes of all that hear
-    /// one another.
-    fn best(&self, slot: usize) -> HostKey {
-        let callers = self.slots[slot].callers.keys();
-        let all = self.alive.iter().chain(callers).chain([&self.own]);
-        let best = all.max_by_key(|host| rank(slot, **host));
-        *best.unwrap_or(&self.own)
+    /// Returns the host that should hold a slot; all hosts that reach one another select the
+    /// same one.
+    fn preferred_holder(&self, slot: usize) -> HostKey {
+        let requesters = self.slots[slot].requesters.keys();
+        let candidates = self
+            .holder_candidates
+            .iter()
+            .chain(requesters)
+            .chain([&self.own]);
+        let preferred = candidates.max_by_key(|host| rank(slot, **host));
+        *preferred.unwrap_or(&self.own)
     }
 
-    fn lend_to_self(&mut self, number: usize, hosts: u32, valid: Duration, now: Instant) {
-        let part = self.part(hosts);
-        let (own, is_free) = (self.own, self.is_free(number));
-        let slot = &mut self.slots[number];
-        let is_held = slot.holder.has(own, now);
-        if slot.lender.may_lend(own, is_held, is_free, valid, now) {
-            slot.lender.lend(own, valid, now);
-            slot.holder.lent(own, part, now + valid, now);
+    fn lease_to_self(&mut self, slot_index: usize, hosts: u32, duration: Duration, now: Instant) {
+        let share = self.share(hosts);
+        let (own, is_unleased) = (self.own, self.is_unleased(slot_index));
+        let slot = &mut self.slots[slot_index];
+        let is_held = slot.holder.has_lease(own, now);
+        if slot
+            .grantor
+            .may_grant(own, is_held, is_unleased, duration, now)
+        {
+            slot.grantor.grant(own, duration, now);
+            slot.holder.add_lease(own, share, now + duration, now);
         }
     }
 
-    /// Returns how many hosts the fleet has, if that is known. A host that started while
-    /// it reached neither the list nor a holder may be one of many: by the few that it
-    /// hears, its part would be far too large.
-    fn fleet(&self) -> Option<u32> {
-        let listed = self.is_list_whole.then_some(self.hosts);
-        let told = self.hosts_told.map(|told| told.max(self.hosts));
-        listed.max(told)
+    /// Returns the number of hosts in the fleet, if known. A host that started without
+    /// reaching the host list or a holder may be one of many: computed from the few hosts it
+    /// reaches, its share would be far too large.
+    fn fleet_size(&self) -> Option<u32> {
+        let listed = self.is_list_complete.then_some(self.hosts);
+        let reported = self.reported_hosts.map(|reported| reported.max(self.hosts));
+        listed.max(reported)
     }
 
-    /// Returns the part of each slot that one of so many hosts lends.
-    fn part(&self, hosts: u32) -> f64 {
+    /// Returns one host's share of a slot in a fleet of the given size.
+    fn share(&self, hosts: u32) -> f64 {
         1.0 / (f64::from(hosts.max(1)) * HOLDER_SLOTS as f64)
     }
 
     fn stamp_ms(&self, now: Instant) -> u64 {
         let since = now.saturating_duration_since(self.started);
-        self.first_stamp_ms + u64::from(millis(since))
+        self.stamp_base_ms + u64::from(millis(since))
     }
 
-    /// Takes in what another host tells.
+    /// Handles a message from another host.
     pub fn receive(&mut self, from: HostKey, message: &Message, now: Instant) -> Action {
         match *message {
             Message::Call {
@@ -335,15 +361,15 @@
                 is_held,
                 hosts,
             } => {
-                self.hosts_told = Some(hosts);
-                self.called(from, slot, stamp_ms, valid_ms, is_held, now)
+                self.reported_hosts = Some(hosts);
+                self.receive_lease_request(from, slot, stamp_ms, valid_ms, is_held, now)
             }
             Message::Lent {
                 slot,
                 stamp_ms,
                 hosts,
             } => {
-                self.lent(from, slot, stamp_ms, hosts, now);
+                self.receive_lease(from, slot, stamp_ms, hosts, now);
                 Action::None
             }
             Message::Ask {
@@ -352,26 +378,26 @@
                 workspace,
                 patience_ms,
             } => {
-                let patience = Duration::from_millis(patience_ms.into());
-                self.asked(slot, number, workspace, patience, now)
+                let max_delay = Duration::from_millis(patience_ms.into());
+                self.decide(slot, number, workspace, max_delay, now)
             }
             Message::Given { number, after_ms } => {
                 let delay = Duration::from_millis(after_ms.into());
-                self.answered(number, Decision::Admitted { delay }, now)
+                self.receive_decision(number, Decision::Admitted { delay }, now)
             }
             Message::Refused {
                 number,
                 retry_after_ms,
             } => {
                 let retry_after = Duration::from_millis(retry_after_ms.into());
-                self.answered(number, Decision::Refused { retry_after }, now)
+                self.receive_decision(number, Decision::Refused { retry_after }, now)
             }
-            Message::Unknown { number } => self.answered(number, Decision::Unknown, now),
+            Message::Unknown { number } => self.receive_decision(number, Decision::Unknown, now),
             Message::AskHeld => Action::Reply(Message::Held {
-                slots: self.held_of(from, now),
+                slots: self.held_slots(from, now),
             }),
             Message::Held { slots } => {
-                self.held_at.insert(from, slots);
+                self.held_by.insert(from, slots);
                 Action::None
             }
             Message::GivenBack { slot, workspace } => {
@@ -383,13 +409,13 @@
         }
     }
 
-    /// Returns which of a host's parts are held here, a bit for each slot.
-    fn held_of(&self, host: HostKey, now: Instant) -> u8 {
-        let held = (0..HOLDER_SLOTS).filter(|slot| self.slots[*slot].holder.has(host, now));
+    /// Returns which of a host's shares are leased to this host, as slot bits.
+    fn held_slots(&self, host: HostKey, now: Instant) -> u8 {
+        let held = (0..HOLDER_SLOTS).filter(|slot| self.slots[*slot].holder.has_lease(host, now));
         held.fold(0, |bits, slot| bits | 1 << slot)
     }
 
-    fn called(
+    fn receive_lease_request(
         &mut self,
         from: HostKey,
         number: HolderSlot,
@@ -398,21 +424,24 @@
         is_held: bool,
         now: Instant,
     ) -> Action {
-        let place = usize::from(number);
-        let Some(hosts) = self.fleet().filter(|_| place < HOLDER_SLOTS) else {
+        let index = usize::from(number);
+        let Some(hosts) = self.fleet_size().filter(|_| index < HOLDER_SLOTS) else {
             return Action::None;
         };
-        let valid = Duration::from_millis(valid_ms.into());
-        self.slots[place].callers.insert(from, now + valid);
-        // When many hosts start together, several call at first; parts that were lent to
-        // all of them would come together only when their time is over.
-        let is_best = self.best(place) == from;
-        let is_free = self.is_free(place) && is_best;
-        let slot = &mut self.slots[place];
-        if !slot.lender.may_lend(from, is_held, is_free, valid, now) {
+        let duration = Duration::from_millis(valid_ms.into());
+        self.slots[index].requesters.insert(from, now + duration);
+        // When many hosts start together, several request leases at first. Shares leased to
+        // different holders could only be combined after those leases have expired.
+        let is_preferred = self.preferred_holder(index) == from;
+        let is_unleased = self.is_unleased(index) && is_preferred;
+        let slot = &mut self.slots[index];
+        if !slot
+            .grantor
+            .may_grant(from, is_held, is_unleased, duration, now)
+        {
             return Action::None;
         }
-        slot.lender.lend(from, valid, now);
+        slot.grantor.grant(from, duration, now);
         Action::Reply(Message::Lent {
             slot: number,
             stamp_ms,
@@ -420,30 +449,38 @@
         })
     }
 
-    /// Counts a part from when this host called for it, however late the answer is.
-    fn lent(&mut self, from: HostKey, slot: HolderSlot, stamp_ms: u64, hosts: u32, now: Instant) {
-        let part = self.part(hosts);
-        let (valid, since_ms) = self.valid;
-        // Other stamps are of an earlier start of this host, or named another time.
-        let is_known = (since_ms..=self.stamp_ms(now)).contains(&stamp_ms);
-        if !is_known {
+    /// Adds a lease. It counts from the time of this host's request, however late the reply
+    /// arrives.
+    fn receive_lease(
+        &mut self,
+        from: HostKey,
+        slot: HolderSlot,
+        stamp_ms: u64,
+        hosts: u32,
+        now: Instant,
+    ) {
+        let share = self.share(hosts);
+        let (duration, valid_from_ms) = self.lease_duration;
+        // Other timestamps are from before a restart or stated another lease duration.
+        let is_current = (valid_from_ms..=self.stamp_ms(now)).contains(&stamp_ms);
+        if !is_current {
             return;
         }
-        let spoken = Duration::from_millis(stamp_ms - self.first_stamp_ms);
-        let until = self.started + spoken + valid;
+        let requested_after = Duration::from_millis(stamp_ms - self.stamp_base_ms);
+        let expires_at = self.started + requested_after + duration;
         if let Some(slot) = self.slots.get_mut(usize::from(slot)) {
-            slot.holder.lent(from, part, until, now);
+            slot.holder.add_lease(from, share, expires_at, now);
         }
     }
 }
 
-/// Returns the time between two calls in a fleet of so many hosts.
-fn call_gap(hosts: u32) -> Duration {
-    let hosts = hosts.max(HOSTS_PER_CALL as u32);
-    CALL_GAP * hosts / HOSTS_PER_CALL as u32
+/// Returns the interval of lease requests in a fleet of the given size.
+fn lease_request_interval(hosts: u32) -> Duration {
+    let hosts = hosts.max(HOSTS_PER_INTERVAL as u32);
+    LEASE_REQUEST_INTERVAL * hosts / HOSTS_PER_INTERVAL as u32
 }
 
-/// Returns the rank of a host for a slot; the highest holds it.
+/// Returns the rank of a host for a slot; the host ranked highest holds it.
 fn rank(slot: usize, host: HostKey) -> u64 {
     let mut bytes = [0; 8];
     bytes[..4].copy_from_slice(&host.to_le_bytes());
--- a/crates/quota/src/limiter/queries.rs
+++ b/crates/quota/src/limiter/queries.rs
@@ -1,4 +1,7 @@
-//! Questions whether requests may go: to which holder, again, and what comes of them.
+//! Queries whether requests may run: selection of the holder, retries and results.
+//!
+//! Queries are tracked by number because datagrams may be lost, delayed or duplicated: a
+//! reply counts only while its query is pending.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,24 +19,24 @@
 use crate::message::millis;
 use crate::message::short_millis;
 
-/// Questions that a host has open at most; beyond, the oldest are forgotten.
-const OPEN_MAX: usize = 4_096;
+/// Maximum number of pending queries; the oldest are dropped beyond it.
+const PENDING_MAX: usize = 4_096;
 
-/// A question that is not answered yet.
+/// A query without a decision.
 #[derive(Clone, Debug)]
-pub(super) struct Open {
+pub(super) struct PendingQuery {
     workspace: WorkspaceKey,
-    patience: Duration,
-    /// The slot that was asked last.
+    max_delay: Duration,
+    /// The slot queried last.
     slot: usize,
-    /// Slots that have refused, with when there is room again.
+    /// Slots that refused the request, with the time until a token is available.
     refused: [Option<Duration>; HOLDER_SLOTS],
-    /// Times that a slot was asked.
-    asked: usize,
+    /// Number of times a slot was queried.
+    attempts: usize,
 }
 
-impl Open {
-    /// Returns what its host is told if nobody lets the request go.
+impl PendingQuery {
+    /// Returns the decision if no slot admits the request.
     fn refusal(&self) -> Decision {
         let soonest = self.refused.iter().flatten().min();
         soonest.map_or(Decision::Unknown, |retry_after| Decision::Refused {
@@ -43,79 +46,79 @@
 }
 
 impl Limiter {
-    /// Asks whether a request of a workspace may go, now or within a time.
-    pub fn query(&mut self, workspace: WorkspaceKey, patience: Duration, now: Instant) -> Query {
+    /// Queries whether a workspace's request may run, now or within `max_delay`.
+    pub fn query(&mut self, workspace: WorkspaceKey, max_delay: Duration, now: Instant) -> Query {
         self.next_number = self.next_number.wrapping_add(1);
         let number = self.next_number;
-        // Both holders are asked by turns, so that both are used up evenly.
+        // Queries alternate between the slots so that both are used evenly.
         let slot = number as usize % HOLDER_SLOTS;
-        let open = Open {
+        let query = PendingQuery {
             workspace,
-            patience,
+            max_delay,
             slot,
             refused: [None; HOLDER_SLOTS],
-            asked: 0,
+            attempts: 0,
         };
-        self.go_on(number, open, now)
+        self.advance(number, query, now)
     }
 
-    /// Asks the other holder, the first one having been silent for some time; nothing if
-    /// the question was answered meanwhile.
+    /// Queries the other holder because the first has not replied in time; `None` if the
+    /// query has been decided in the meantime.
     pub fn retry_query(&mut self, number: u32, now: Instant) -> Option<Query> {
-        let mut open = self.open.remove(&number)?;
-        open.slot = (open.slot + 1) % HOLDER_SLOTS;
-        Some(self.go_on(number, open, now))
+        let mut query = self.pending.remove(&number)?;
+        query.slot = (query.slot + 1) % HOLDER_SLOTS;
+        Some(self.advance(number, query, now))
     }
 
-    /// Gives a question up.
+    /// Cancels a query.
     pub fn cancel_query(&mut self, number: u32) {
-        self.open.remove(&number);
+        self.pending.remove(&number);
     }
 
-    fn go_on(&mut self, number: u32, mut open: Open, now: Instant) -> Query {
+    fn advance(&mut self, number: u32, mut query: PendingQuery, now: Instant) -> Query {
         for _ in 0..HOLDER_SLOTS {
-            let slot = open.slot;
-            if open.refused[slot].is_none() {
-                open.asked += 1;
+            let slot = query.slot;
+            if query.refused[slot].is_none() {
+                query.attempts += 1;
                 match self.holder_of(slot, now) {
                     Some(host) if host == self.own => {
                         let holder = &mut self.slots[slot].holder;
-                        match holder.take(open.workspace, open.patience, now) {
+                        match holder.decide(query.workspace, query.max_delay, now) {
                             Decision::Admitted { delay } => {
-                                return self.given(number, slot, open.workspace, delay);
+                                return self.admit(number, slot, query.workspace, delay);
                             }
                             Decision::Refused { retry_after } => {
-                                open.refused[slot] = Some(retry_after);
+                                query.refused[slot] = Some(retry_after);
                             }
                             Decision::Unknown => {}
                         }
                     }
-                    Some(host) => return self.send(number, open, host),
+                    Some(host) => return self.send_query(number, query, host),
                     None => {}
                 }
             }
-            open.slot = (slot + 1) % HOLDER_SLOTS;
+            query.slot = (slot + 1) % HOLDER_SLOTS;
         }
         Query::Decided {
             number,
-            decision: open.refusal(),
+            decision: query.refusal(),
         }
     }
 
-    fn send(&mut self, number: u32, open: Open, to: HostKey) -> Query {
+    fn send_query(&mut self, number: u32, query: PendingQuery, to: HostKey) -> Query {
         let message = Message::Ask {
-            slot: open.slot as HolderSlot,
+            slot: query.slot as HolderSlot,
             number,
-            workspace: open.workspace,
-            patience_ms: short_millis(open.patience),
+            workspace: query.workspace,
+            patience_ms: short_millis(query.max_delay),
         };
-        if self.open.len() >= OPEN_MAX {
-            // Whoever asked so many before has given up.
-            let oldest = number.wrapping_sub(OPEN_MAX as u32);
-            self.open
-                .retain(|known, _| known.wrapping_sub(oldest) < OPEN_MAX as u32);
+        if self.pending.len() >= PENDING_MAX {
+            // Queries that old have been cancelled by their callers.
+            let oldest = number.wrapping_sub(PENDING_MAX as u32);
+            self.pending
+                .retain(|known, _| known.wrapping_sub(oldest) < PENDING_MAX as u32);
         }
-        self.open.insert(number, open);
+        self.pending.insert(number, query);
         Query::Sent {
             number,
             to,
@@ -123,38 +126,38 @@
         }
     }
 
-    fn given(
+    fn admit(
         &mut self,
         number: u32,
         slot: usize,
         workspace: WorkspaceKey,
         delay: Duration,
     ) -> Query {
-        if self.given.len() >= OPEN_MAX {
-            // Requests that old have long run.
-            self.given.clear();
+        if self.admitted.len() >= PENDING_MAX {
+            // Requests that old have finished.
+            self.admitted.clear();
         }
-        self.given.insert(number, (slot, workspace));
+        self.admitted.insert(number, (slot, workspace));
         Query::Decided {
             number,
             decision: Decision::Admitted { delay },
         }
     }
 
-    /// Returns the host to ask about a slot: the one to which this host has lent its
-    /// part, or the best of those that call.
+    /// Returns the host to query for a slot: the one to which this host has leased its share,
+    /// or else the preferred host among those requesting leases.
     pub(super) fn holder_of(&self, slot: usize, now: Instant) -> Option<HostKey> {
-        let slots = &self.slots[slot];
-        slots.lender.lent_to(now).or_else(|| {
-            let calling = slots.callers.iter().filter(|(_, until)| now < **until);
-            let calling = calling.map(|(host, _)| *host);
-            calling.max_by_key(|host| rank(slot, *host))
+        let state = &self.slots[slot];
+        state.grantor.leased_to(now).or_else(|| {
+            let requesting = state.requesters.iter().filter(|(_, until)| now < **until);
+            let requesting = requesting.map(|(host, _)| *host);
+            requesting.max_by_key(|host| rank(slot, *host))
         })
     }
 
-    /// Notes that a request that was let in has not run; returns whom to tell.
+    /// Refunds an admitted request that was not run; returns the message to send, if any.
     pub fn refund(&mut self, number: u32, now: Instant) -> Option<(HostKey, Message)> {
-        let (slot, workspace) = self.given.remove(&number)?;
+        let (slot, workspace) = self.admitted.remove(&number)?;
         let host = self.holder_of(slot, now)?;
         if host == self.own {
             self.slots[slot].holder.refund(workspace, now);
@@ -164,45 +167,50 @@
         Some((host, Message::GivenBack { slot, workspace }))
     }
 
-    /// Notes that a request that was let in has run, or may have.
+    /// Records that an admitted request was run, or may have been.
     pub fn confirm(&mut self, number: u32) {
-        self.given.remove(&number);
+        self.admitted.remove(&number);
     }
 
-    pub(super) fn answered(&mut self, number: u32, decision: Decision, now: Instant) -> Action {
-        let Some(mut open) = self.open.remove(&number) else {
+    pub(super) fn receive_decision(
+        &mut self,
+        number: u32,
+        decision: Decision,
+        now: Instant,
+    ) -> Action {
+        let Some(mut query) = self.pending.remove(&number) else {
             return Action::None;
         };
-        let slot = open.slot;
+        let slot = query.slot;
         match decision {
             Decision::Admitted { delay } => {
-                let workspace = open.workspace;
-                return Action::Query(self.given(number, slot, workspace, delay));
+                let workspace = query.workspace;
+                return Action::Query(self.admit(number, slot, workspace, delay));
             }
-            Decision::Refused { retry_after } => open.refused[slot] = Some(retry_after),
+            Decision::Refused { retry_after } => query.refused[slot] = Some(retry_after),
             Decision::Unknown => {}
         }
-        if open.asked >= HOLDER_SLOTS {
-            let decision = open.refusal();
+        if query.attempts >= HOLDER_SLOTS {
+            let decision = query.refusal();
             return Action::Query(Query::Decided { number, decision });
         }
-        open.slot = (slot + 1) % HOLDER_SLOTS;
-        Action::Query(self.go_on(number, open, now))
+        query.slot = (slot + 1) % HOLDER_SLOTS;
+        Action::Query(self.advance(number, query, now))
     }
 
-    /// Answers another host's question.
-    pub(super) fn asked(
+    /// Decides another host's query.
+    pub(super) fn decide(
         &mut self,
         slot: HolderSlot,
         number: u32,
         workspace: WorkspaceKey,
-        patience: Duration,
+        max_delay: Duration,
         now: Instant,
     ) -> Action {
         let Some(slot) = self.slots.get_mut(usize::from(slot)) else {
             return Action::None;
         };
-        Action::Reply(match slot.holder.take(workspace, patience, now) {
+        Action::Reply(match slot.holder.decide(workspace, max_delay, now) {
             Decision::Admitted { delay } => Message::Given {
                 number,
                 after_ms: short_millis(delay),
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,4 +1,4 @@
-//! What hosts tell one another of limits, and what comes of it.
+//! Messages about limits between hosts, and their results.
 
 use std::time::Duration;
 
@@ -10,115 +10,116 @@
 use crate::WorkspaceKey;
 use crate::holder::Decision;
 
-/// What hosts tell one another.
+/// A message between hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A holder asks for the receiver's part.
+    /// A holder requests a lease of the receiver's share.
     Call {
-        /// The slot.
+        /// Holder slot.
         slot: HolderSlot,
-        /// When it spoke, by its own clock.
+        /// Time of sending, by the sender's clock.
         stamp_ms: u64,
-        /// Time for which it counts on the part from then on.
+        /// Duration of the lease, from the time of sending.
         valid_ms: u32,
-        /// Whether it has the receiver's part already.
+        /// Whether the sender already has a lease of the receiver's share.
         is_held: bool,
-        /// Hosts that it knows of.
+        /// Number of hosts known to the sender.
         hosts: u32,
     },
-    /// A host lends its part.
+    /// Grants the requested lease.
     Lent {
-        /// The slot.
+        /// Holder slot.
         slot: HolderSlot,
-        /// The stamp of the call that it answers.
+        /// `stamp_ms` of the request that is granted.
         stamp_ms: u64,
-        /// Hosts that it knows of; its part is one of so many.
+        /// Number of hosts known to the sender; its share is one divided by this number.
         hosts: u32,
     },
-    /// May a request of a workspace go?
+    /// Asks a holder whether a workspace's request may run.
     Ask {
-        /// The slot.
+        /// Holder slot.
         slot: HolderSlot,
-        /// The number of the question at its host.
+        /// Number of the query at its sender.
         number: u32,
         /// The workspace.
         workspace: WorkspaceKey,
-        /// Time for which the request can wait and still be served in time.
+        /// Longest delay with which the request can still meet its objective.
         patience_ms: u16,
     },
-    /// It may go.
+    /// The request may run.
     Given {
-        /// The number of the question.
+        /// Number of the query.
         number: u32,
-        /// Time until then.
+        /// Time until it may run.
         after_ms: u16,
     },
     /// The limit is reached.
     Refused {
-        /// The number of the question.
+        /// Number of the query.
         number: u32,
-        /// Time until there is room again.
+        /// Time until a token is available.
         retry_after_ms: u32,
     },
-    /// The receiver of the question cannot tell.
+    /// The receiver of the query cannot decide.
     Unknown {
-        /// The number of the question.
+        /// Number of the query.
         number: u32,
     },
-    /// Which of the sender's parts does the receiver hold?
+    /// Asks which leases of the sender's shares the receiver holds.
     AskHeld,
-    /// The receiver's parts that the sender holds.
+    /// States which leases of the receiver's shares the sender holds.
     Held {
-        /// A bit for each slot, the first one lowest.
+        /// One bit per holder slot, starting with the lowest.
         slots: u8,
     },
-    /// A request that was let in has not run.
+    /// An admitted request was not run, so its token is returned.
     GivenBack {
-        /// The slot.
+        /// Holder slot.
         slot: HolderSlot,
         /// The workspace.
         workspace: WorkspaceKey,
     },
 }
 
-/// What comes of a question at once.
+/// State of a query after a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// The host holds the slot itself, or nobody can be asked any more.
+    /// The query is decided: by this host as the holder, or because no other holder can be
+    /// asked.
     Decided {
-        /// The number of the question.
+        /// Number of the query.
         number: u32,
-        /// What came of it.
+        /// The decision.
         decision: Decision,
     },
-    /// Another host was asked.
+    /// The query was sent to another host.
     Sent {
-        /// The number of the question.
+        /// Number of the query.
         number: u32,
-        /// The host.
+        /// The receiver.
         to: HostKey,
-        /// The question.
+        /// The message.
         message: Message,
     },
 }
 
-/// What comes of a message.
+/// What the caller has to do after a message was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Nothing.
     None,
-    /// An answer to its sender.
+    /// Send a reply to the message's sender.
     Reply(Message),
-    /// A question goes on, or is answered.
+    /// Continue with a query, or complete it.
     Query(Query),
 }
 
-/// Returns a time in whole milliseconds, rounded up: a promise is not due before.
+/// Returns a duration in whole milliseconds, rounded up so that a request never runs early.
 pub(crate) fn short_millis(time: Duration) -> u16 {
     u16::try_from(time.as_micros().div_ceil(1_000)).unwrap_or(u16::MAX)
 }
 
-/// Returns a time in whole milliseconds.
+/// Returns a duration in whole milliseconds.
 pub(crate) fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/waiting/tests/order.rs
+++ b/crates/waiting/tests/order.rs
@@ -283,7 +283,7 @@
             usage.update_peer(&host.to_string(), report);
         }
         for workspace in 0..5 {
-            let sum: u32 = latest.iter().map(|usage| usage[workspace as usize]).sum();
+            let sum: u32 = latest.iter().map(|slots| slots[workspace as usize]).sum();
             prop_assert_eq!(usage.slots_in_use(workspace), sum);
         }
         for host in 0..4 {
