--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::limit::BucketParams;
+use crate::params::BucketParams;
 
 /// Tokens needed to admit a request. Slightly less than one, because sums of shares are
 /// inexact.
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -8,7 +8,7 @@
 use crate::HostKey;
 use crate::WorkspaceKey;
 use crate::bucket::Bucket;
-use crate::limit::BucketParams;
+use crate::params::BucketParams;
 
 /// Time after the allowance was requested during which leases still add theirs: a healthy
 /// store responds within about 10 ms, and leases arrive within three requests. Two allowances
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -48,19 +48,19 @@
 mod bucket;
 mod grantor;
 mod holder;
-mod limit;
 mod limiter;
 mod message;
+mod params;
 
 pub use self::allowance::is_allowance_due;
 pub use self::holder::Decision;
-pub use self::limit::Bounds;
-pub use self::limit::BucketParams;
 pub use self::limiter::Fleet;
 pub use self::limiter::Limiter;
 pub use self::message::Action;
 pub use self::message::Message;
 pub use self::message::Query;
+pub use self::params::Bounds;
+pub use self::params::BucketParams;
 
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -18,10 +18,10 @@
 use crate::grantor::Grantor;
 use crate::holder::Decision;
 use crate::holder::Holder;
-use crate::limit::BucketParams;
 use crate::message::Action;
 use crate::message::Message;
 use crate::message::millis;
+use crate::params::BucketParams;
 
 use self::queries::PendingQuery;
 
--- a/crates/waiting/src/wait_queue.rs
+++ b/crates/waiting/src/wait_queue.rs
@@ -220,7 +220,7 @@
         u32::try_from(ahead.count()).unwrap_or(u32::MAX)
     }
 
-    /// Returns whether a host's first request may take one of the free slots near by.
+    /// Returns whether a host's first request may take one of the free slots of nearby targets.
     /// `drain_per_s` slots are freed per second while all are in use.
     ///
     /// It may if there are more free slots than requests of other hosts ahead of it. Until
