--- a/crates/waiting/src/wait_queue.rs
+++ b/crates/waiting/src/wait_queue.rs
@@ -48,8 +48,8 @@
 /// it arrive in the meantime.
 const WAIT_MARGIN_PER_LEVEL: f64 = 2.0;
 
-/// Time after which a waiting request is known to nearby hosts, and theirs to this one: two
-/// report intervals and the message delay.
+/// Time after which a waiting request is known to the other hosts of its data centre, and
+/// theirs to this one: two report intervals and the message delay.
 const PROPAGATION_TIME: Duration = Duration::from_millis(4);
 
 /// Free slots required beyond those that other hosts may be taking concurrently.
@@ -220,7 +220,7 @@
         u32::try_from(ahead.count()).unwrap_or(u32::MAX)
     }
 
-    /// Returns whether a host's first request may take one of the free slots of nearby targets.
+    /// Returns whether a host's first request may take one of the free slots of local targets.
     /// `drain_per_s` slots are freed per second while all are in use.
     ///
     /// It may if there are more free slots than requests of other hosts ahead of it. Until
