--- a/crates/quota/benches/decide.rs
+++ b/crates/quota/benches/decide.rs
@@ -56,17 +56,17 @@
     node.tick(&fleet, true, later);
     let now = later + Duration::from_millis(500);
     let mut group = c.benchmark_group("decision at 16,000 workspaces");
-    group.bench_function("whose key", |b| {
+    group.bench_function("find the workspace of a key", |b| {
         b.iter(|| workspaces.holder(black_box("key-of-12345-1-abcdef")));
     });
-    group.bench_function("may it go", |b| {
+    group.bench_function("decide a request", |b| {
         b.iter(|| {
             let key = workspace_key(black_box("workspace-12345"));
             node.query(key, Duration::ZERO, now)
         });
     });
     group.finish();
-    let mut group = c.benchmark_group("a table of 16,000 workspaces");
+    let mut group = c.benchmark_group("table of 16,000 workspaces");
     group.sample_size(10);
     group.bench_function("built", |b| {
         b.iter_with_setup(entries, |entries| black_box(Workspaces::new(entries)));
--- a/crates/quota/examples/ways.rs
+++ b/crates/quota/examples/ways.rs
@@ -49,7 +49,7 @@
                     let flood = simulate(limit, reached, &|_| 7.5 / 1.6 * limit.per_s);
                     println!(
                         "{hosts} hosts, {strategy:?}, {name} at {reached}: below the limit {} of {} \
-                         refused; flood {:.2} of the limit, {:.0} over; {:.0} bytes/s a host",
+                         refused; flood {:.2} of the limit, {:.0} above the bounds; {:.0} bytes/s per host",
                         step.1, step.0, flood.2, flood.3, flood.4
                     );
                 }
