--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -122,9 +122,12 @@
     let arrived = Instant::now();
     let until = deadline.min(arrived + LOOK_MAX);
     loop {
-        let table = ctx.routes_by(deadline).await.ok_or(Failure::NotReady {
-            retry_after: NOT_READY_RETRY,
-        })?;
+        let table = ctx
+            .wait_for_routes(deadline)
+            .await
+            .ok_or(Failure::NotReady {
+                retry_after: NOT_READY_RETRY,
+            })?;
         let is_public = is_public(&table);
         let reason = match caller(ctx, &table, headers, is_public) {
             Ok(Caller::Workspace(_)) if !may_serve(ctx, arrived) => {
@@ -181,7 +184,7 @@
 /// request that nobody tells apart stays as it came.
 pub(crate) fn mark(ctx: &Context, headers: &mut HeaderMap, caller: &Caller) {
     if *caller != Caller::Untold {
-        (ctx.decode.mark)(headers, caller.name());
+        (ctx.decode.set_workspace)(headers, caller.name());
     }
 }
 
--- a/crates/gateway/src/backlog.rs
+++ b/crates/gateway/src/backlog.rs
@@ -25,7 +25,7 @@
 
 use crate::fingerprint;
 use crate::ports::Decode;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 use crate::progress::Saved;
 use crate::time::millis;
 
@@ -47,7 +47,7 @@
     /// The host that its requests name.
     pub(crate) host: String,
     /// The request.
-    pub(crate) forward: Arc<Forward>,
+    pub(crate) forward: Arc<ForwardedRequest>,
     /// How large it is, as its caller tells.
     pub(crate) size: Size,
     /// The data of the events that are here, joined by line feeds.
--- a/crates/gateway/src/blobs.rs
+++ b/crates/gateway/src/blobs.rs
@@ -29,7 +29,7 @@
 use crate::ports::Entry;
 use crate::ports::Read;
 use crate::ports::StoreError;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Topic;
 use crate::store::Store;
 use crate::sync::lock;
@@ -312,7 +312,7 @@
 }
 
 /// Returns the key of the blob that a record is a piece of, and the piece.
-fn piece(record: Stored) -> Option<(String, Bytes)> {
+fn piece(record: StoredRecord) -> Option<(String, Bytes)> {
     let (blob, _) = record.entry.key.rsplit_once('/')?;
     Some((blob.to_owned(), record.entry.value?))
 }
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -36,7 +36,7 @@
 use crate::metrics::Counted;
 use crate::metrics::Metrics;
 use crate::ports::Decode;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::store::Store;
 use crate::sync::lock;
 use crate::time::millis;
@@ -94,14 +94,14 @@
     known: Mutex<Known>,
     /// When the store was last asked whether the configuration is the newest.
     look: tokio::sync::Mutex<Option<Instant>>,
-    uses: Uses,
+    deps: Dependencies,
 }
 
 /// Where routes and targets are put to use.
-pub(crate) struct Uses {
+pub(crate) struct Dependencies {
     pub(crate) store: Store,
     pub(crate) decode: Decode,
-    pub(crate) places: Arc<Mutex<Balancer>>,
+    pub(crate) balancer: Arc<Mutex<Balancer>>,
     pub(crate) routes: watch::Sender<Option<Arc<Table>>>,
     pub(crate) startup: Arc<Startup>,
     pub(crate) metrics: Arc<Metrics>,
@@ -129,7 +129,7 @@
 
 impl Catalog {
     /// Returns a catalog that knows nothing yet.
-    pub(crate) fn new(settings: &Settings, uses: Uses) -> Self {
+    pub(crate) fn new(settings: &Settings, deps: Dependencies) -> Self {
         let known = Known {
             config: None,
             config_as_of: None,
@@ -141,21 +141,21 @@
         Self {
             known: Mutex::new(known),
             look: tokio::sync::Mutex::default(),
-            uses,
+            deps,
         }
     }
 
     /// Takes in a reading of targets.
     fn read_targets(&self, reading: Reading, now: Instant) -> News {
         let Reading { asked, seen } = reading;
-        let decode = |value: &Bytes| (self.uses.decode.target)(value);
-        let evidence = self.uses.store.evidence();
+        let decode = |value: &Bytes| (self.deps.decode.target)(value);
+        let evidence = self.deps.store.evidence();
         let mut known = lock(&self.known);
         // As of before this reading: what it tells is newer than that.
         let none_before = known.targets.complete_as_of();
         let changes = match seen {
             Ok(Seen::All { end, records }) => {
-                slog::info!(self.uses.logger, "targets listed"; "targets" => records.len(),
+                slog::info!(self.deps.logger, "targets listed"; "targets" => records.len(),
                     "offset" => end, "source" => "store");
                 let records = records.into_iter().map(record).collect();
                 let answered = ReadInfo::at_end(asked, now);
@@ -179,7 +179,7 @@
         };
         known.peer_evidence = None;
         let targets = self.put_to_use(none_before, &evidence, changes, now);
-        self.uses.startup.mark_ready(Dependency::Targets, "store");
+        self.deps.startup.mark_ready(Dependency::Targets, "store");
         News {
             targets,
             ..News::default()
@@ -189,7 +189,7 @@
     /// Removes targets whose entries have not reappeared in time, and lifts the limits of
     /// targets that are no longer cold.
     fn sweep(&self, now: Instant) {
-        lock(&self.uses.places).end_cold(now);
+        lock(&self.deps.balancer).end_cold(now);
         let mut known = lock(&self.known);
         if !known.targets.has_missing_entries() {
             return;
@@ -198,13 +198,13 @@
         let expired = known.targets.expire(now, &evidence);
         for id in &expired {
             if expired.len() <= LOGGED_CHANGES_MAX {
-                slog::info!(self.uses.logger, "target's entry did not come back";
+                slog::info!(self.deps.logger, "target's entry did not come back";
                     "target" => id.as_str());
             }
             self.take_out(id);
         }
         if expired.len() > LOGGED_CHANGES_MAX {
-            slog::info!(self.uses.logger, "targets' entries did not come back";
+            slog::info!(self.deps.logger, "targets' entries did not come back";
                 "targets" => expired.len());
         }
     }
@@ -212,7 +212,7 @@
     /// Returns how the log was read, by this host or by the reader it follows.
     fn evidence(&self, known: &Known) -> Evidence {
         let followed = known.peer_evidence;
-        followed.unwrap_or_else(|| self.uses.store.evidence())
+        followed.unwrap_or_else(|| self.deps.store.evidence())
     }
 
     /// Puts changes to use while what is believed is held, so that no other
@@ -234,18 +234,18 @@
                     self.put((&id, offset, spec), is_each_logged, &mut counts, now);
                 }
                 Change::Unreadable { id, offset, error } => {
-                    self.uses
+                    self.deps
                         .metrics
                         .count(Counted::Changes, "target unreadable");
-                    slog::error!(self.uses.logger, "target not taken"; "target" => id.as_str(),
+                    slog::error!(self.deps.logger, "target not taken"; "target" => id.as_str(),
                         "offset" => offset, "error" => error.to_string(),
-                        "was_known" => lock(&self.uses.places).spec(&id).is_some());
-                    lock(&self.uses.places).remove(&id);
+                        "was_known" => lock(&self.deps.balancer).spec(&id).is_some());
+                    lock(&self.deps.balancer).remove(&id);
                 }
                 Change::Removed { id, offset } => {
                     counts.gone += 1;
                     if is_each_logged {
-                        slog::info!(self.uses.logger, "target's entry is gone";
+                        slog::info!(self.deps.logger, "target's entry is gone";
                             "target" => id.as_str(), "offset" => offset,
                             "kept_for_now" => false);
                     }
@@ -253,10 +253,10 @@
                 }
                 Change::Retained { id, offset, until } => {
                     counts.kept += 1;
-                    self.uses.metrics.count(Counted::Changes, "target kept");
+                    self.deps.metrics.count(Counted::Changes, "target kept");
                     let ago = |at: Option<Instant>| at.map(|at| millis(now - at));
                     if is_each_logged || counts.kept == 1 {
-                        slog::info!(self.uses.logger, "target's entry is gone"; "target" => id,
+                        slog::info!(self.deps.logger, "target's entry is gone"; "target" => id,
                             "offset" => offset, "kept_for_now" => true,
                             "kept_ms" => millis(until.saturating_duration_since(now)),
                             "none_before_ms_ago" => ago(none_before),
@@ -267,7 +267,7 @@
             }
         }
         if !is_each_logged {
-            slog::info!(self.uses.logger, "targets changed"; "added" => counts.added,
+            slog::info!(self.deps.logger, "targets changed"; "added" => counts.added,
                 "updated" => counts.updated, "gone" => counts.gone, "kept_for_now" => counts.kept);
         }
         is_any
@@ -280,7 +280,7 @@
         counts: &mut ChangeCounts,
         now: Instant,
     ) {
-        let mut places = lock(&self.uses.places);
+        let mut places = lock(&self.deps.balancer);
         let before = places.spec(id);
         if before != Some(&spec) {
             match before {
@@ -289,11 +289,11 @@
             }
             if is_logged {
                 let is_anew = before.is_some_and(|b| b.started_unix_ms != spec.started_unix_ms);
-                slog::info!(self.uses.logger, "target"; "target" => id,
+                slog::info!(self.deps.logger, "target"; "target" => id,
                     "addr" => spec.addr.to_string(), "service" => spec.service.as_str(),
                     "leaving" => spec.is_leaving, "started_anew" => is_anew, "offset" => offset);
             }
-            self.uses.metrics.count(Counted::Changes, "target");
+            self.deps.metrics.count(Counted::Changes, "target");
         }
         let cold_left = spec.cold_left;
         places.upsert(id, spec);
@@ -301,12 +301,12 @@
     }
 
     fn take_out(&self, id: &str) {
-        lock(&self.uses.places).remove(id);
-        self.uses.metrics.count(Counted::Changes, "target gone");
+        lock(&self.deps.balancer).remove(id);
+        self.deps.metrics.count(Counted::Changes, "target gone");
     }
 }
 
-fn record(stored: Stored) -> discovery::Record<Bytes> {
+fn record(stored: StoredRecord) -> discovery::Record<Bytes> {
     discovery::Record {
         id: stored.entry.key,
         offset: stored.offset,
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -22,10 +22,10 @@
 use crate::follow::Reading;
 use crate::follow::Seen;
 use crate::metrics::Counted;
+use crate::ports::DecodeError;
 use crate::ports::Entry;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Topic;
-use crate::ports::Unreadable;
 use crate::sync::lock;
 
 /// Bytes from which on a configuration is read on a thread of its own. One of 16,000
@@ -96,7 +96,7 @@
 
 /// Applies a configuration received from a peer.
 pub(crate) async fn take_from_peer(ctx: &Context, config: Config) {
-    let record = Stored {
+    let record = StoredRecord {
         offset: config.offset,
         entry: Entry {
             key: config.key,
@@ -107,7 +107,7 @@
 }
 
 /// Takes in a configuration, and lets those know who act on it.
-async fn take(ctx: &Context, record: Stored, source: &'static str) {
+async fn take(ctx: &Context, record: StoredRecord, source: &'static str) {
     let Some(value) = record.entry.value else {
         return;
     };
@@ -130,7 +130,7 @@
     );
 }
 
-async fn decode(ctx: &Context, key: &str, value: Bytes) -> Option<Result<Table, Unreadable>> {
+async fn decode(ctx: &Context, key: &str, value: Bytes) -> Option<Result<Table, DecodeError>> {
     let decode = ctx.decode.config;
     if value.len() < APART_BYTES_MIN {
         return decode(key, &value);
@@ -139,7 +139,7 @@
     let decoded = tokio::task::spawn_blocking(move || decode(&key, &value)).await;
     decoded.unwrap_or_else(|err| {
         let detail = err.to_string();
-        Some(Err(Unreadable { detail }))
+        Some(Err(DecodeError { detail }))
     })
 }
 
@@ -185,10 +185,10 @@
     fn put_config(
         &self,
         config: Config,
-        decoded: Result<Table, Unreadable>,
+        decoded: Result<Table, DecodeError>,
         source: &'static str,
     ) -> bool {
-        let logger = &self.uses.logger;
+        let logger = &self.deps.logger;
         let offset = config.offset;
         let table = match decoded {
             Ok(table) => table,
@@ -211,14 +211,14 @@
         }
         let rates = table.services();
         let rates = rates.filter_map(|s| Some((s.name.clone(), s.cold_per_s?)));
-        lock(&self.uses.places).set_cold_rates(rates.collect());
+        lock(&self.deps.balancer).set_cold_rates(rates.collect());
         let table = Arc::new(table);
-        let before = self.uses.routes.send_replace(Some(Arc::clone(&table)));
+        let before = self.deps.routes.send_replace(Some(Arc::clone(&table)));
         let workspaces_before = before.as_ref().and_then(|t| t.workspaces());
         known.removed.note(workspaces_before, table.workspaces());
         drop(known);
-        self.uses.startup.mark_ready(Dependency::Routes, source);
-        self.uses.metrics.count(Counted::Changes, "configuration");
+        self.deps.startup.mark_ready(Dependency::Routes, source);
+        self.deps.metrics.count(Counted::Changes, "configuration");
         slog::info!(logger, "configuration in force"; "version" => version,
             "before" => before.map(|t| t.version()), "offset" => offset, "source" => source,
             "workspaces" => workspaces);
--- a/crates/gateway/src/catalog/evacuation.rs
+++ b/crates/gateway/src/catalog/evacuation.rs
@@ -10,7 +10,7 @@
 use super::Known;
 use crate::context::Context;
 use crate::metrics::Counted;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::sync::lock;
 
 /// The evacuated data centres.
@@ -31,7 +31,7 @@
 
 /// Applies the evacuation records of the configuration topic. `listing_end` is the end offset
 /// of a complete listing, which replaces the known state, or `None` for incremental records.
-pub(super) fn apply_records(ctx: &Context, listing_end: Option<u64>, records: &[Stored]) {
+pub(super) fn apply_records(ctx: &Context, listing_end: Option<u64>, records: &[StoredRecord]) {
     let (previous, mut version) = ctx.catalog.evacuated();
     let mut current = match listing_end {
         Some(_) => BTreeSet::new(),
@@ -78,7 +78,7 @@
     ctx.metrics.count(Counted::Changes, "evacuation");
     ctx.metrics.set("data_centres_evacuated", current.len());
     ctx.items.wake();
-    ctx.peers.tell();
+    ctx.peers.notify();
 }
 
 impl Catalog {
@@ -105,7 +105,7 @@
         if known.evacuated.data_centres == *current {
             return None;
         }
-        lock(&self.uses.places).set_evacuated(current.iter().cloned().collect());
+        lock(&self.deps.balancer).set_evacuated(current.iter().cloned().collect());
         let previous = std::mem::replace(&mut known.evacuated.data_centres, current.clone());
         Some(previous)
     }
--- a/crates/gateway/src/catalog/follow.rs
+++ b/crates/gateway/src/catalog/follow.rs
@@ -60,7 +60,7 @@
 
 async fn follow_config(ctx: Arc<Context>) {
     let pace = pace(&ctx.settings, CONFIG_GAP);
-    peers::catalog(&ctx).await;
+    peers::wait_for_role(&ctx).await;
     // What a peer told need not be listed again.
     let catalog = Arc::clone(&ctx.catalog);
     let source = Source {
@@ -86,7 +86,7 @@
 
 async fn follow_targets(ctx: Arc<Context>) {
     let pace = pace(&ctx.settings, TARGETS_GAP);
-    peers::catalog(&ctx).await;
+    peers::wait_for_role(&ctx).await;
     let catalog = Arc::clone(&ctx.catalog);
     let source = Source {
         from: Box::new(move || Some(catalog.targets_end()).filter(|end| *end > 0)),
@@ -104,8 +104,8 @@
 /// Lets those know who act on routes and targets.
 pub(super) fn tell(ctx: &Context, news: News) {
     if news.routes {
-        ctx.enter(Phase::Ready);
-        ctx.peers.tell();
+        ctx.advance_phase(Phase::Ready);
+        ctx.peers.notify();
     }
     if news.targets {
         ctx.items.wake();
--- a/crates/gateway/src/catalog/records.rs
+++ b/crates/gateway/src/catalog/records.rs
@@ -177,7 +177,7 @@
         }
         let is_any = self.put_to_use(none_before, &read.evidence, changes, now);
         if is_any || known.targets.end() > 0 {
-            self.uses.startup.mark_ready(Dependency::Targets, "peer");
+            self.deps.startup.mark_ready(Dependency::Targets, "peer");
         }
         is_any
     }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -68,11 +68,11 @@
     pub incarnation: u64,
     /// The name under which this start of the host writes records. It is drawn:
     /// a clock that was set back must not bring a key that is in use.
-    pub(crate) writer: String,
+    pub(crate) writer_id: String,
     pub(crate) store: Store,
     pub(crate) targets: Targets,
     pub(crate) decode: Decode,
-    pub(crate) places: Arc<Mutex<Balancer>>,
+    pub(crate) balancer: Arc<Mutex<Balancer>>,
     pub(crate) budget: Mutex<Budget>,
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) distributor: Arc<Distributor>,
@@ -106,15 +106,15 @@
             reserve: settings.batch.reserve,
             ..balancer::Config::default()
         };
-        let places = Arc::new(Mutex::new(Balancer::new(cfg, rand::random())));
+        let balancer = Arc::new(Mutex::new(Balancer::new(cfg, rand::random())));
         let routes = watch::Sender::new(None);
         let wait = ms(settings.online.start_wait_ms);
         let startup = Arc::new(Startup::new(wait, logger.clone()));
-        let uses = catalog::Uses {
+        let uses = catalog::Dependencies {
             startup: Arc::clone(&startup),
             store: store.clone(),
             decode: ports.decode,
-            places: Arc::clone(&places),
+            balancer: Arc::clone(&balancer),
             routes: routes.clone(),
             metrics: Arc::clone(&metrics),
             logger: logger.clone(),
@@ -127,7 +127,7 @@
             call_bytes_max: usize::try_from(settings.store.call_bytes_max).unwrap_or(usize::MAX),
         });
         let catalog = Arc::new(Catalog::new(&settings, uses));
-        let distributor = Arc::new(Distributor::new(spread::Uses {
+        let distributor = Arc::new(Distributor::new(spread::Dependencies {
             host: settings.host.name.clone(),
             incarnation,
             catalog: Arc::clone(&catalog),
@@ -138,11 +138,11 @@
         }));
         let peers = Peers::new(&settings.peers);
         let waiting = Arc::new(Waiting::new(waiting::Uses {
-            places: Arc::clone(&places),
+            places: Arc::clone(&balancer),
             metrics: Arc::clone(&metrics),
             logger: logger.clone(),
             data_centre: settings.host.data_centre.clone(),
-            changed: peers.dirty(),
+            changed: peers.change_notifier(),
         }));
         Self {
             timer: Timer::start(),
@@ -152,10 +152,10 @@
             connections: Gauge::default(),
             started: Instant::now(),
             incarnation,
-            writer: format!("{}.{:x}", settings.host.name, rand::random::<u64>()),
+            writer_id: format!("{}.{:x}", settings.host.name, rand::random::<u64>()),
             targets: ports.targets,
             decode: ports.decode,
-            places,
+            balancer,
             budget: Mutex::new(Budget::new(RETRY_SHARE_PERCENT)),
             catalog,
             distributor,
@@ -192,7 +192,7 @@
 
     /// Returns the routes in force. A host that has just started has them within some
     /// milliseconds; a request waits for them a moment, at most until its deadline.
-    pub async fn routes_by(&self, deadline: Instant) -> Option<Arc<Table>> {
+    pub async fn wait_for_routes(&self, deadline: Instant) -> Option<Arc<Table>> {
         self.startup
             .wait_ready_until(Dependency::Routes, deadline)
             .await;
@@ -201,22 +201,22 @@
 
     /// Returns the number of targets that are in use.
     pub fn targets_known(&self) -> usize {
-        lock(&self.places).ids().count()
+        lock(&self.balancer).ids().count()
     }
 
     /// Returns whether a target is in use.
     pub fn is_target_known(&self, target: &str) -> bool {
-        lock(&self.places).spec(target).is_some()
+        lock(&self.balancer).spec(target).is_some()
     }
 
     /// Returns what all hosts run at a target, as far as known.
     pub fn load_of(&self, target: &str) -> balancer::Load {
-        lock(&self.places).load(target)
+        lock(&self.balancer).load(target)
     }
 
     /// Returns whether a target is known to leave.
     pub fn is_leaving(&self, target: &str) -> bool {
-        lock(&self.places)
+        lock(&self.balancer)
             .spec(target)
             .is_some_and(|spec| spec.is_leaving)
     }
@@ -262,7 +262,7 @@
     }
 
     /// Moves on to a phase; never back.
-    pub(crate) fn enter(&self, phase: Phase) {
+    pub(crate) fn advance_phase(&self, phase: Phase) {
         self.phase.send_if_modified(|now| {
             let later = phase > *now;
             if later {
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -6,11 +6,11 @@
 pub(crate) use notchwharf_routing::fingerprint::to_hex;
 
 use crate::ports::Decode;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 
 /// Returns the fingerprint of a request to a host. It is the workspace that counts and
 /// not the key: a caller with two keys does not get the targets of both.
-pub(crate) fn of(decode: &Decode, host: &str, forward: &Forward) -> Fingerprint {
+pub(crate) fn of(decode: &Decode, host: &str, forward: &ForwardedRequest) -> Fingerprint {
     fingerprint::of(&Content {
         host,
         method: forward.method.as_str(),
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -8,7 +8,7 @@
 
 use crate::ports::Read;
 use crate::ports::StoreError;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Topic;
 use crate::store::Listing;
 use crate::store::Store;
@@ -26,12 +26,12 @@
         /// The offset; some records may be newer, see [`Listing`].
         end: u64,
         /// The records.
-        records: Vec<Stored>,
+        records: Vec<StoredRecord>,
     },
     /// Records that follow those before.
     More {
         /// The records.
-        records: Vec<Stored>,
+        records: Vec<StoredRecord>,
         /// Whether the last one is the topic's newest.
         is_whole: bool,
     },
@@ -47,7 +47,7 @@
     }
 
     /// Returns the records.
-    pub(crate) fn records(self) -> Vec<Stored> {
+    pub(crate) fn records(self) -> Vec<StoredRecord> {
         let (Self::All { records, .. } | Self::More { records, .. }) = self;
         records
     }
--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -195,7 +195,7 @@
         Err(_) => slog::warn!(ctx.logger, "progress of items not saved"; "error" => "timed out"),
     }
     ctx.items.is_handed_over.store(true, Ordering::Relaxed);
-    ctx.peers.tell();
+    ctx.peers.notify();
 }
 
 /// Takes in what the job records say.
@@ -214,7 +214,7 @@
 
 /// Cuts an item at each target that has more than it can run.
 fn relieve(ctx: &Arc<Context>) {
-    let overfull = lock(&ctx.places).overcommitted(ctx.host());
+    let overfull = lock(&ctx.balancer).overcommitted(ctx.host());
     for target in overfull {
         if ctx.items.cut_one(&target) {
             ctx.metrics.count(Counted::Items, "cut, target overfull");
@@ -224,7 +224,7 @@
 
 /// Shows how full the targets are and which items come too late.
 fn gauge(ctx: &Context) {
-    let (taken, all) = lock(&ctx.places).slot_usage();
+    let (taken, all) = lock(&ctx.balancer).slot_usage();
     ctx.metrics.set("places_taken", taken as usize);
     ctx.metrics.set("places", all as usize);
     let late = lock(&ctx.items.backlog).late();
@@ -309,7 +309,7 @@
     let service = route.select_service(hash(&item.forward.id))?;
     let ahead = lock(&ctx.items.line).ahead(place.sort_key_unix_ms());
     ctx.metrics.set("items_ahead", ahead.items as usize);
-    let mut places = lock(&ctx.places);
+    let mut places = lock(&ctx.balancer);
     let has_failed_everywhere = places.ids().all(|id| item.failed_at.contains(id));
     let want = Criteria {
         service,
--- a/crates/gateway/src/items/load.rs
+++ b/crates/gateway/src/items/load.rs
@@ -15,7 +15,7 @@
 use crate::backlog::Item;
 use crate::context::Context;
 use crate::jobs::Payload;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 use crate::sync::lock;
 
 /// Pause before a job's items are read again.
@@ -44,7 +44,7 @@
         }
     }
     ctx.items.wake();
-    ctx.peers.tell();
+    ctx.peers.notify();
 }
 
 /// Lets items go on from where other hosts, or this one before it started
@@ -100,14 +100,14 @@
     let items = both.map(|((spec, item), number)| {
         let mut headers = item.headers();
         if is_told_apart || workspace.is_some() {
-            (ctx.decode.mark)(&mut headers, workspace);
+            (ctx.decode.set_workspace)(&mut headers, workspace);
         }
         Item {
             size: (ctx.decode.size)(&headers),
             key: (accepted.job.clone(), number),
             route: accepted.route.clone(),
             host: host.clone(),
-            forward: Arc::new(Forward {
+            forward: Arc::new(ForwardedRequest {
                 id: spec.id.clone(),
                 method: hyper::Method::POST,
                 headers,
--- a/crates/gateway/src/items/run.rs
+++ b/crates/gateway/src/items/run.rs
@@ -100,7 +100,7 @@
         }
         Ended::Impossible => settle::give_up(&ctx, &item, Reason::Impossible),
         Ended::Failed => {
-            let is_targets_fault = lock(&ctx.places).is_failing(&target, Instant::now());
+            let is_targets_fault = lock(&ctx.balancer).is_failing(&target, Instant::now());
             item.failed(&target, is_targets_fault);
             if item.is_spent(route.attempts_max) {
                 settle::give_up(&ctx, &item, Reason::Attempts);
@@ -127,7 +127,7 @@
 
 /// Finds out whether a target crashed under an item.
 async fn broke_off(ctx: &Arc<Context>, item: &Item, target: TargetId, ran: Duration) {
-    let Some(addr) = lock(&ctx.places).spec(&target).map(|spec| spec.addr) else {
+    let Some(addr) = lock(&ctx.balancer).spec(&target).map(|spec| spec.addr) else {
         return;
     };
     let run = quarantine::Run {
@@ -159,7 +159,7 @@
 
 fn note(ctx: &Context, target: &TargetId, ended: Ended) {
     let now = Instant::now();
-    let mut places = lock(&ctx.places);
+    let mut places = lock(&ctx.balancer);
     match ended {
         Ended::Whole | Ended::Impossible => places.record_success(target, None),
         Ended::Failed => places.record_item_failure(target, now),
@@ -172,14 +172,14 @@
 }
 
 async fn exchange(ctx: &Context, item: &mut Item, target: &TargetId) -> Ended {
-    let Some(addr) = lock(&ctx.places).spec(target).map(|spec| spec.addr) else {
+    let Some(addr) = lock(&ctx.balancer).spec(target).map(|spec| spec.addr) else {
         return Ended::NotRun(NoReply::NotSent("target gone"));
     };
     let call = Call {
-        forward: Arc::clone(&item.forward),
+        request: Arc::clone(&item.forward),
         target: target.clone(),
         addr,
-        left: RUN_TIMEOUT,
+        remaining: RUN_TIMEOUT,
         resume_after: item.last_event,
     };
     let stall = ms(ctx.settings.batch.stall_ms);
--- a/crates/gateway/src/items/settle.rs
+++ b/crates/gateway/src/items/settle.rs
@@ -49,7 +49,7 @@
 pub(super) async fn complete(ctx: Arc<Context>, item: Item) {
     let _unsettled = ctx.items.unsettled.enter();
     let (job, number) = &item.key;
-    let key = format!("{job}/{number}/{}", ctx.writer);
+    let key = format!("{job}/{number}/{}", ctx.writer_id);
     let text = bytes::Bytes::from(item.text);
     let deadline = Instant::now() + RECORD_TIMEOUT;
     let blobs = loop {
--- a/crates/gateway/src/items/take_over.rs
+++ b/crates/gateway/src/items/take_over.rs
@@ -11,7 +11,7 @@
 
 use crate::context::Context;
 use crate::peers;
-use crate::peers::STORELESS_MAX;
+use crate::peers::STORE_OUTAGE_MAX;
 use crate::time::ms;
 
 /// Time between two looks at jobs whose owners are gone.
@@ -29,12 +29,15 @@
     while ticks.recv().await.is_some() && ctx.phase() < Phase::Leaving {
         // After an outage others may have the store back too and not have said
         // so yet.
-        let has_store = ctx.store.is_up_for(STORELESS_MAX) && ctx.journal.is_loaded();
+        let has_store = ctx.store.has_been_up_for(STORE_OUTAGE_MAX) && ctx.journal.is_loaded();
         if Instant::now() < settled || !has_store {
             continue;
         }
         let is_old = ctx.journal.age().is_none_or(|age| age > TAKE_OVER_TICK);
-        if is_old && ctx.peers.lost_within(TAKE_OVER_TIME) && ctx.journal.sync().await.is_err() {
+        if is_old
+            && ctx.peers.has_lost_peer_within(TAKE_OVER_TIME)
+            && ctx.journal.sync().await.is_err()
+        {
             continue;
         }
         for (job, epoch, owner) in orphans(&ctx) {
@@ -56,8 +59,8 @@
     let jobs = ctx.journal.jobs();
     let orphans = jobs.open().filter(|job| {
         job.owner != ctx.host()
-            && peers::looks_after(ctx, &job.owner)
-            && !ctx.peers.keeps_jobs(&job.owner)
+            && peers::is_responsible_for(ctx, &job.owner)
+            && !ctx.peers.retains_jobs(&job.owner)
             && ctx.peers.is_successor(ctx.host(), &job.accepted.job)
     });
     let orphans = orphans.map(|job| (job.accepted.job.clone(), job.epoch, job.owner.clone()));
--- a/crates/gateway/src/jobs/passed_on.rs
+++ b/crates/gateway/src/jobs/passed_on.rs
@@ -25,7 +25,7 @@
 use crate::context::Context;
 use crate::error::JobCall;
 use crate::metrics::Counted;
-use crate::peers::NotAnswered;
+use crate::peers::CallError;
 
 /// Time for a peer's answer, beside the time that a reading may wait: what a
 /// record takes at most, and the way there and back.
@@ -111,15 +111,15 @@
     let mut not_now = None;
     let bytes = postcard::to_stdvec(call).expect("Calls are representable.");
     let bytes = Bytes::from(bytes);
-    for addr in ctx.peers.with_store_addrs(PEERS_MAX) {
+    for addr in ctx.peers.sample_with_store(PEERS_MAX) {
         let answered = ctx.peers.call(addr, bytes.clone(), call.timeout()).await;
         let res = match answered {
             Ok(bytes) => decode(ctx, addr, &bytes),
-            Err(NotAnswered::NotSent(why)) => {
+            Err(CallError::NotSent(why)) => {
                 note(ctx, call, addr, why);
                 continue;
             }
-            Err(NotAnswered::Lost(why)) => {
+            Err(CallError::Lost(why)) => {
                 note(ctx, call, addr, why);
                 None
             }
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -37,7 +37,7 @@
 use self::append::Append;
 use crate::context::Context;
 use crate::ports::StoreError;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::sync::lock;
 use crate::upkeep;
 use crate::work;
@@ -218,7 +218,7 @@
         over.len()
     }
 
-    fn apply(&self, ctx: &Context, records: Vec<Stored>) {
+    fn apply(&self, ctx: &Context, records: Vec<StoredRecord>) {
         if records.is_empty() {
             return;
         }
@@ -234,7 +234,7 @@
         self.changed.send_replace(end);
     }
 
-    fn rebuild(&self, ctx: &Context, end: Offset, records: Vec<Stored>) {
+    fn rebuild(&self, ctx: &Context, end: Offset, records: Vec<StoredRecord>) {
         let mut fresh = State::default();
         let count = records.len();
         for record in records {
@@ -276,7 +276,7 @@
 }
 
 impl State {
-    fn apply(&mut self, ctx: &Context, record: Stored) {
+    fn apply(&mut self, ctx: &Context, record: StoredRecord) {
         let offset = record.offset;
         if offset < self.jobs.end() {
             return;
--- a/crates/gateway/src/journal/append.rs
+++ b/crates/gateway/src/journal/append.rs
@@ -17,7 +17,7 @@
 use crate::context::Context;
 use crate::ports::Entry;
 use crate::ports::StoreError;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Topic;
 
 /// Records in one append: well below the bytes that a call may carry.
@@ -51,7 +51,7 @@
         let batch: Vec<Append> = queue.drain(..count).collect();
         let entries = batch.iter().map(|append| {
             number += 1;
-            let key = format!("{}.{number:x}", ctx.writer);
+            let key = format!("{}.{number:x}", ctx.writer_id);
             let value = Some(append.record.encode().into());
             Entry { key, value }
         });
@@ -97,15 +97,18 @@
     let is_next = journal.jobs().end() == offset && journal.is_loaded();
     if is_next {
         // Nobody wrote in between: what the records do is known already.
-        let records = batch.iter().zip(offset..).map(|(append, offset)| Stored {
-            offset,
-            entry: Entry {
-                key: String::new(),
-                value: Some(append.record.encode().into()),
-            },
-        });
+        let records = batch
+            .iter()
+            .zip(offset..)
+            .map(|(append, offset)| StoredRecord {
+                offset,
+                entry: Entry {
+                    key: String::new(),
+                    value: Some(append.record.encode().into()),
+                },
+            });
         journal.apply(ctx, records.collect());
-        ctx.peers.tell();
+        ctx.peers.notify();
     }
     let ctx = Arc::clone(ctx);
     tokio::spawn(async move {
--- a/crates/gateway/src/journal/read.rs
+++ b/crates/gateway/src/journal/read.rs
@@ -80,7 +80,7 @@
 
 /// Takes the records in from a peer, or lists them.
 async fn load(ctx: &Context) -> Result<(), StoreError> {
-    if let Some(snapshot) = peers::records(ctx).await {
+    if let Some(snapshot) = peers::fetch_job_records(ctx).await {
         ctx.journal.restore(ctx, snapshot);
         return Ok(());
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`ports`] is what an adapter fills: a store of ordered topics, targets that
 //! run requests, and the meaning of configuration and target records. An
 //! adapter calls [`online::serve`] for requests and the functions of [`jobs`]
-//! for jobs, and answers callers in its own protocol. [`life::Host`] starts and
+//! for jobs, and answers callers in its own protocol. [`lifecycle::Host`] starts and
 //! stops it all.
 //!
 //! Everything that lasts lies in the store: [`journal`] folds the job records,
@@ -21,7 +21,7 @@
 mod items;
 pub mod jobs;
 pub mod journal;
-pub mod life;
+pub mod lifecycle;
 mod limits;
 pub mod metrics;
 pub mod online;
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -87,14 +87,14 @@
     /// Returns whether everything was finished within the settings' time.
     pub async fn leave(self) -> bool {
         let ctx = &self.ctx;
-        ctx.enter(Phase::Leaving);
-        ctx.peers.tell();
+        ctx.advance_phase(Phase::Leaving);
+        ctx.peers.notify();
         slog::info!(ctx.logger, "leaving"; "in_flight" => ctx.in_flight.count(),
             "connections" => ctx.connections.count());
         let timeout = ms(ctx.settings.shutdown.drain_timeout_ms);
         let drained = tokio::time::timeout(timeout, self.drain()).await;
         let in_flight = ctx.in_flight.count();
-        ctx.enter(Phase::Stopped);
+        ctx.advance_phase(Phase::Stopped);
         slog::info!(ctx.logger, "stopped"; "clean" => drained.is_ok(), "in_flight" => in_flight);
         drained.is_ok()
     }
@@ -112,7 +112,7 @@
                 return;
             }
         }
-        ctx.enter(Phase::Closing);
+        ctx.advance_phase(Phase::Closing);
         while ctx.connections.count() > 0 && ticks.recv().await.is_some() {}
     }
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -39,7 +39,7 @@
 use crate::context::Context;
 use crate::error::Failure;
 use crate::metrics::Counted;
-use crate::peers::ForLimits;
+use crate::peers::QuotaPeer;
 use crate::sync::lock;
 use crate::time::millis;
 
@@ -357,8 +357,8 @@
     if !lock(&ctx.limits.node).has_limits() {
         return Vec::new();
     }
-    let peers = ctx.peers.for_limits();
-    let keys = |is: fn(&ForLimits) -> bool| -> Vec<HostKey> {
+    let peers = ctx.peers.quota_peers();
+    let keys = |is: fn(&QuotaPeer) -> bool| -> Vec<HostKey> {
         let chosen = peers.iter().filter(|peer| is(peer));
         chosen.map(|peer| peer.key).collect()
     };
--- a/crates/gateway/src/limits/allowance.rs
+++ b/crates/gateway/src/limits/allowance.rs
@@ -14,7 +14,7 @@
 use crate::ports::Entry;
 use crate::ports::Read;
 use crate::ports::StoreError;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Topic;
 use crate::store::Store;
 use crate::time::unix_ms;
@@ -37,7 +37,7 @@
 ) -> Result<Option<Instant>, StoreError> {
     let key = slot.to_string();
     let listing = store.all_newest(Topic::Limits, PART).await?;
-    let of_slot = |record: &&Stored| record.entry.key == key;
+    let of_slot = |record: &&StoredRecord| record.entry.key == key;
     let last = listing.records.iter().rev().find(of_slot);
     // A record that cannot be read may be of any time.
     let last_unix_ms = last.map(|record| decode(record).unwrap_or(u64::MAX));
@@ -74,6 +74,6 @@
     Ok(Some(asked))
 }
 
-fn decode(record: &Stored) -> Option<u64> {
+fn decode(record: &StoredRecord) -> Option<u64> {
     postcard::from_bytes(record.entry.value.as_deref()?).ok()
 }
--- a/crates/gateway/src/online.rs
+++ b/crates/gateway/src/online.rs
@@ -33,7 +33,7 @@
 use crate::limits::Permit;
 use crate::metrics::Counted;
 use crate::ports::Body;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 use crate::waiting::Standing;
 
 use self::sending::Sending;
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The request as it is passed on.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// The host that it names.
     pub host: String,
     /// Time that the caller waits.
--- a/crates/gateway/src/online/flow.rs
+++ b/crates/gateway/src/online/flow.rs
@@ -177,7 +177,7 @@
         if self.sending.trace.first_event().is_none() && !bytes.is_empty() {
             let took = begun.sent.elapsed();
             self.sending.trace.note_first_event(took);
-            lock(&self.sending.ctx.places).record_success(begun.running.target(), Some(took));
+            lock(&self.sending.ctx.balancer).record_success(begun.running.target(), Some(took));
         }
         let Some(events) = &mut self.events else {
             self.note_end(&bytes);
@@ -230,7 +230,7 @@
                 let ctx = Arc::clone(&self.sending.ctx);
                 quarantine::ended_well(&ctx, || self.sending.fingerprint());
             }
-            let mut places = lock(&self.sending.ctx.places);
+            let mut places = lock(&self.sending.ctx.balancer);
             if status.is_server_error() {
                 places.record_request_failure(begun.running.target(), Instant::now());
             } else {
@@ -267,7 +267,7 @@
         self.sending
             .trace
             .broke_off(&target, reason, self.last_event, fingerprint);
-        lock(&self.sending.ctx.places).record_connection_failure(&target, Instant::now());
+        lock(&self.sending.ctx.balancer).record_connection_failure(&target, Instant::now());
         if may_have_crashed {
             let ran = begun.elapsed();
             self.sending.broke_off(&target, addr, ran, Some(sent)).await;
--- a/crates/gateway/src/online/placing.rs
+++ b/crates/gateway/src/online/placing.rs
@@ -77,7 +77,7 @@
             ahead: Ahead::default(),
         };
         let chosen = work::timed(&self.ctx.metrics, Part::Placing, || {
-            lock(&self.ctx.places).choose_online(&want, now)
+            lock(&self.ctx.balancer).choose_online(&want, now)
         });
         match chosen {
             Ok(choice) => Ok(choice),
@@ -93,7 +93,10 @@
             SlotSource::PreemptOwn => {
                 self.ctx.items.cut_one(&choice.target);
             }
-            SlotSource::PreemptPeer(host) => self.ctx.peers.ask_cut(host, key_of(&choice.target)),
+            SlotSource::PreemptPeer(host) => self
+                .ctx
+                .peers
+                .request_preemption(host, key_of(&choice.target)),
             SlotSource::Free | SlotSource::Queue => {}
         }
     }
--- a/crates/gateway/src/online/sending.rs
+++ b/crates/gateway/src/online/sending.rs
@@ -25,7 +25,7 @@
 use crate::limits::Permit;
 use crate::metrics::Counted;
 use crate::ports::Call;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 use crate::ports::NoReply;
 use crate::ports::Reply;
 use crate::quarantine;
@@ -41,7 +41,7 @@
 /// A request on its way to a target.
 pub(super) struct Sending {
     pub(super) ctx: Arc<Context>,
-    pub(super) forward: Arc<Forward>,
+    pub(super) forward: Arc<ForwardedRequest>,
     /// The host that the request names.
     pub(super) host: String,
     pub(super) route: Arc<Route>,
@@ -257,10 +257,10 @@
     ) -> Result<Begun, NoReply> {
         let sent = Instant::now();
         let call = Call {
-            forward: Arc::clone(&self.forward),
+            request: Arc::clone(&self.forward),
             target: choice.target.clone(),
             addr: choice.addr,
-            left: self.deadline.saturating_duration_since(sent),
+            remaining: self.deadline.saturating_duration_since(sent),
             resume_after,
         };
         let replied = (self.ctx.targets.call)(call);
@@ -308,7 +308,7 @@
         self.ctx.metrics.count(Counted::Offers, err.reason());
         let fingerprint = err.may_have_run().then(|| self.fingerprint());
         self.trace.offer_failed(target, err, fingerprint);
-        let mut places = lock(&self.ctx.places);
+        let mut places = lock(&self.ctx.balancer);
         match err {
             NoReply::Full => places.record_rejection(target, now),
             NoReply::NotSent(_) | NoReply::OtherTarget => {
--- a/crates/gateway/src/online/trace.rs
+++ b/crates/gateway/src/online/trace.rs
@@ -22,7 +22,7 @@
 use crate::fingerprint;
 use crate::metrics::Counted;
 use crate::metrics::Timed;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 use crate::ports::NoReply;
 use crate::sync::lock;
 use crate::time::millis;
@@ -59,7 +59,7 @@
 impl Trace {
     pub(super) fn new(
         ctx: &Arc<Context>,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         route: &Arc<Route>,
         version: u64,
         arrived: Instant,
@@ -91,7 +91,7 @@
             return;
         };
         told.offers += 1;
-        let load = lock(&told.ctx.places).load(&choice.target);
+        let load = lock(&told.ctx.balancer).load(&choice.target);
         told.load = load.total().saturating_sub(1);
         told.target = Some(choice.target.clone());
         told.room = match choice.slot_source {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -67,14 +67,14 @@
 use self::host_log::HostLog;
 pub(crate) use self::list::leave;
 use self::loading::Loading;
-pub(crate) use self::loading::catalog;
-pub(crate) use self::loading::records;
+pub(crate) use self::loading::fetch_job_records;
+pub(crate) use self::loading::wait_for_role;
 use self::relay::Relay;
-pub(crate) use self::rpc::NotAnswered;
+pub(crate) use self::rpc::CallError;
 
 /// Time without the store after which a host's jobs are taken over: most
 /// outages of one host are shorter, and items take some seconds.
-pub(crate) const STORELESS_MAX: Duration = Duration::from_millis(1_500);
+pub(crate) const STORE_OUTAGE_MAX: Duration = Duration::from_millis(1_500);
 
 /// Time between two looks at who is down.
 const SWEEP: Duration = Duration::from_millis(100);
@@ -101,7 +101,7 @@
 
 /// Another host, as limits know it.
 #[derive(Clone, Debug)]
-pub(crate) struct ForLimits {
+pub(crate) struct QuotaPeer {
     pub(crate) key: HostKey,
     pub(crate) addr: SocketAddr,
     /// Whether it could hold limits.
@@ -182,20 +182,20 @@
     }
 
     /// Returns what lets peers know soon that something has changed.
-    pub(crate) fn dirty(&self) -> Arc<Notify> {
+    pub(crate) fn change_notifier(&self) -> Arc<Notify> {
         Arc::clone(&self.dirty)
     }
 
     /// Lets peers know soon that something has changed.
-    pub(crate) fn tell(&self) {
+    pub(crate) fn notify(&self) {
         self.dirty.notify_one();
     }
 
     /// Sends this host's load to peers immediately, or with the next heartbeat if the fleet
     /// is divided into cells and the target's places are not scarce.
-    pub(crate) fn tell_load(&self, is_scarce: bool) {
+    pub(crate) fn notify_load(&self, is_scarce: bool) {
         if is_scarce || !self.neighbours.cells().is_divided() {
-            self.tell();
+            self.notify();
         }
     }
 
@@ -209,9 +209,9 @@
     }
 
     /// Returns all other hosts that are known, for whoever shares limits with them.
-    pub(crate) fn for_limits(&self) -> Vec<ForLimits> {
+    pub(crate) fn quota_peers(&self) -> Vec<QuotaPeer> {
         let known = lock(&self.known);
-        let all = known.iter().map(|(host, peer)| ForLimits {
+        let all = known.iter().map(|(host, peer)| QuotaPeer {
             key: host_key(host),
             addr: peer.addr,
             could_hold: peer.is_alive && !peer.status.leaving,
@@ -235,7 +235,7 @@
     }
 
     /// Asks a peer to cut an item at a target.
-    pub(crate) fn ask_cut(&self, host: &str, target: TargetKey) {
+    pub(crate) fn request_preemption(&self, host: &str, target: TargetKey) {
         // Lost, the target is overfull and its hosts notice that too.
         self.send_to_host(host, &PeerMessage::Preemption(Preemption { target }));
     }
@@ -251,7 +251,7 @@
     }
 
     /// Hands a place that has fallen free to a request that waits at a peer.
-    pub(crate) fn hand(&self, host: &str, target: TargetKey) {
+    pub(crate) fn transfer_slot(&self, host: &str, target: TargetKey) {
         // Lost, all see soon that the place is free.
         self.send_to_host(host, &PeerMessage::SlotTransfer(SlotTransfer { target }));
     }
@@ -268,17 +268,17 @@
 
     /// Returns whether a peer goes on running the items of its jobs. Without
     /// the store it does for a moment: taken over, its items would run again.
-    pub(crate) fn keeps_jobs(&self, host: &str) -> bool {
+    pub(crate) fn retains_jobs(&self, host: &str) -> bool {
         let known = lock(&self.known);
         known.get(host).is_some_and(|peer| {
             let storeless = peer.storeless_since.map(|at| at.elapsed());
-            let reaches_store = storeless.is_none_or(|time| time < STORELESS_MAX);
+            let reaches_store = storeless.is_none_or(|time| time < STORE_OUTAGE_MAX);
             peer.is_alive && !peer.status.leaving && reaches_store
         })
     }
 
     /// Returns whether a peer was lost or left within a time before now.
-    pub(crate) fn lost_within(&self, time: Duration) -> bool {
+    pub(crate) fn has_lost_peer_within(&self, time: Duration) -> bool {
         lock(&self.lost_at).is_some_and(|at| at.elapsed() < time)
     }
 
@@ -301,7 +301,7 @@
     /// Returns the addresses of some peers that reach the store, in the order in which to
     /// ask them: some of this host's cell, then some of others. The store may have turned
     /// away the whole cell a moment ago, and its hosts have not said so yet.
-    pub(crate) fn with_store_addrs(&self, most: usize) -> Vec<SocketAddr> {
+    pub(crate) fn sample_with_store(&self, most: usize) -> Vec<SocketAddr> {
         let (able, able_far) = (self.able(), self.able_far());
         let known = lock(&self.known);
         let mut rng = rand::rng();
@@ -322,7 +322,7 @@
         addr: SocketAddr,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Bytes, NotAnswered> {
+    ) -> Result<Bytes, CallError> {
         rpc::call(addr, rpc::JOBS, body, timeout).await
     }
 
@@ -337,13 +337,13 @@
 }
 
 /// Returns whether this host looks after the jobs of another that may be gone.
-pub(crate) fn looks_after(ctx: &Context, host: &str) -> bool {
-    cell::looks_after(ctx, host)
+pub(crate) fn is_responsible_for(ctx: &Context, host: &str) -> bool {
+    cell::is_responsible_for(ctx, host)
 }
 
 /// Returns whether a task of the whole fleet is for a host of this one's cell.
-pub(crate) fn is_for_cell(ctx: &Context, task: &str) -> bool {
-    cell::is_for_cell(ctx, task)
+pub(crate) fn is_assigned_to_own_cell(ctx: &Context, task: &str) -> bool {
+    cell::is_assigned_to_own_cell(ctx, task)
 }
 
 /// Starts to speak with other hosts.
@@ -372,7 +372,7 @@
     tokio::spawn(relay::run(Arc::clone(ctx)));
     tokio::spawn(cell::run(Arc::clone(ctx)));
     tokio::spawn(loading::run(Arc::clone(ctx)));
-    tokio::spawn(suspects::retell(Arc::clone(ctx)));
+    tokio::spawn(suspects::send_periodic_reports(Arc::clone(ctx)));
     tokio::spawn(sweep(Arc::clone(ctx)));
     for listener in listeners {
         tokio::spawn(rpc::serve(Arc::clone(ctx), listener));
@@ -411,7 +411,7 @@
                 "silent_ms" => silence.map(|s| s.as_millis()));
             ctx.metrics.count(Counted::Changes, "host down");
             *lock(&ctx.peers.lost_at) = Some(Instant::now());
-            lock(&ctx.places).remove_peer(&host);
+            lock(&ctx.balancer).remove_peer(&host);
             ctx.items.peer_down(&host);
             ctx.waiting.peer_down(&host);
             ctx.items.wake();
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -152,7 +152,7 @@
     slog::info!(ctx.logger, "fleet divided"; "cells" => count, "own_cell" => own_cell);
     ctx.metrics.set("cells", count);
     ctx.metrics.count(Counted::Changes, "cells");
-    lock(&ctx.places).clear_cells();
+    lock(&ctx.balancer).clear_cells();
     let mut outside = Vec::new();
     for (host, peer) in lock(&ctx.peers.known).iter_mut() {
         if !is_together(ctx, cells, host, peer) {
@@ -161,7 +161,7 @@
         }
     }
     for host in outside {
-        lock(&ctx.places).remove_peer(&host);
+        lock(&ctx.balancer).remove_peer(&host);
         ctx.items.peer_down(&host);
     }
 }
@@ -175,7 +175,7 @@
 
 /// Returns whether this host looks after the jobs of another that may be gone: one
 /// of its own cell, of a cell that is gone as a whole, or of none.
-pub(super) fn looks_after(ctx: &Context, host: &str) -> bool {
+pub(super) fn is_responsible_for(ctx: &Context, host: &str) -> bool {
     let neighbours = &ctx.peers.neighbours;
     let cells = neighbours.cells();
     if !cells.is_divided() {
@@ -199,7 +199,7 @@
 }
 
 /// Returns whether a task of the whole fleet is for a host of this one's cell.
-pub(super) fn is_for_cell(ctx: &Context, task: &str) -> bool {
+pub(super) fn is_assigned_to_own_cell(ctx: &Context, task: &str) -> bool {
     let neighbours = &ctx.peers.neighbours;
     let own = own_cell(ctx, neighbours.cells());
     let heard = lock(&neighbours.heard);
@@ -219,7 +219,7 @@
     if cells.is_divided() && !cells.are_in_same_cell(own, from) {
         let cell = cells.name_of(from);
         let loads = told.loads.iter().map(status::load).collect();
-        lock(&ctx.places).set_cell_loads(&cell, loads, now);
+        lock(&ctx.balancer).set_cell_loads(&cell, loads, now);
         lock(&ctx.peers.neighbours.heard).insert(cell, now);
     }
     ctx.journal.told(told.jobs);
@@ -254,7 +254,7 @@
 
 fn cell_status(ctx: &Context) -> CellStatus {
     let versions = ctx.catalog.versions();
-    let sum = lock(&ctx.places).total_loads();
+    let sum = lock(&ctx.balancer).total_loads();
     let loads = sum.into_iter().map(|(target, load)| messages::Load {
         target,
         online: load.online,
@@ -303,7 +303,7 @@
     let neighbours = &ctx.peers.neighbours;
     let cells: Vec<String> = lock(&neighbours.heard).keys().cloned().collect();
     for cell in cells {
-        if neighbours.is_silent(&cell) && lock(&ctx.places).remove_cell(&cell) {
+        if neighbours.is_silent(&cell) && lock(&ctx.balancer).remove_cell(&cell) {
             slog::warn!(ctx.logger, "cell down"; "cell" => cell);
             ctx.metrics.count(Counted::Changes, "cell down");
         }
--- a/crates/gateway/src/peers/contact.rs
+++ b/crates/gateway/src/peers/contact.rs
@@ -138,6 +138,6 @@
     }
     list::add_contact(ctx, &introduction.host, &introduction.listing);
     cell::divide(ctx);
-    ctx.peers.tell();
+    ctx.peers.notify();
     true
 }
--- a/crates/gateway/src/peers/host_log.rs
+++ b/crates/gateway/src/peers/host_log.rs
@@ -7,7 +7,7 @@
 use notchwharf_routing::balancer::HostId;
 use notchwharf_spread::changes::Changes;
 
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 
 /// Number of retained changes of the list. A peer that is further behind is sent all
 /// entries.
@@ -32,7 +32,7 @@
 }
 
 impl HostLog {
-    pub(super) fn apply(&mut self, record: &Stored) {
+    pub(super) fn apply(&mut self, record: &StoredRecord) {
         let host = &record.entry.key;
         let newest = self.entries.get(host).map(|(offset, _)| *offset);
         if newest.is_some_and(|newest| newest >= record.offset) {
--- a/crates/gateway/src/peers/links.rs
+++ b/crates/gateway/src/peers/links.rs
@@ -78,6 +78,6 @@
 async fn request_changes(addr: SocketAddr, request: ChangesRequest) -> ChangesResult {
     let body = postcard::to_stdvec(&request).expect("Requests are representable.");
     let answer = rpc::call(addr, rpc::CHANGES, body.into(), REQUEST_TIMEOUT).await;
-    let bytes = answer.map_err(rpc::NotAnswered::reason)?;
+    let bytes = answer.map_err(rpc::CallError::reason)?;
     postcard::from_bytes::<ChangesResponse>(&bytes).map_err(|_| "invalid response")
 }
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -20,7 +20,7 @@
 use crate::follow::Reading;
 use crate::metrics::Counted;
 use crate::ports::Entry;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Topic;
 use crate::sync::lock;
 use crate::time::Backoff;
@@ -118,7 +118,7 @@
 }
 
 /// Takes in whether the list has this host's entry; writes it again if it was dropped.
-fn note_own(ctx: &Arc<Context>, asked: Instant, is_listing: bool, records: &[Stored]) {
+fn note_own(ctx: &Arc<Context>, asked: Instant, is_listing: bool, records: &[StoredRecord]) {
     let own = records.iter().rev().find(|r| r.entry.key == ctx.host());
     let value = own.and_then(|own| own.entry.value.as_deref());
     let is_listed = value.is_some_and(|value| {
@@ -171,7 +171,7 @@
     }
     let changes = received.changes.into_iter();
     let changes = changes.filter(|(_, offset, _)| received.is_complete || *offset >= known_to);
-    let records = changes.map(|(host, offset, value)| Stored {
+    let records = changes.map(|(host, offset, value)| StoredRecord {
         offset,
         entry: Entry {
             key: host,
@@ -195,7 +195,13 @@
     apply(ctx, reading.asked, listed_to.is_some(), to, records);
 }
 
-fn apply(ctx: &Arc<Context>, asked: Instant, is_listing: bool, to: u64, records: Vec<Stored>) {
+fn apply(
+    ctx: &Arc<Context>,
+    asked: Instant,
+    is_listing: bool,
+    to: u64,
+    records: Vec<StoredRecord>,
+) {
     note_own(ctx, asked, is_listing, &records);
     {
         let mut host_log = lock(&ctx.peers.host_log);
@@ -226,7 +232,7 @@
     log_known(ctx, &added);
     cell::divide(ctx);
     ctx.peers.loading.list_read(asked);
-    ctx.peers.tell();
+    ctx.peers.notify();
 }
 
 /// Logs newly known hosts.
--- a/crates/gateway/src/peers/loading.rs
+++ b/crates/gateway/src/peers/loading.rs
@@ -153,7 +153,7 @@
 }
 
 /// Waits until routes and targets are here, or are to be listed.
-pub(crate) async fn catalog(ctx: &Context) {
+pub(crate) async fn wait_for_role(ctx: &Context) {
     let mut is_due = ctx.peers.loading.is_catalog_due.subscribe();
     // The sender lives as long as the context.
     let _ = is_due.wait_for(|is_due| *is_due).await;
@@ -161,7 +161,7 @@
 
 /// Returns the job records as a peer knows them; nothing if this host is to list
 /// them itself.
-pub(crate) async fn records(ctx: &Context) -> Option<Snapshot> {
+pub(crate) async fn fetch_job_records(ctx: &Context) -> Option<Snapshot> {
     if lists(ctx).await {
         return None;
     }
--- a/crates/gateway/src/peers/rpc.rs
+++ b/crates/gateway/src/peers/rpc.rs
@@ -50,14 +50,14 @@
 
 /// Why a peer gave no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NotAnswered {
+pub(crate) enum CallError {
     /// It was not reached.
     NotSent(&'static str),
     /// It may have done what it was asked for.
     Lost(&'static str),
 }
 
-impl NotAnswered {
+impl CallError {
     /// Returns the reason in a word or two.
     pub(super) fn reason(self) -> &'static str {
         match self {
@@ -72,30 +72,30 @@
     path: &str,
     body: Bytes,
     timeout: Duration,
-) -> Result<Bytes, NotAnswered> {
+) -> Result<Bytes, CallError> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
     let socket = match connecting.await {
-        Err(_) => return Err(NotAnswered::NotSent("connecting timed out")),
-        Ok(Err(_)) => return Err(NotAnswered::NotSent("connection refused")),
+        Err(_) => return Err(CallError::NotSent("connecting timed out")),
+        Ok(Err(_)) => return Err(CallError::NotSent("connection refused")),
         Ok(Ok(socket)) => socket,
     };
     let called = tokio::time::timeout(timeout, exchange(socket, path, body));
     called
         .await
-        .unwrap_or(Err(NotAnswered::Lost("peer did not answer in time")))
+        .unwrap_or(Err(CallError::Lost("peer did not answer in time")))
 }
 
-async fn exchange(socket: TcpStream, path: &str, body: Bytes) -> Result<Bytes, NotAnswered> {
-    const BROKE: NotAnswered = NotAnswered::Lost("connection to peer broke");
+async fn exchange(socket: TcpStream, path: &str, body: Bytes) -> Result<Bytes, CallError> {
+    const BROKE: CallError = CallError::Lost("connection to peer broke");
     let conn = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await;
-    let (mut sender, conn) = conn.map_err(|_| NotAnswered::NotSent("no handshake"))?;
+    let (mut sender, conn) = conn.map_err(|_| CallError::NotSent("no handshake"))?;
     tokio::spawn(conn);
     let req = Request::post(path).header("host", "peer");
     let req = req.body(Full::new(body));
-    let req = req.map_err(|_| NotAnswered::NotSent("malformed call"))?;
+    let req = req.map_err(|_| CallError::NotSent("malformed call"))?;
     let resp = sender.send_request(req).await.map_err(|_| BROKE)?;
     if resp.status() != StatusCode::OK {
-        return Err(NotAnswered::Lost("peer could not answer"));
+        return Err(CallError::Lost("peer could not answer"));
     }
     let body = resp.into_body().collect().await.map_err(|_| BROKE)?;
     Ok(body.to_bytes())
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -45,7 +45,7 @@
 fn own_status(ctx: &Context, number: u64) -> Status {
     let versions = ctx.catalog.versions();
     let (loads, failing) = {
-        let places = lock(&ctx.places);
+        let places = lock(&ctx.balancer);
         let loads = places.own_loads().map(|(target, load)| messages::Load {
             target,
             online: load.online,
@@ -130,7 +130,7 @@
     if !due.local || !ctx.waiting.is_on() {
         return Vec::new();
     }
-    let now = lock(&ctx.places).own_remote_loads(&ctx.settings.host.data_centre);
+    let now = lock(&ctx.balancer).own_remote_loads(&ctx.settings.host.data_centre);
     let mut told = lock(&ctx.peers.told_elsewhere);
     let all = now.keys().chain(told.keys());
     let changed: BTreeSet<&DataCentreId> = all
@@ -184,7 +184,7 @@
 }
 
 fn take_cut(ctx: &Arc<Context>, cut: Preemption) {
-    let target = lock(&ctx.places).id_of(cut.target).cloned();
+    let target = lock(&ctx.balancer).id_of(cut.target).cloned();
     if let Some(target) = target {
         ctx.items.cut_one(&target);
     }
@@ -220,7 +220,7 @@
     // A target may fail callers of one data centre only.
     let failing = if heard.is_near { failing } else { vec![] };
     let waits = ctx.items.peer_waits(&host, waiting);
-    let runs = lock(&ctx.places).set_peer_loads(&host, loads, failing, Instant::now());
+    let runs = lock(&ctx.balancer).set_peer_loads(&host, loads, failing, Instant::now());
     ctx.journal.told(jobs);
     if waits || runs {
         ctx.items.wake();
@@ -236,7 +236,7 @@
             "incarnation" => incarnation, "addr" => heard.addr.to_string(),
             "passed_on" => addr.is_none());
         ctx.metrics.count(Counted::Changes, "host up");
-        ctx.peers.tell();
+        ctx.peers.notify();
         suspects::tell_newcomer(ctx, heard.addr);
     }
     if heard.is_pull_due {
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -44,7 +44,7 @@
 const CATCH_UP_MAX: Duration = Duration::from_millis(1_000);
 
 /// Tells all hosts what changes, until the host stops.
-pub(crate) async fn tell(ctx: Arc<Context>) {
+pub(crate) async fn broadcast_changes(ctx: Arc<Context>) {
     let gate = Arc::clone(&ctx.suspects.gate);
     send_changes(gate, move |told| tell_all(&ctx, told)).await;
 }
@@ -63,7 +63,7 @@
 }
 
 /// Tells others again until the host stops.
-pub(super) async fn retell(ctx: Arc<Context>) {
+pub(super) async fn send_periodic_reports(ctx: Arc<Context>) {
     let mut ticks = ctx.timer.subscribe(REPORT_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         let gate = &ctx.suspects.gate;
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -30,7 +30,7 @@
 
 /// A request as its caller sent it.
 #[derive(Clone, Debug)]
-pub struct Forward {
+pub struct ForwardedRequest {
     /// The request's name.
     pub id: RequestId,
     /// The method.
@@ -49,13 +49,13 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The request.
-    pub forward: Arc<Forward>,
+    pub request: Arc<ForwardedRequest>,
     /// The target's incarnation; another one at the address must not run it.
     pub target: TargetId,
     /// Where the target answers.
     pub addr: SocketAddr,
     /// Time that the caller still waits.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The number of the last event that is here already.
     pub resume_after: Option<u64>,
 }
@@ -179,7 +179,7 @@
 
 /// A record that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredRecord {
     /// Its place in the partition.
     pub offset: u64,
     /// The record.
@@ -192,7 +192,7 @@
     /// The offset that follows the newest record of the partition.
     pub end: u64,
     /// The records.
-    pub records: Vec<Stored>,
+    pub records: Vec<StoredRecord>,
 }
 
 /// Newest records of keys.
@@ -201,7 +201,7 @@
     /// The offset that follows the newest record of the partition.
     pub end: u64,
     /// The records, by key.
-    pub records: Vec<Stored>,
+    pub records: Vec<StoredRecord>,
     /// Whether more keys follow the last one.
     pub has_more: bool,
 }
@@ -279,9 +279,9 @@
 /// Returns the data centre that the record with this key evacuates; `None` for other records.
 pub type DecodeEvacuation = fn(&str) -> Option<&str>;
 /// Reads a configuration's record; nothing if the key is that of another.
-pub type DecodeConfig = fn(key: &str, value: &[u8]) -> Option<Result<Table, Unreadable>>;
+pub type DecodeConfig = fn(key: &str, value: &[u8]) -> Option<Result<Table, DecodeError>>;
 /// Reads a target's record.
-pub type DecodeTarget = fn(value: &[u8]) -> Result<Spec, Unreadable>;
+pub type DecodeTarget = fn(value: &[u8]) -> Result<Spec, DecodeError>;
 
 /// Reads what an item's headers tell of its size; what they do not tell, or not
 /// in a way that can be read, is zero.
@@ -296,7 +296,7 @@
 
 /// Takes out of a request's headers whatever its caller said about itself, and tells
 /// the workspace, if there is one, in its place.
-pub type Mark = fn(headers: &mut HeaderMap, workspace: Option<&str>);
+pub type SetWorkspace = fn(headers: &mut HeaderMap, workspace: Option<&str>);
 
 /// What records, requests and items mean.
 #[derive(Clone, Copy)]
@@ -314,23 +314,23 @@
     /// Reads the key that a request presents.
     pub key: DecodeKey,
     /// Tells targets the workspace.
-    pub mark: Mark,
+    pub set_workspace: SetWorkspace,
 }
 
 /// A record that does not say what it should.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct DecodeError {
     /// What is wrong, with the place in the record.
     pub detail: String,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "unreadable record: {}", self.detail)
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for DecodeError {}
 
 /// All ports.
 #[derive(Clone)]
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -58,7 +58,7 @@
 
 /// Starts to tell other hosts, and to remember what was blamed before this host started.
 pub(crate) fn start(ctx: &Arc<Context>) {
-    tokio::spawn(suspects::tell(Arc::clone(ctx)));
+    tokio::spawn(suspects::broadcast_changes(Arc::clone(ctx)));
     tokio::spawn(saved::load(Arc::clone(ctx)));
     tokio::spawn(suspects::catch_up(Arc::clone(ctx)));
 }
@@ -118,7 +118,7 @@
     note_blamed(ctx, told.fingerprint, crashes, host);
     // The host that saw the last crash may have died since.
     let task = fingerprint::to_hex(told.fingerprint);
-    if peers::is_for_cell(ctx, &task) && ctx.peers.is_successor(ctx.host(), &task) {
+    if peers::is_assigned_to_own_cell(ctx, &task) && ctx.peers.is_successor(ctx.host(), &task) {
         saved::save(ctx, told.fingerprint);
     }
 }
--- a/crates/gateway/src/quarantine/look.rs
+++ b/crates/gateway/src/quarantine/look.rs
@@ -101,13 +101,13 @@
         return;
     }
     ctx.metrics.count(Counted::Changes, "target crashed");
-    let life = life_of(&ctx, &target);
+    let lifecycle = life_of(&ctx, &target);
     for broken in &broken {
-        note_crash(&ctx, broken, life);
+        note_crash(&ctx, broken, lifecycle);
     }
 }
 
-fn note_crash(ctx: &Arc<Context>, broken: &Broken, life: IncarnationId) {
+fn note_crash(ctx: &Arc<Context>, broken: &Broken, lifecycle: IncarnationId) {
     let Run {
         fingerprint,
         ran,
@@ -118,8 +118,8 @@
     let crash = Crash {
         // The list of targets may be old here: one that answered after the life that it
         // names had ended has started anew.
-        incarnation: answered_from.map_or(life, |from| {
-            gate.incarnation_of_run(fingerprint, life, from)
+        incarnation: answered_from.map_or(lifecycle, |from| {
+            gate.incarnation_of_run(fingerprint, lifecycle, from)
         }),
         run_time: ran,
         detected_at: broken.at,
@@ -138,7 +138,7 @@
 /// Returns what names the present life of a target, to all hosts alike: a target may
 /// start again under its name.
 fn life_of(ctx: &Context, target: &str) -> IncarnationId {
-    let places = lock(&ctx.places);
+    let places = lock(&ctx.balancer);
     let born = places.spec(target).and_then(|spec| spec.started_unix_ms);
     xxh3_64(format!("{target}/{}", born.unwrap_or_default()).as_bytes())
 }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -51,7 +51,7 @@
 pub(crate) const RESPONSE_TARGETS_MAX: usize = 1_000;
 
 /// Dependencies of the distributor on this host.
-pub(crate) struct Uses {
+pub(crate) struct Dependencies {
     pub(crate) host: HostId,
     pub(crate) incarnation: u64,
     pub(crate) catalog: Arc<Catalog>,
@@ -102,7 +102,7 @@
 
 /// Follows the reader of the log, or reads and announces it.
 pub(crate) struct Distributor {
-    uses: Uses,
+    deps: Dependencies,
     timeouts: Timeouts,
     links: std::sync::OnceLock<Links>,
     started: Instant,
@@ -127,11 +127,11 @@
 }
 
 impl Distributor {
-    pub(crate) fn new(uses: Uses) -> Self {
+    pub(crate) fn new(deps: Dependencies) -> Self {
         let now = Instant::now();
         Self {
-            timeouts: Timeouts::for_deadline(uses.drain_time),
-            uses,
+            timeouts: Timeouts::for_deadline(deps.drain_time),
+            deps,
             links: std::sync::OnceLock::new(),
             started: now,
             state: Mutex::new(State {
@@ -154,7 +154,7 @@
 
     /// Records that another host has newer versions.
     pub(crate) fn note_ahead(&self, addr: SocketAddr, versions: Versions) {
-        if self.uses.catalog.is_behind(versions) {
+        if self.deps.catalog.is_behind(versions) {
             self.note_missing(Missing {
                 versions,
                 source: Some(addr),
@@ -182,14 +182,14 @@
             source: Some(addr),
         };
         if self
-            .uses
+            .deps
             .catalog
             .apply_peer_targets(message.targets, read, now)
         {
             (links.targets_changed)();
         }
         if let Some(as_of) = read.config_as_of {
-            self.uses.catalog.confirmed_by_peer(message.config, as_of);
+            self.deps.catalog.confirmed_by_peer(message.config, as_of);
         }
         if self.lacks(links, &announced) {
             self.note_missing(announced);
@@ -211,7 +211,7 @@
         }
         let heard = now - delay;
         state.heard = state.heard.max(heard);
-        if readers::ranks_before(&message.reader, &self.uses.host) {
+        if readers::ranks_before(&message.reader, &self.deps.host) {
             state.heard_ranked_before = state.heard_ranked_before.max(heard);
         }
         read
@@ -224,7 +224,7 @@
                 ..message.clone()
             });
             (links.send)(branch.receiver, &news);
-            self.uses.metrics.count(Counted::Datagrams, "told on");
+            self.deps.metrics.count(Counted::Datagrams, "told on");
         }
     }
 
@@ -237,7 +237,7 @@
             false => state.heard,
         };
         let silence = now.saturating_duration_since(heard);
-        let is_store_up = self.uses.store.is_up();
+        let is_store_up = self.deps.store.is_up();
         let rank = state.rank;
         drop(state);
         let is_reader = match rank {
@@ -249,8 +249,8 @@
             return;
         }
         self.is_reader.send_replace(is_reader);
-        self.uses.metrics.set("reads_log", usize::from(is_reader));
-        slog::info!(self.uses.logger, "log reader role changed"; "is_reader" => is_reader,
+        self.deps.metrics.set("reads_log", usize::from(is_reader));
+        slog::info!(self.deps.logger, "log reader role changed"; "is_reader" => is_reader,
             "rank" => rank, "silence_ms" => millis(silence));
     }
 }
@@ -284,7 +284,7 @@
             near = (links.neighbours)();
             let rank = near.as_ref().map(|near| {
                 let hosts = near.iter().map(|(host, _)| host.as_str());
-                readers::rank(&distributor.uses.host, hosts)
+                readers::rank(&distributor.deps.host, hosts)
             });
             lock(&distributor.state).rank = rank;
         }
--- a/crates/gateway/src/spread/announcing.rs
+++ b/crates/gateway/src/spread/announcing.rs
@@ -35,7 +35,7 @@
 impl Distributor {
     /// Announces what this host has read, if there are changes or an announcement is due.
     pub(super) fn announce(&self, links: &Links, near: &[Neighbour], now: Instant) {
-        let versions = self.uses.catalog.versions();
+        let versions = self.deps.catalog.versions();
         let hosts = (links.hosts_end)();
         let announced = lock(&self.state).announced;
         let is_news = versions != announced.versions || hosts != announced.hosts;
@@ -47,13 +47,13 @@
         }
         let mut addrs: Vec<SocketAddr> = near.iter().map(|(_, addr)| *addr).collect();
         addrs.shuffle(&mut rand::rng());
-        let reading = self.uses.catalog.reading(now);
+        let reading = self.deps.catalog.reading(now);
         let parts = self.datagram_parts(&announced);
         let to = parts.last().map_or(announced.targets_to, |part| part.to);
         for targets in parts {
             let message = Announcement {
-                reader: self.uses.host.clone(),
-                incarnation: self.uses.incarnation,
+                reader: self.deps.host.clone(),
+                incarnation: self.deps.incarnation,
                 sent_ms: millis(now - self.started),
                 reading,
                 config: versions.config,
@@ -77,7 +77,7 @@
     fn datagram_parts(&self, announced: &Announced) -> Vec<records::Targets> {
         let since = |from| {
             let position = Position { from, after: None };
-            self.uses
+            self.deps
                 .catalog
                 .targets_since(&position, ANNOUNCED_CHANGES_MAX)
         };
--- a/crates/gateway/src/spread/catching_up.rs
+++ b/crates/gateway/src/spread/catching_up.rs
@@ -94,7 +94,7 @@
 
     /// Returns whether this host does not have all that another one has announced.
     pub(super) fn lacks(&self, links: &Links, announced: &Missing) -> bool {
-        let catalog = &self.uses.catalog;
+        let catalog = &self.deps.catalog;
         catalog.is_behind(announced.versions)
             || catalog.targets_end() < announced.targets_to
             || (links.hosts_end)() < announced.hosts
@@ -108,7 +108,7 @@
 
     /// Requests missing records from a host; returns whether any were received.
     async fn request(&self, links: &Links, addr: SocketAddr) -> bool {
-        let catalog = &self.uses.catalog;
+        let catalog = &self.deps.catalog;
         let (targets, hosts_from) = (catalog.targets_position(), (links.hosts_end)());
         let request = records::ChangesRequest {
             config: catalog.versions().config,
@@ -120,13 +120,13 @@
         let answer = match (links.request)(addr, request).await {
             Ok(answer) => answer,
             Err(why) => {
-                self.uses.metrics.count(Counted::Changes, "peer not asked");
-                slog::debug!(self.uses.logger, "request for changes failed";
+                self.deps.metrics.count(Counted::Changes, "peer not asked");
+                slog::debug!(self.deps.logger, "request for changes failed";
                     "addr" => addr.to_string(), "error" => why);
                 return false;
             }
         };
-        self.uses.metrics.count(Counted::Changes, "peer asked");
+        self.deps.metrics.count(Counted::Changes, "peer asked");
         let is_config = answer.config.is_some() || answer.evacuated.is_some();
         let operator_records = OperatorRecords {
             config: answer.config,
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -20,7 +20,7 @@
 use crate::ports::Page;
 use crate::ports::Read;
 use crate::ports::StoreError;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Tail;
 use crate::ports::Topic;
 use crate::sync::lock;
@@ -55,13 +55,13 @@
     /// The offset from which later records are to be read.
     pub(crate) end: u64,
     /// The records in their order; some may be newer than the end.
-    pub(crate) records: Vec<Stored>,
+    pub(crate) records: Vec<StoredRecord>,
 }
 
 impl Listing {
     /// Returns the records that stood before the end, for a reader that takes
     /// in each record once and goes on from there.
-    pub(crate) fn before_end(mut self) -> Vec<Stored> {
+    pub(crate) fn before_end(mut self) -> Vec<StoredRecord> {
         self.records.retain(|r| r.offset < self.end);
         self.records
     }
@@ -83,7 +83,7 @@
     }
 
     /// Returns whether the store answers and has done so for a time.
-    pub(crate) fn is_up_for(&self, time: Duration) -> bool {
+    pub(crate) fn has_been_up_for(&self, time: Duration) -> bool {
         let health = lock(&self.health);
         let is_settled = health.regained_at.is_none_or(|at| at.elapsed() >= time);
         health.lost_since.is_none() && is_settled
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -33,14 +33,14 @@
 impl Running {
     pub(crate) fn begin(ctx: &Arc<Context>, target: &TargetId, class: Class) -> Self {
         let is_scarce = {
-            let mut places = lock(&ctx.places);
+            let mut places = lock(&ctx.balancer);
             match class {
                 Class::Online => places.begin_online(target, Instant::now()),
                 Class::Batch => places.begin_batch(target),
             }
             places.has_scarce_slots(target)
         };
-        ctx.peers.tell_load(is_scarce);
+        ctx.peers.notify_load(is_scarce);
         Self {
             ctx: Arc::clone(ctx),
             target: target.clone(),
@@ -59,7 +59,7 @@
         if let Some(workspace) = workspace {
             ctx.waiting.begin(workspace, weight);
         }
-        ctx.peers.tell();
+        ctx.peers.notify();
         Self {
             ctx: Arc::clone(ctx),
             target: place.take(),
@@ -76,7 +76,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         let was_scarce = {
-            let mut places = lock(&self.ctx.places);
+            let mut places = lock(&self.ctx.balancer);
             let was_scarce = places.has_scarce_slots(&self.target);
             match self.class {
                 Class::Online => places.end_online(&self.target),
@@ -88,9 +88,9 @@
             self.ctx.waiting.end(workspace);
         }
         if let Some(host) = self.ctx.waiting.freed(&self.target) {
-            self.ctx.peers.hand(&host, key_of(&self.target));
+            self.ctx.peers.transfer_slot(&host, key_of(&self.target));
         }
-        self.ctx.peers.tell_load(was_scarce);
+        self.ctx.peers.notify_load(was_scarce);
         self.ctx.items.wake();
         self.ctx.waiting.wake();
     }
--- a/crates/gateway/src/upkeep.rs
+++ b/crates/gateway/src/upkeep.rs
@@ -50,7 +50,8 @@
         if forgotten > 0 {
             slog::info!(ctx.logger, "jobs forgotten"; "jobs" => forgotten);
         }
-        let is_ours = peers::is_for_cell(&ctx, TASK) && ctx.peers.is_successor(ctx.host(), TASK);
+        let is_ours =
+            peers::is_assigned_to_own_cell(&ctx, TASK) && ctx.peers.is_successor(ctx.host(), TASK);
         if !ctx.store.is_up() || !is_ours {
             continue;
         }
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -41,12 +41,12 @@
 use notchwharf_gateway::jobs::ItemResult;
 use notchwharf_gateway::jobs::PayloadItem;
 use notchwharf_gateway::jobs::Submission;
-use notchwharf_gateway::life::Host;
+use notchwharf_gateway::lifecycle::Host;
 use notchwharf_gateway::online;
 use notchwharf_gateway::ports::Decode;
-use notchwharf_gateway::ports::Forward;
+use notchwharf_gateway::ports::DecodeError;
+use notchwharf_gateway::ports::ForwardedRequest;
 use notchwharf_gateway::ports::Ports;
-use notchwharf_gateway::ports::Unreadable;
 use notchwharf_ledger::jobs::ItemSpec;
 use notchwharf_routing::balancer::Spec;
 use notchwharf_routing::items::estimate::Size;
@@ -151,7 +151,7 @@
                 size: |_| Size::default(),
                 caller: |_| b"",
                 key: world_key,
-                mark: world_mark,
+                set_workspace: world_mark,
             },
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
@@ -288,7 +288,7 @@
 
 pub fn request(path: &str, id: &str) -> online::Request {
     online::Request {
-        forward: Forward {
+        forward: ForwardedRequest {
             id: id.to_owned(),
             method: Method::POST,
             path: path.to_owned(),
@@ -345,7 +345,7 @@
     }
 }
 
-fn decode_config(key: &str, value: &[u8]) -> Option<Result<Table, Unreadable>> {
+fn decode_config(key: &str, value: &[u8]) -> Option<Result<Table, DecodeError>> {
     (key == store::CONFIG_KEY).then(|| {
         let text = String::from_utf8_lossy(value);
         let fields: Vec<&str> = text.split(' ').collect();
@@ -354,7 +354,7 @@
             [version, with_jobs, keys] => (version, with_jobs, Some(keys)),
             _ => {
                 let detail = text.to_string();
-                return Err(Unreadable { detail });
+                return Err(DecodeError { detail });
             }
         };
         let mut routes = vec![
@@ -421,7 +421,7 @@
     }
 }
 
-fn decode_target(value: &[u8]) -> Result<Spec, Unreadable> {
+fn decode_target(value: &[u8]) -> Result<Spec, DecodeError> {
     let text = String::from_utf8_lossy(value);
     let (state, addr) = text.split_once(' ').unwrap_or((&text, ""));
     let (state, data_centre) = state.split_once('@').unwrap_or((state, "d"));
--- a/crates/gateway/tests/world/store.rs
+++ b/crates/gateway/tests/world/store.rs
@@ -13,7 +13,7 @@
 use notchwharf_gateway::ports::Read;
 use notchwharf_gateway::ports::Store;
 use notchwharf_gateway::ports::StoreError;
-use notchwharf_gateway::ports::Stored;
+use notchwharf_gateway::ports::StoredRecord;
 use notchwharf_gateway::ports::Tail;
 use notchwharf_gateway::ports::Topic;
 
@@ -40,7 +40,7 @@
 
 #[derive(Default)]
 struct Part {
-    records: Vec<Stored>,
+    records: Vec<StoredRecord>,
     first: u64,
 }
 
@@ -212,7 +212,7 @@
         let part = state.parts.entry((topic, part)).or_default();
         let first = part.records.len() as u64;
         let stored = (first..).zip(entries);
-        let stored = stored.map(|(offset, entry)| Stored { offset, entry });
+        let stored = stored.map(|(offset, entry)| StoredRecord { offset, entry });
         part.records.extend(stored);
         first
     }
@@ -332,7 +332,7 @@
         *state.listings.entry(topic).or_default() += 1;
         let most = state.page;
         let part = state.parts.entry((topic, part)).or_default();
-        let mut newest: BTreeMap<&str, &Stored> = BTreeMap::new();
+        let mut newest: BTreeMap<&str, &StoredRecord> = BTreeMap::new();
         for record in &part.records {
             newest.insert(&record.entry.key, record);
         }
@@ -340,7 +340,7 @@
             let is_behind = after.is_none_or(|after| r.entry.key.as_str() > after);
             is_behind && r.entry.value.is_some()
         });
-        let mut records: Vec<Stored> = following.take(most + 1).cloned().collect();
+        let mut records: Vec<StoredRecord> = following.take(most + 1).cloned().collect();
         let has_more = records.len() > most;
         records.truncate(most);
         let end = part.records.len() as u64;
--- a/crates/gateway/tests/world/targets.rs
+++ b/crates/gateway/tests/world/targets.rs
@@ -199,7 +199,7 @@
             if state.down.contains(&call.target) {
                 return Err(NoReply::NotSent("connection refused"));
             }
-            let scripted = state.by_request.get_mut(&call.forward.id);
+            let scripted = state.by_request.get_mut(&call.request.id);
             let scripted = scripted.and_then(VecDeque::pop_front);
             let acts = state.acts.entry(call.target.clone()).or_default();
             scripted.or_else(|| acts.pop_front()).unwrap_or(Act::Run)
@@ -218,7 +218,7 @@
                 Err(NoReply::Unknown("never"))
             }
             Act::AtOnce => {
-                let body = Full::new(Bytes::from(whole(&call.forward.id)));
+                let body = Full::new(Bytes::from(whole(&call.request.id)));
                 let mut reply = reply(200, true, body);
                 reply.headers.insert("x-from", call.target.parse().unwrap());
                 Ok(reply)
@@ -231,7 +231,7 @@
                     .lock()
                     .unwrap()
                     .deadly
-                    .contains(&call.forward.body);
+                    .contains(&call.request.body);
                 let act = if is_deadly { Act::Crash } else { act };
                 Ok(self.stream(&call, act, active))
             }
@@ -240,7 +240,7 @@
 
     fn note(&self, call: &Call) -> Active {
         let mut state = self.state.lock().unwrap();
-        let key = (call.target.clone(), call.forward.id.clone());
+        let key = (call.target.clone(), call.request.id.clone());
         let run = (key.0.clone(), key.1.clone(), call.resume_after);
         state.runs.push(run);
         *state.active.entry(key.clone()).or_default() += 1;
@@ -252,7 +252,7 @@
 
     fn stream(&self, call: &Call, act: Act, active: Active) -> Reply {
         let first = call.resume_after.map_or(0, |event| event + 1);
-        let id = call.forward.id.clone();
+        let id = call.request.id.clone();
         let target = call.target.clone();
         let crashes = self.crashes_of(&target);
         let engines = self.clone();
