--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -42,13 +42,13 @@
 use crate::time::millis;
 use crate::time::ms;
 
-use self::config::Removed;
+use self::config::RemovedKeys;
+pub(crate) use self::config::apply_from_peer as apply_peer_config;
 pub(crate) use self::config::confirm;
-pub(crate) use self::config::take_from_peer;
 use self::evacuation::Evacuated;
-pub(crate) use self::evacuation::take_from_peer as take_evacuated;
-use self::follow::SWEEP;
-use self::follow::TARGETS_GAP;
+pub(crate) use self::evacuation::apply_from_peer as apply_peer_evacuation;
+use self::follow::SWEEP_INTERVAL;
+use self::follow::TARGETS_READ_INTERVAL;
 pub(crate) use self::follow::start;
 pub(crate) use self::records::Config;
 pub(crate) use self::records::PeerReading;
@@ -56,13 +56,13 @@
 
 /// Time after the store's return within which it has the entries of living
 /// targets again, as the platform names it.
-const LAPSE: Duration = Duration::from_secs(2);
+const REREGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for news of an entry beside the pause between two readings: an answer
 /// of the store takes some milliseconds.
-const NEWS: Duration = Duration::from_millis(50);
+const UPDATE_LATENCY: Duration = Duration::from_millis(50);
 /// Time for which a host that has used up its share of a processor may stand
 /// still in the middle of sending a request.
-const STANDSTILL: Duration = Duration::from_millis(100);
+const STALL_MAX: Duration = Duration::from_millis(100);
 
 /// Maximum number of simultaneous changes that are logged individually.
 const LOGGED_CHANGES_MAX: usize = 8;
@@ -72,17 +72,17 @@
 struct ChangeCounts {
     added: usize,
     updated: usize,
-    gone: usize,
-    kept: usize,
+    removed: usize,
+    retained: usize,
 }
 
 /// What is known, in the form in which it came.
 #[derive(Debug)]
-struct Known {
+struct State {
     config: Option<Config>,
     /// When the configuration was known to be the newest.
     config_as_of: Option<Instant>,
-    removed: Removed,
+    removed: RemovedKeys,
     evacuated: Evacuated,
     targets: TargetView,
     /// The evidence reported by the last reader followed, unless this host has read since.
@@ -91,9 +91,9 @@
 
 /// Routes and targets that a host knows, and where they are put to use.
 pub(crate) struct Catalog {
-    known: Mutex<Known>,
+    state: Mutex<State>,
     /// When the store was last asked whether the configuration is the newest.
-    look: tokio::sync::Mutex<Option<Instant>>,
+    last_check: tokio::sync::Mutex<Option<Instant>>,
     deps: Dependencies,
 }
 
@@ -110,7 +110,7 @@
 
 /// What changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct News {
+pub(crate) struct Updated {
     /// Whether other routes are in force.
     pub(crate) routes: bool,
     /// Whether targets came, changed or went.
@@ -118,71 +118,71 @@
 }
 
 /// Returns the times on which [`TargetView`] depends.
-fn bounds(settings: &Settings) -> Timeouts {
+fn timeouts(settings: &Settings) -> Timeouts {
     Timeouts {
         drain: ms(settings.targets.drain_ms),
         settle: ms(settings.targets.settle_ms),
-        reregister: LAPSE + TARGETS_GAP + NEWS,
-        dispatch: ms(settings.online.connect_timeout_ms) + SWEEP + STANDSTILL,
+        reregister: REREGISTER_TIMEOUT + TARGETS_READ_INTERVAL + UPDATE_LATENCY,
+        dispatch: ms(settings.online.connect_timeout_ms) + SWEEP_INTERVAL + STALL_MAX,
     }
 }
 
 impl Catalog {
     /// Returns a catalog that knows nothing yet.
     pub(crate) fn new(settings: &Settings, deps: Dependencies) -> Self {
-        let known = Known {
+        let state = State {
             config: None,
             config_as_of: None,
-            removed: Removed::default(),
+            removed: RemovedKeys::default(),
             evacuated: Evacuated::default(),
-            targets: TargetView::new(bounds(settings)),
+            targets: TargetView::new(timeouts(settings)),
             peer_evidence: None,
         };
         Self {
-            known: Mutex::new(known),
-            look: tokio::sync::Mutex::default(),
+            state: Mutex::new(state),
+            last_check: tokio::sync::Mutex::default(),
             deps,
         }
     }
 
     /// Takes in a reading of targets.
-    fn read_targets(&self, reading: Reading, now: Instant) -> News {
+    fn apply_targets(&self, reading: Reading, now: Instant) -> Updated {
         let Reading { asked, seen } = reading;
         let decode = |value: &Bytes| (self.deps.decode.target)(value);
         let evidence = self.deps.store.evidence();
-        let mut known = lock(&self.known);
+        let mut state = lock(&self.state);
         // As of before this reading: what it tells is newer than that.
-        let none_before = known.targets.complete_as_of();
+        let complete_as_of = state.targets.complete_as_of();
         let changes = match seen {
             Ok(Seen::All { end, records }) => {
                 slog::info!(self.deps.logger, "targets listed"; "targets" => records.len(),
                     "offset" => end, "source" => "store");
                 let records = records.into_iter().map(record).collect();
-                let answered = ReadInfo::at_end(asked, now);
-                known
+                let read_info = ReadInfo::at_end(asked, now);
+                state
                     .targets
-                    .apply_listing(&answered, &evidence, end, records, decode)
+                    .apply_listing(&read_info, &evidence, end, records, decode)
             }
             Ok(Seen::More { records, is_whole }) => {
                 let records = records.into_iter().map(record).collect();
-                let answered = ReadInfo {
+                let read_info = ReadInfo {
                     requested_at: asked,
                     answered_at: now,
                     is_at_end: is_whole,
                 };
-                known
+                state
                     .targets
-                    .apply_records(&answered, &evidence, records, decode)
+                    .apply_records(&read_info, &evidence, records, decode)
             }
             // The reader tries again; the store's wrapper knows of the failure.
-            Err(_) => return News::default(),
+            Err(_) => return Updated::default(),
         };
-        known.peer_evidence = None;
-        let targets = self.put_to_use(none_before, &evidence, changes, now);
+        state.peer_evidence = None;
+        let targets = self.apply_changes(complete_as_of, &evidence, changes, now);
         self.deps.startup.mark_ready(Dependency::Targets, "store");
-        News {
+        Updated {
             targets,
-            ..News::default()
+            ..Updated::default()
         }
     }
 
@@ -190,18 +190,18 @@
     /// targets that are no longer cold.
     fn sweep(&self, now: Instant) {
         lock(&self.deps.balancer).end_cold(now);
-        let mut known = lock(&self.known);
-        if !known.targets.has_missing_entries() {
+        let mut state = lock(&self.state);
+        if !state.targets.has_missing_entries() {
             return;
         }
-        let evidence = self.evidence(&known);
-        let expired = known.targets.expire(now, &evidence);
+        let evidence = self.evidence(&state);
+        let expired = state.targets.expire(now, &evidence);
         for id in &expired {
             if expired.len() <= LOGGED_CHANGES_MAX {
                 slog::info!(self.deps.logger, "target's entry did not come back";
                     "target" => id.as_str());
             }
-            self.take_out(id);
+            self.remove_target(id);
         }
         if expired.len() > LOGGED_CHANGES_MAX {
             slog::info!(self.deps.logger, "targets' entries did not come back";
@@ -210,28 +210,28 @@
     }
 
     /// Returns how the log was read, by this host or by the reader it follows.
-    fn evidence(&self, known: &Known) -> Evidence {
-        let followed = known.peer_evidence;
+    fn evidence(&self, state: &State) -> Evidence {
+        let followed = state.peer_evidence;
         followed.unwrap_or_else(|| self.deps.store.evidence())
     }
 
     /// Puts changes to use while what is believed is held, so that no other
     /// reading comes in between; returns whether there were any.
-    fn put_to_use<E: fmt::Display>(
+    fn apply_changes<E: fmt::Display>(
         &self,
-        none_before: Option<Instant>,
+        complete_as_of: Option<Instant>,
         evidence: &Evidence,
         changes: Vec<Change<E>>,
         now: Instant,
     ) -> bool {
-        let is_any = !changes.is_empty();
+        let has_changes = !changes.is_empty();
         // Individual lines would exceed the logger's capacity when a fleet starts.
         let is_each_logged = changes.len() <= LOGGED_CHANGES_MAX;
         let mut counts = ChangeCounts::default();
         for change in changes {
             match change {
                 Change::Put { id, offset, spec } => {
-                    self.put((&id, offset, spec), is_each_logged, &mut counts, now);
+                    self.upsert_target((&id, offset, spec), is_each_logged, &mut counts, now);
                 }
                 Change::Unreadable { id, offset, error } => {
                     self.deps
@@ -243,23 +243,23 @@
                     lock(&self.deps.balancer).remove(&id);
                 }
                 Change::Removed { id, offset } => {
-                    counts.gone += 1;
+                    counts.removed += 1;
                     if is_each_logged {
                         slog::info!(self.deps.logger, "target's entry is gone";
                             "target" => id.as_str(), "offset" => offset,
                             "kept_for_now" => false);
                     }
-                    self.take_out(&id);
+                    self.remove_target(&id);
                 }
                 Change::Retained { id, offset, until } => {
-                    counts.kept += 1;
+                    counts.retained += 1;
                     self.deps.metrics.count(Counted::Changes, "target kept");
                     let ago = |at: Option<Instant>| at.map(|at| millis(now - at));
-                    if is_each_logged || counts.kept == 1 {
+                    if is_each_logged || counts.retained == 1 {
                         slog::info!(self.deps.logger, "target's entry is gone"; "target" => id,
                             "offset" => offset, "kept_for_now" => true,
                             "kept_ms" => millis(until.saturating_duration_since(now)),
-                            "none_before_ms_ago" => ago(none_before),
+                            "none_before_ms_ago" => ago(complete_as_of),
                             "away_ms_ago" => ago(evidence.reads.outage_at()),
                             "back_ms_ago" => ago(evidence.reads.recovered_at()));
                     }
@@ -268,12 +268,12 @@
         }
         if !is_each_logged {
             slog::info!(self.deps.logger, "targets changed"; "added" => counts.added,
-                "updated" => counts.updated, "gone" => counts.gone, "kept_for_now" => counts.kept);
+                "updated" => counts.updated, "gone" => counts.removed, "kept_for_now" => counts.retained);
         }
-        is_any
+        has_changes
     }
 
-    fn put(
+    fn upsert_target(
         &self,
         (id, offset, spec): (&str, u64, Spec),
         is_logged: bool,
@@ -288,10 +288,11 @@
                 None => counts.added += 1,
             }
             if is_logged {
-                let is_anew = before.is_some_and(|b| b.started_unix_ms != spec.started_unix_ms);
+                let has_restarted =
+                    before.is_some_and(|b| b.started_unix_ms != spec.started_unix_ms);
                 slog::info!(self.deps.logger, "target"; "target" => id,
                     "addr" => spec.addr.to_string(), "service" => spec.service.as_str(),
-                    "leaving" => spec.is_leaving, "started_anew" => is_anew, "offset" => offset);
+                    "leaving" => spec.is_leaving, "started_anew" => has_restarted, "offset" => offset);
             }
             self.deps.metrics.count(Counted::Changes, "target");
         }
@@ -300,7 +301,7 @@
         places.set_cold(id, cold_left, now);
     }
 
-    fn take_out(&self, id: &str) {
+    fn remove_target(&self, id: &str) {
         lock(&self.deps.balancer).remove(id);
         self.deps.metrics.count(Counted::Changes, "target gone");
     }
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -15,9 +15,9 @@
 
 use super::Catalog;
 use super::Config;
-use super::News;
+use super::Updated;
 use super::evacuation;
-use super::follow::tell;
+use super::follow::notify;
 use crate::context::Context;
 use crate::follow::Reading;
 use crate::follow::Seen;
@@ -30,10 +30,10 @@
 
 /// Bytes from which on a configuration is read on a thread of its own. One of 16,000
 /// workspaces takes some 20 ms, for which every request of the host would wait.
-const APART_BYTES_MIN: usize = 64 << 10;
+const BLOCKING_DECODE_BYTES_MIN: usize = 64 << 10;
 /// Time between two looks whether a configuration is the newest. Requests with unknown
 /// keys share them: 300 hosts that are flooded with such make 3,000 calls a second.
-const LOOK_GAP: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait for a peer's word while the store is away: a beat tells of a newer
 /// configuration, and a call fetches it.
 const PEER_WAIT: Duration = Duration::from_millis(150);
@@ -43,13 +43,13 @@
 
 /// Keys that were taken away, so that logs tell them from those that never were.
 #[derive(Debug, Default)]
-pub(super) struct Removed {
+pub(super) struct RemovedKeys {
     digests: HashSet<Digest>,
     order: VecDeque<Digest>,
 }
 
-impl Removed {
-    fn note(&mut self, before: Option<&Workspaces>, now: Option<&Workspaces>) {
+impl RemovedKeys {
+    fn update(&mut self, before: Option<&Workspaces>, now: Option<&Workspaces>) {
         let Some(now) = now else {
             return;
         };
@@ -84,18 +84,18 @@
     let listing_end = seen.listing_end();
     let records = seen.records();
     for record in records.clone() {
-        take(ctx, record, "store").await;
+        apply_record(ctx, record, "store").await;
     }
     // Not before the configuration, since peers compare the version of both.
     evacuation::apply_records(ctx, listing_end, &records);
     // Not before its records are in force, or they would count as confirmed.
     if is_whole {
-        ctx.catalog.confirmed(reading.asked);
+        ctx.catalog.record_confirmation(reading.asked);
     }
 }
 
 /// Applies a configuration received from a peer.
-pub(crate) async fn take_from_peer(ctx: &Context, config: Config) {
+pub(crate) async fn apply_from_peer(ctx: &Context, config: Config) {
     let record = StoredRecord {
         offset: config.offset,
         entry: Entry {
@@ -103,11 +103,11 @@
             value: Some(config.value.into()),
         },
     };
-    take(ctx, record, "peer").await;
+    apply_record(ctx, record, "peer").await;
 }
 
 /// Takes in a configuration, and lets those know who act on it.
-async fn take(ctx: &Context, record: StoredRecord, source: &'static str) {
+async fn apply_record(ctx: &Context, record: StoredRecord, source: &'static str) {
     let Some(value) = record.entry.value else {
         return;
     };
@@ -120,19 +120,19 @@
         key: record.entry.key,
         value: value.to_vec(),
     };
-    let routes = ctx.catalog.put_config(config, decoded, source);
-    tell(
+    let routes = ctx.catalog.apply_config(config, decoded, source);
+    notify(
         ctx,
-        News {
+        Updated {
             routes,
-            ..News::default()
+            ..Updated::default()
         },
     );
 }
 
 async fn decode(ctx: &Context, key: &str, value: Bytes) -> Option<Result<Table, DecodeError>> {
     let decode = ctx.decode.config;
-    if value.len() < APART_BYTES_MIN {
+    if value.len() < BLOCKING_DECODE_BYTES_MIN {
         return decode(key, &value);
     }
     let key = key.to_owned();
@@ -160,17 +160,17 @@
         ) && ctx.catalog.is_confirmed(since);
     }
     let until = tokio::time::Instant::from_std(until);
-    let looked = tokio::time::timeout_at(until, look(ctx, since)).await;
+    let looked = tokio::time::timeout_at(until, check_newest(ctx, since)).await;
     looked.is_ok() && ctx.catalog.is_confirmed(since)
 }
 
-async fn look(ctx: &Context, since: Instant) {
-    let mut last = ctx.catalog.look.lock().await;
+async fn check_newest(ctx: &Context, since: Instant) {
+    let mut last = ctx.catalog.last_check.lock().await;
     if ctx.catalog.is_confirmed(since) {
         return;
     }
     if let Some(last) = *last {
-        tokio::time::sleep_until((last + LOOK_GAP).into()).await;
+        tokio::time::sleep_until((last + CHECK_INTERVAL).into()).await;
     }
     *last = Some(Instant::now());
     let from = Some(ctx.catalog.versions().config).filter(|end| *end > 0);
@@ -182,7 +182,7 @@
 
 impl Catalog {
     /// Puts a configuration in force, unless a newer one is; returns whether it is now.
-    fn put_config(
+    fn apply_config(
         &self,
         config: Config,
         decoded: Result<Table, DecodeError>,
@@ -199,15 +199,15 @@
             }
         };
         // Held until the routes are in force: an older one must not overtake.
-        let mut known = lock(&self.known);
-        if known.config.as_ref().is_some_and(|c| c.offset >= offset) {
+        let mut state = lock(&self.state);
+        if state.config.as_ref().is_some_and(|c| c.offset >= offset) {
             return false;
         }
-        known.config = Some(config);
+        state.config = Some(config);
         let (version, workspaces) = (table.version(), table.workspaces().map(Workspaces::len));
-        for fault in table.entry_errors() {
+        for error in table.entry_errors() {
             slog::error!(logger, "entry of the configuration at fault"; "version" => version,
-                "error" => fault.to_string());
+                "error" => error.to_string());
         }
         let rates = table.services();
         let rates = rates.filter_map(|s| Some((s.name.clone(), s.cold_per_s?)));
@@ -215,8 +215,8 @@
         let table = Arc::new(table);
         let before = self.deps.routes.send_replace(Some(Arc::clone(&table)));
         let workspaces_before = before.as_ref().and_then(|t| t.workspaces());
-        known.removed.note(workspaces_before, table.workspaces());
-        drop(known);
+        state.removed.update(workspaces_before, table.workspaces());
+        drop(state);
         self.deps.startup.mark_ready(Dependency::Routes, source);
         self.deps.metrics.count(Counted::Changes, "configuration");
         slog::info!(logger, "configuration in force"; "version" => version,
@@ -226,32 +226,32 @@
     }
 
     /// Records when a peer confirmed a version as the newest, if that version is in force.
-    pub(crate) fn confirmed_by_peer(&self, version: u64, asked: Instant) {
-        let mut known = lock(&self.known);
-        let own = known.config_version();
+    pub(crate) fn record_peer_confirmation(&self, version: u64, asked: Instant) {
+        let mut state = lock(&self.state);
+        let own = state.config_version();
         if own == version && own > 0 {
-            known.config_as_of = known.config_as_of.max(Some(asked));
+            state.config_as_of = state.config_as_of.max(Some(asked));
         }
     }
 
     /// Notes that the configuration in force was the newest at some time.
-    fn confirmed(&self, asked: Instant) {
-        let mut known = lock(&self.known);
-        known.config_as_of = known.config_as_of.max(Some(asked));
+    fn record_confirmation(&self, asked: Instant) {
+        let mut state = lock(&self.state);
+        state.config_as_of = state.config_as_of.max(Some(asked));
     }
 
     /// Returns whether the configuration in force was the newest at some time or later.
     pub(crate) fn is_confirmed(&self, since: Instant) -> bool {
-        lock(&self.known).config_as_of >= Some(since)
+        lock(&self.state).config_as_of >= Some(since)
     }
 
     /// Returns the time since the configuration in force was known to be the newest.
     pub(crate) fn config_age(&self) -> Option<Duration> {
-        lock(&self.known).config_as_of.map(|at| at.elapsed())
+        lock(&self.state).config_as_of.map(|at| at.elapsed())
     }
 
     /// Returns whether a key was taken away from the workspace that held it.
     pub(crate) fn was_removed(&self, key: &str) -> bool {
-        lock(&self.known).removed.contains(&access::digest(key))
+        lock(&self.state).removed.contains(&access::digest(key))
     }
 }
--- a/crates/gateway/src/catalog/evacuation.rs
+++ b/crates/gateway/src/catalog/evacuation.rs
@@ -7,7 +7,7 @@
 use notchwharf_proto::records;
 
 use super::Catalog;
-use super::Known;
+use super::State;
 use crate::context::Context;
 use crate::metrics::Counted;
 use crate::ports::StoredRecord;
@@ -21,7 +21,7 @@
     pub(super) data_centres: BTreeSet<DataCentreId>,
 }
 
-impl Known {
+impl State {
     /// Returns the offset that follows the newest operator record.
     pub(super) fn config_version(&self) -> u64 {
         let config = self.config.as_ref().map_or(0, |c| c.offset + 1);
@@ -55,7 +55,7 @@
 }
 
 /// Applies the evacuated data centres received from a peer if their version is newer.
-pub(crate) fn take_from_peer(ctx: &Arc<Context>, received: records::Evacuated) {
+pub(crate) fn apply_from_peer(ctx: &Arc<Context>, received: records::Evacuated) {
     let (_, version) = ctx.catalog.evacuated();
     if received.version > version {
         let data_centres = received.data_centres.into_iter().collect();
@@ -83,10 +83,10 @@
 
 impl Catalog {
     fn evacuated(&self) -> (BTreeSet<DataCentreId>, u64) {
-        let known = lock(&self.known);
+        let state = lock(&self.state);
         (
-            known.evacuated.data_centres.clone(),
-            known.evacuated.version,
+            state.evacuated.data_centres.clone(),
+            state.evacuated.version,
         )
     }
 
@@ -97,16 +97,16 @@
         version: u64,
         current: &BTreeSet<DataCentreId>,
     ) -> Option<BTreeSet<DataCentreId>> {
-        let mut known = lock(&self.known);
-        if known.evacuated.version > version {
+        let mut state = lock(&self.state);
+        if state.evacuated.version > version {
             return None;
         }
-        known.evacuated.version = version;
-        if known.evacuated.data_centres == *current {
+        state.evacuated.version = version;
+        if state.evacuated.data_centres == *current {
             return None;
         }
         lock(&self.deps.balancer).set_evacuated(current.iter().cloned().collect());
-        let previous = std::mem::replace(&mut known.evacuated.data_centres, current.clone());
+        let previous = std::mem::replace(&mut state.evacuated.data_centres, current.clone());
         Some(previous)
     }
 }
--- a/crates/gateway/src/catalog/follow.rs
+++ b/crates/gateway/src/catalog/follow.rs
@@ -8,7 +8,7 @@
 use notchwharf_listen::Phase;
 use tokio::sync::mpsc;
 
-use super::News;
+use super::Updated;
 use super::config;
 use crate::context::Context;
 use crate::follow::Pace;
@@ -21,20 +21,20 @@
 /// connection that falls silent is noticed after the wait and the store's timeout,
 /// and a new one has to bring the news, 1,550 ms in all with the default settings.
 /// The rest is a host that stands still for a moment.
-const SETTLE_REST: Duration = Duration::from_secs(2);
+const SETTLE_MARGIN: Duration = Duration::from_secs(2);
 /// Shortest wait of a reading: below, hosts would ask the store all the time.
 const WAIT_MIN: Duration = Duration::from_millis(500);
 /// Longest wait of a reading: half of what the store allows.
 const WAIT_MAX: Duration = Duration::from_secs(15);
 /// Time between two readings of the configuration that find one: it must be in
 /// force within two seconds.
-const CONFIG_GAP: Duration = Duration::from_millis(150);
+const CONFIG_READ_INTERVAL: Duration = Duration::from_millis(150);
 /// Time between two readings of targets that find some. A target that leaves must
 /// get nothing new two seconds later; when a fleet starts, its targets' entries
 /// come by the dozen.
-pub(super) const TARGETS_GAP: Duration = Duration::from_millis(300);
+pub(super) const TARGETS_READ_INTERVAL: Duration = Duration::from_millis(300);
 /// Longest pause after a reading of either failed.
-const PAUSE_MAX: Duration = Duration::from_millis(200);
+const RETRY_PAUSE_MAX: Duration = Duration::from_millis(200);
 
 /// Returns how the configuration or targets are read. A reading that waits costs no
 /// call, so it waits as long as the time to settle allows: 3 s where that is 5 s,
@@ -42,14 +42,16 @@
 fn pace(settings: &Settings, gap: Duration) -> Pace {
     let settle = ms(settings.targets.settle_ms);
     Pace {
-        wait: settle.saturating_sub(SETTLE_REST).clamp(WAIT_MIN, WAIT_MAX),
+        wait: settle
+            .saturating_sub(SETTLE_MARGIN)
+            .clamp(WAIT_MIN, WAIT_MAX),
         gap,
-        pause_max: PAUSE_MAX,
+        pause_max: RETRY_PAUSE_MAX,
     }
 }
 
 /// Time between two looks at targets whose entries are missing.
-pub(super) const SWEEP: Duration = Duration::from_millis(50);
+pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts to follow routes and targets.
 pub(crate) fn start(ctx: &Arc<Context>) {
@@ -59,7 +61,7 @@
 }
 
 async fn follow_config(ctx: Arc<Context>) {
-    let pace = pace(&ctx.settings, CONFIG_GAP);
+    let pace = pace(&ctx.settings, CONFIG_READ_INTERVAL);
     peers::wait_for_role(&ctx).await;
     // What a peer told need not be listed again.
     let catalog = Arc::clone(&ctx.catalog);
@@ -85,7 +87,7 @@
 }
 
 async fn follow_targets(ctx: Arc<Context>) {
-    let pace = pace(&ctx.settings, TARGETS_GAP);
+    let pace = pace(&ctx.settings, TARGETS_READ_INTERVAL);
     peers::wait_for_role(&ctx).await;
     let catalog = Arc::clone(&ctx.catalog);
     let source = Source {
@@ -95,25 +97,25 @@
     };
     let follower = ctx.follower();
     let sink = |reading| {
-        let news = ctx.catalog.read_targets(reading, Instant::now());
-        tell(&ctx, news);
+        let updated = ctx.catalog.apply_targets(reading, Instant::now());
+        notify(&ctx, updated);
     };
     follower.follow(Topic::Targets, pace, source, sink).await;
 }
 
 /// Lets those know who act on routes and targets.
-pub(super) fn tell(ctx: &Context, news: News) {
-    if news.routes {
+pub(super) fn notify(ctx: &Context, updated: Updated) {
+    if updated.routes {
         ctx.advance_phase(Phase::Ready);
         ctx.peers.notify();
     }
-    if news.targets {
+    if updated.targets {
         ctx.items.wake();
     }
 }
 
 async fn sweep(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(SWEEP);
+    let mut ticks = ctx.timer.subscribe(SWEEP_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         ctx.catalog.sweep(Instant::now());
     }
--- a/crates/gateway/src/catalog/records.rs
+++ b/crates/gateway/src/catalog/records.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns whether the store answers readings, according to the reader.
-    pub(crate) fn is_served(&self) -> bool {
+    pub(crate) fn is_store_serving(&self) -> bool {
         let readings = &self.evidence.reads;
         readings.outage_at().is_none() || readings.recovered_at().is_some()
     }
@@ -66,42 +66,42 @@
 
 impl Catalog {
     pub(crate) fn versions(&self) -> Versions {
-        let known = lock(&self.known);
+        let state = lock(&self.state);
         // A log without targets also counts as read.
-        let is_read = u64::from(known.targets.end() > 0);
+        let is_read = u64::from(state.targets.end() > 0);
         Versions {
-            config: known.config_version(),
-            targets: known.targets.changes_end().max(is_read),
+            config: state.config_version(),
+            targets: state.targets.changes_end().max(is_read),
         }
     }
 
     /// Returns whether versions of another host are newer than this host's.
     pub(crate) fn is_behind(&self, theirs: Versions) -> bool {
-        let known = lock(&self.known);
-        theirs.config > known.config_version() || theirs.targets > known.targets.end()
+        let state = lock(&self.state);
+        theirs.config > state.config_version() || theirs.targets > state.targets.end()
     }
 
     /// Returns the offset from which to read the log of targets.
     pub(crate) fn targets_end(&self) -> u64 {
-        lock(&self.known).targets.end()
+        lock(&self.state).targets.end()
     }
 
     /// Returns the position from which to request targets of another host.
     pub(crate) fn targets_position(&self) -> Position {
-        lock(&self.known).targets.position()
+        lock(&self.state).targets.position()
     }
 
     /// Returns the configuration if it is newer than a version.
     pub(crate) fn config_after(&self, version: u64) -> Option<Config> {
-        let known = lock(&self.known);
-        let config = known.config.as_ref();
+        let state = lock(&self.state);
+        let config = state.config.as_ref();
         config.filter(|c| c.offset >= version).cloned()
     }
 
     /// Returns the evacuated data centres if they have changed since `version`.
     pub(crate) fn evacuated_after(&self, version: u64) -> Option<records::Evacuated> {
-        let known = lock(&self.known);
-        let evacuated = Some(&known.evacuated).filter(|e| e.version > version)?;
+        let state = lock(&self.state);
+        let evacuated = Some(&state.evacuated).filter(|e| e.version > version)?;
         Some(records::Evacuated {
             version: evacuated.version,
             data_centres: evacuated.data_centres.iter().cloned().collect(),
@@ -111,7 +111,7 @@
     /// Returns the target records that another host is missing, up to `limit` where the
     /// transfer can be continued.
     pub(crate) fn targets_since(&self, position: &Position, limit: usize) -> records::Targets {
-        let difference = lock(&self.known).targets.since(position, limit);
+        let difference = lock(&self.state).targets.since(position, limit);
         let changes = difference.records.into_iter().map(|record| {
             let target = record.value.map(target);
             records::TargetChange {
@@ -135,16 +135,16 @@
 
     /// Returns the state of reading the log, by this host or by the reader it follows.
     pub(crate) fn reading(&self, now: Instant) -> records::Reading {
-        let known = lock(&self.known);
-        let evidence = self.evidence(&known);
+        let state = lock(&self.state);
+        let evidence = self.evidence(&state);
         let ago = |at: Option<Instant>| at.map(|at| millis(now.saturating_duration_since(at)));
         let contact = |contact: &Availability| records::Contact {
             away_ms_ago: ago(contact.outage_at()),
             back_ms_ago: ago(contact.recovered_at()),
         };
         records::Reading {
-            age_ms: ago(known.targets.complete_as_of()),
-            config_age_ms: ago(known.config_as_of),
+            age_ms: ago(state.targets.complete_as_of()),
+            config_age_ms: ago(state.config_as_of),
             targets: contact(&evidence.reads),
             calls: contact(&evidence.calls),
         }
@@ -157,29 +157,29 @@
         read: PeerReading,
         now: Instant,
     ) -> bool {
-        let mut known = lock(&self.known);
+        let mut state = lock(&self.state);
         let to = message.to;
-        if known.targets.end() > to {
+        if state.targets.end() > to {
             return false;
         }
-        let none_before = known.targets.complete_as_of();
-        let answered = ReadInfo {
+        let complete_as_of = state.targets.complete_as_of();
+        let read_info = ReadInfo {
             requested_at: read.asked.unwrap_or(now),
             answered_at: now,
             is_at_end: read.asked.is_some(),
         };
         let difference = difference(message);
-        let changes = known
+        let changes = state
             .targets
-            .apply_difference(&answered, &read.evidence, difference);
-        if known.targets.end() == to {
-            known.peer_evidence = Some(read.evidence);
+            .apply_difference(&read_info, &read.evidence, difference);
+        if state.targets.end() == to {
+            state.peer_evidence = Some(read.evidence);
         }
-        let is_any = self.put_to_use(none_before, &read.evidence, changes, now);
-        if is_any || known.targets.end() > 0 {
+        let has_changes = self.apply_changes(complete_as_of, &read.evidence, changes, now);
+        if has_changes || state.targets.end() > 0 {
             self.deps.startup.mark_ready(Dependency::Targets, "peer");
         }
-        is_any
+        has_changes
     }
 }
 
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -105,7 +105,7 @@
         // One that starts meanwhile asks those in the list who holds its parts.
         limits::stop_holding(ctx);
         // A host that could not drop its entry is found out by its silence.
-        let _ = tokio::time::timeout(LEAVE_LIST_TIMEOUT, peers::leave(ctx)).await;
+        let _ = tokio::time::timeout(LEAVE_LIST_TIMEOUT, peers::deregister(ctx)).await;
         tokio::time::sleep(ms(ctx.settings.shutdown.notice_ms)).await;
         while ctx.in_flight.count() + ctx.items.unsettled.count() > 0 {
             if ticks.recv().await.is_none() {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -9,13 +9,13 @@
 //! between hosts use plain HTTP and not JSON-RPC, since the one there is hands
 //! over bytes as they came.
 
+mod bootstrap;
 mod cell;
 mod contact;
+mod host_list;
 mod host_log;
 mod links;
-mod list;
-mod loading;
-mod receivers;
+mod recipients;
 mod relay;
 mod rpc;
 mod status;
@@ -62,13 +62,13 @@
 use crate::sync::lock;
 use crate::time::ms;
 
-use self::cell::FAR_WORD_MAX;
-use self::cell::Neighbours;
+use self::bootstrap::Bootstrap;
+pub(crate) use self::bootstrap::fetch_job_records;
+pub(crate) use self::bootstrap::wait_for_role;
+use self::cell::CELL_REPORT_TTL;
+use self::cell::CellState;
+pub(crate) use self::host_list::deregister;
 use self::host_log::HostLog;
-pub(crate) use self::list::leave;
-use self::loading::Loading;
-pub(crate) use self::loading::fetch_job_records;
-pub(crate) use self::loading::wait_for_role;
 use self::relay::Relay;
 pub(crate) use self::rpc::CallError;
 
@@ -85,16 +85,16 @@
     known: Mutex<HashMap<HostId, Peer>>,
     dirty: Arc<Notify>,
     /// What hosts elsewhere were last told that this one runs at their targets.
-    told_elsewhere: Mutex<BTreeMap<DataCentreId, Vec<(TargetKey, Load)>>>,
+    last_sent_remote: Mutex<BTreeMap<DataCentreId, Vec<(TargetKey, Load)>>>,
     /// When a peer was last lost or said that it leaves.
     lost_at: Mutex<Option<Instant>>,
     socket: OnceLock<UdpSocket>,
     relay: Relay,
-    neighbours: Neighbours,
+    cell_state: CellState,
     host_log: Mutex<HostLog>,
-    loading: Loading,
+    bootstrap: Bootstrap,
     /// Since when the list has this host's own entry.
-    entered_at: Mutex<Option<Instant>>,
+    registered_at: Mutex<Option<Instant>>,
     /// Whether it had it when this host started.
     was_listed: AtomicBool,
 }
@@ -114,37 +114,37 @@
 struct Peer {
     addr: SocketAddr,
     /// Since when it has been known.
-    since: Instant,
+    known_since: Instant,
     /// Whether the list says that it has long been silent, or is being told.
     is_marked_silent: bool,
     /// Where it stands, once its entry in the store is known.
     data_centre: Option<DataCentreId>,
-    heard: Option<Instant>,
+    last_received: Option<Instant>,
     is_alive: bool,
-    told: Option<Instant>,
+    last_sent: Option<Instant>,
     ahead_since: Option<Instant>,
     /// Since when it does not reach the store.
-    storeless_since: Option<Instant>,
+    store_unavailable_since: Option<Instant>,
     status: Status,
     /// When it last told of its cell, being in another one, and whether it reached
     /// the store.
-    far_word: Option<(Instant, bool)>,
+    cell_report: Option<(Instant, bool)>,
 }
 
 impl Peer {
     fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
-            since: Instant::now(),
+            known_since: Instant::now(),
             is_marked_silent: false,
             data_centre: None,
-            heard: None,
+            last_received: None,
             is_alive: false,
-            told: None,
+            last_sent: None,
             ahead_since: None,
-            storeless_since: None,
+            store_unavailable_since: None,
             status: Status::default(),
-            far_word: None,
+            cell_report: None,
         }
     }
 }
@@ -156,14 +156,14 @@
         Self {
             known: Mutex::default(),
             dirty: Arc::default(),
-            told_elsewhere: Mutex::default(),
+            last_sent_remote: Mutex::default(),
             lost_at: Mutex::default(),
             socket: OnceLock::new(),
             relay: Relay::default(),
-            neighbours: Neighbours::new(cell_hosts_max),
+            cell_state: CellState::new(cell_hosts_max),
             host_log: Mutex::default(),
-            loading: Loading::default(),
-            entered_at: Mutex::default(),
+            bootstrap: Bootstrap::default(),
+            registered_at: Mutex::default(),
             was_listed: AtomicBool::new(false),
         }
     }
@@ -194,7 +194,7 @@
     /// Sends this host's load to peers immediately, or with the next heartbeat if the fleet
     /// is divided into cells and the target's places are not scarce.
     pub(crate) fn notify_load(&self, is_scarce: bool) {
-        if is_scarce || !self.neighbours.cells().is_divided() {
+        if is_scarce || !self.cell_state.cells().is_divided() {
             self.notify();
         }
     }
@@ -202,10 +202,10 @@
     /// Returns whether no host can be missing from those that are known. One that is new
     /// to the list waits until those that are new as well have written their entries.
     pub(crate) fn is_fleet_known(&self) -> bool {
-        let entered_at = *lock(&self.entered_at);
-        let is_settled = entered_at.is_some_and(|at| at.elapsed() >= list::SETTLED_AFTER);
+        let registered_at = *lock(&self.registered_at);
+        let is_settled = registered_at.is_some_and(|at| at.elapsed() >= host_list::SETTLED_AFTER);
         let was_listed = self.was_listed.load(Ordering::Relaxed);
-        self.loading.is_list_read() && (was_listed || is_settled)
+        self.bootstrap.is_list_read() && (was_listed || is_settled)
     }
 
     /// Returns all other hosts that are known, for whoever shares limits with them.
@@ -221,16 +221,16 @@
     }
 
     /// Sends a datagram; lost, whoever sent it makes up for it.
-    pub(crate) fn send_to(&self, addr: SocketAddr, news: &PeerMessage) {
+    pub(crate) fn send_to(&self, addr: SocketAddr, message: &PeerMessage) {
         if let Some(socket) = self.socket.get() {
-            let _ = socket.try_send_to(&messages::encode(news), addr);
+            let _ = socket.try_send_to(&messages::encode(message), addr);
         }
     }
 
-    fn send_to_host(&self, host: &str, news: &PeerMessage) {
+    fn send_to_host(&self, host: &str, message: &PeerMessage) {
         let addr = lock(&self.known).get(host).map(|p| p.addr);
         if let Some(addr) = addr {
-            self.send_to(addr, news);
+            self.send_to(addr, message);
         }
     }
 
@@ -258,12 +258,12 @@
 
     /// Returns the hosts that can run jobs' items, without this one: they are
     /// alive, stay, and reach the store.
-    fn able(&self) -> Vec<HostId> {
+    fn can_run_items(&self) -> Vec<HostId> {
         let known = lock(&self.known);
-        let able = known
+        let can_run_items = known
             .iter()
             .filter(|(_, peer)| peer.is_alive && !peer.status.leaving && peer.status.store_up);
-        able.map(|(host, _)| host.clone()).collect()
+        can_run_items.map(|(host, _)| host.clone()).collect()
     }
 
     /// Returns whether a peer goes on running the items of its jobs. Without
@@ -271,8 +271,8 @@
     pub(crate) fn retains_jobs(&self, host: &str) -> bool {
         let known = lock(&self.known);
         known.get(host).is_some_and(|peer| {
-            let storeless = peer.storeless_since.map(|at| at.elapsed());
-            let reaches_store = storeless.is_none_or(|time| time < STORE_OUTAGE_MAX);
+            let outage = peer.store_unavailable_since.map(|at| at.elapsed());
+            let reaches_store = outage.is_none_or(|time| time < STORE_OUTAGE_MAX);
             peer.is_alive && !peer.status.leaving && reaches_store
         })
     }
@@ -284,30 +284,31 @@
 
     /// Returns the hosts of other cells that have just said that they reach the
     /// store: the store may turn away a whole data centre.
-    fn able_far(&self) -> Vec<HostId> {
+    fn remote_with_store(&self) -> Vec<HostId> {
         let known = lock(&self.known);
-        let able = known.iter().filter(|(_, peer)| {
-            let word = peer.far_word;
-            word.is_some_and(|(at, store_up)| store_up && at.elapsed() < FAR_WORD_MAX)
+        let can_run_items = known.iter().filter(|(_, peer)| {
+            let word = peer.cell_report;
+            word.is_some_and(|(at, store_up)| store_up && at.elapsed() < CELL_REPORT_TTL)
         });
-        able.map(|(host, _)| host.clone()).collect()
+        can_run_items.map(|(host, _)| host.clone()).collect()
     }
 
     /// Returns the number of peers that reach the store.
     pub(crate) fn with_store(&self) -> usize {
-        self.able().len() + self.able_far().len()
+        self.can_run_items().len() + self.remote_with_store().len()
     }
 
     /// Returns the addresses of some peers that reach the store, in the order in which to
     /// ask them: some of this host's cell, then some of others. The store may have turned
     /// away the whole cell a moment ago, and its hosts have not said so yet.
     pub(crate) fn sample_with_store(&self, most: usize) -> Vec<SocketAddr> {
-        let (able, able_far) = (self.able(), self.able_far());
+        let (can_run_items, remote_with_store) = (self.can_run_items(), self.remote_with_store());
         let known = lock(&self.known);
         let mut rng = rand::rng();
-        let near = able.sample(&mut rng, most);
-        let far = able_far.sample(&mut rng, most);
-        near.chain(far)
+        let local = can_run_items.sample(&mut rng, most);
+        let remote = remote_with_store.sample(&mut rng, most);
+        local
+            .chain(remote)
             .filter_map(|host| known.get(host).map(|peer| peer.addr))
             .collect()
     }
@@ -329,8 +330,8 @@
     /// Returns whether this host is the one of its cell that should take a job
     /// over.
     pub(crate) fn is_successor(&self, own: &str, job: &str) -> bool {
-        let able = self.able();
-        let mut hosts: Vec<&str> = able.iter().map(String::as_str).collect();
+        let can_run_items = self.can_run_items();
+        let mut hosts: Vec<&str> = can_run_items.iter().map(String::as_str).collect();
         hosts.push(own);
         rendezvous::top_ranked(job, &hosts, 1) == [own]
     }
@@ -350,28 +351,28 @@
 pub(crate) fn start(ctx: &Arc<Context>, socket: UdpSocket, listeners: Vec<TcpListener>) {
     // The context is new, so nothing was set in it before.
     let _ = ctx.peers.socket.set(socket);
-    tokio::spawn(list::enter(Arc::clone(ctx)));
+    tokio::spawn(host_list::register(Arc::clone(ctx)));
     let (shared, list_ctx) = (Arc::clone(ctx), Arc::clone(ctx));
     let source = Source {
-        from: Box::new(move || Some(list::end(&list_ctx)).filter(|end| *end > 0)),
+        from: Box::new(move || Some(host_list::end(&list_ctx)).filter(|end| *end > 0)),
         is_reader: ctx.distributor.is_reader(),
         reads_first: true,
     };
     tokio::spawn(
         ctx.follower()
-            .follow(Topic::Hosts, list::PACE, source, move |reading| {
-                list::take(&shared, reading);
+            .follow(Topic::Hosts, host_list::PACE, source, move |reading| {
+                host_list::apply_reading(&shared, reading);
             }),
     );
     let ticks = ctx.timer.subscribe(spread::TICK);
     let links = links::new(ctx);
     spread::start(&ctx.distributor, links, ticks, ctx.phase.subscribe());
     tokio::spawn(contact::run(Arc::clone(ctx)));
-    tokio::spawn(status::send(Arc::clone(ctx)));
-    tokio::spawn(status::receive(Arc::clone(ctx)));
+    tokio::spawn(status::run_sender(Arc::clone(ctx)));
+    tokio::spawn(status::run_receiver(Arc::clone(ctx)));
     tokio::spawn(relay::run(Arc::clone(ctx)));
     tokio::spawn(cell::run(Arc::clone(ctx)));
-    tokio::spawn(loading::run(Arc::clone(ctx)));
+    tokio::spawn(bootstrap::run(Arc::clone(ctx)));
     tokio::spawn(suspects::send_periodic_reports(Arc::clone(ctx)));
     tokio::spawn(sweep(Arc::clone(ctx)));
     for listener in listeners {
@@ -380,12 +381,12 @@
 }
 
 /// Returns the number of hosts that tell one another at each change, with this one.
-fn near_hosts(ctx: &Context) -> u32 {
+fn local_host_count(ctx: &Context) -> u32 {
     let known = lock(&ctx.peers.known);
-    let near = known
+    let local = known
         .values()
-        .filter(|peer| peer.is_alive && relay::is_near(ctx, peer));
-    u32::try_from(near.count() + 1).unwrap_or(u32::MAX)
+        .filter(|peer| peer.is_alive && relay::is_local(ctx, peer));
+    u32::try_from(local.count() + 1).unwrap_or(u32::MAX)
 }
 
 /// Notes peers that have fallen silent.
@@ -399,8 +400,8 @@
         let mut lost = Vec::new();
         for (host, peer) in lock(&ctx.peers.known).iter_mut() {
             // Messages that arrived while this process was stalled have not been read yet.
-            peer.heard = peer.heard.map(|at| (at + late).min(now));
-            let silence = peer.heard.map(|at| at.elapsed());
+            peer.last_received = peer.last_received.map(|at| (at + late).min(now));
+            let silence = peer.last_received.map(|at| at.elapsed());
             if peer.is_alive && silence.is_some_and(|s| s >= down) {
                 peer.is_alive = false;
                 lost.push((host.clone(), silence));
@@ -416,7 +417,7 @@
             ctx.waiting.peer_down(&host);
             ctx.items.wake();
         }
-        list::mark_silent(&ctx);
-        ctx.waiting.set_hosts(near_hosts(&ctx));
+        host_list::mark_silent(&ctx);
+        ctx.waiting.set_hosts(local_host_count(&ctx));
     }
 }
--- a/crates/gateway/src/peers/loading.rs
+++ b/crates/gateway/src/peers/bootstrap.rs
@@ -41,78 +41,78 @@
 const TASK: &str = "list";
 /// Hosts of a cell that list: some may be gone, and the first to have all hand it
 /// on at once.
-const LISTERS: usize = 3;
+const LISTING_HOSTS: usize = 3;
 /// Maximum time that a starting host waits for the host list. Without the list a host does
 /// not know that others list, and lists for itself. When a thousand hosts start together,
 /// the store sends 85 MB of host lists, which takes a second.
 const LIST_WAIT: Duration = Duration::from_millis(2_500);
 /// Time for which a host waits for what others list.
-const OTHERS_WAIT: Duration = Duration::from_secs(4);
+const PEER_WAIT: Duration = Duration::from_secs(4);
 /// Time that is drawn on top, so that hosts that have waited in vain do not list all
 /// at once.
-const OTHERS_WAIT_DRAWN_MS: u64 = 3_000;
+const PEER_WAIT_JITTER_MS: u64 = 3_000;
 /// Time for a peer's answer: a megabyte over the least link takes 0.3 s, and it hands
 /// over to some at a time.
 const TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pause between two looks for a peer that has what is wanted, drawn.
-const PAUSE_MS: std::ops::Range<u64> = 20..80;
+const RETRY_PAUSE_MS: std::ops::Range<u64> = 20..80;
 /// Peers that a host hands over to at a time: fewer would leave its link idle, more
 /// would all get it late, and nobody could hand it on.
-const HAND_OVER_MAX: usize = 3;
+const TRANSFERS_MAX: usize = 3;
 
 /// Maximum number of concurrent responses to requests for changes.
 const RESPONSES_MAX: usize = tree::FANOUT;
 
 /// What a host notes while it starts.
 #[derive(Debug)]
-pub(super) struct Loading {
+pub(super) struct Bootstrap {
     /// Whether the list of hosts was read, or could not be.
-    is_list_tried: watch::Sender<bool>,
+    is_list_attempted: watch::Sender<bool>,
     /// When the newest reading of the host list was requested.
     list_read_at: watch::Sender<Option<Instant>>,
     /// Whether routes and targets are here, or are to be listed.
-    is_catalog_due: watch::Sender<bool>,
+    is_role_decided: watch::Sender<bool>,
     /// Peers that are being handed something.
-    handing_over: Gauge,
+    transfers: Gauge,
     /// Responses to requests for changes in progress.
     responses: Gauge,
 }
 
-impl Default for Loading {
+impl Default for Bootstrap {
     fn default() -> Self {
         Self {
-            is_list_tried: watch::Sender::new(false),
+            is_list_attempted: watch::Sender::new(false),
             list_read_at: watch::Sender::new(None),
-            is_catalog_due: watch::Sender::new(false),
-            handing_over: Gauge::default(),
+            is_role_decided: watch::Sender::new(false),
+            transfers: Gauge::default(),
             responses: Gauge::default(),
         }
     }
 }
 
-impl Loading {
+impl Bootstrap {
     /// Notes that the list of hosts was read, or could not be.
-    pub(super) fn list_tried(&self) {
-        self.is_list_tried.send_replace(true);
+    pub(super) fn mark_list_attempted(&self) {
+        self.is_list_attempted.send_replace(true);
     }
 
     /// Records a reading of the host list.
-    pub(super) fn list_read(&self, asked: Instant) {
+    pub(super) fn record_list_read(&self, requested_at: Instant) {
         self.list_read_at
-            .send_modify(|read_at| *read_at = (*read_at).max(Some(asked)));
-        self.list_tried();
+            .send_modify(|read_at| *read_at = (*read_at).max(Some(requested_at)));
+        self.mark_list_attempted();
     }
 
     /// Waits for the list of hosts to be read, or not to be readable, at most for a
     /// time.
-    pub(super) async fn until_list_tried(&self, wait: Duration) {
-        let mut is_tried = self.is_list_tried.subscribe();
+    pub(super) async fn wait_list_attempt(&self, wait: Duration) {
+        let mut is_attempted = self.is_list_attempted.subscribe();
         // Late, the list says as little as none.
-        let _ = tokio::time::timeout(wait, is_tried.wait_for(|tried| *tried)).await;
+        let _ = tokio::time::timeout(wait, is_attempted.wait_for(|attempted| *attempted)).await;
     }
 
     /// Waits until the host list is read or `wait` has elapsed.
-    async fn until_list_read(&self, wait: Duration) {
+    async fn wait_list_read(&self, wait: Duration) {
         let mut read_at = self.list_read_at.subscribe();
         // On timeout the caller continues with the hosts known so far.
         let _ = tokio::time::timeout(wait, read_at.wait_for(Option::is_some)).await;
@@ -130,49 +130,49 @@
 
     /// Starts a response to a request for changes, unless too many are in progress.
     pub(super) fn begin_response(&self) -> Option<Gauge> {
-        let under_way = self.responses.enter();
-        (self.responses.count() <= RESPONSES_MAX).then_some(under_way)
+        let guard = self.responses.enter();
+        (self.responses.count() <= RESPONSES_MAX).then_some(guard)
     }
 
     /// Begins to hand something over, if not too many are being handed something.
-    pub(super) fn hand_over(&self) -> Option<Gauge> {
-        let under_way = self.handing_over.enter();
-        (self.handing_over.count() <= HAND_OVER_MAX).then_some(under_way)
+    pub(super) fn begin_transfer(&self) -> Option<Gauge> {
+        let guard = self.transfers.enter();
+        (self.transfers.count() <= TRANSFERS_MAX).then_some(guard)
     }
 }
 
 /// Waits until it is decided whether this host reads routes and targets or follows another
 /// host.
 pub(super) async fn run(ctx: Arc<Context>) {
-    ctx.peers.loading.until_list_read(LIST_WAIT).await;
-    if ctx.peers.neighbours.cells().is_divided() {
+    ctx.peers.bootstrap.wait_list_read(LIST_WAIT).await;
+    if ctx.peers.cell_state.cells().is_divided() {
         // The rank among the listed hosts is computed at the next tick.
         tokio::time::sleep(2 * spread::TICK).await;
     }
-    ctx.peers.loading.is_catalog_due.send_replace(true);
+    ctx.peers.bootstrap.is_role_decided.send_replace(true);
 }
 
 /// Waits until routes and targets are here, or are to be listed.
 pub(crate) async fn wait_for_role(ctx: &Context) {
-    let mut is_due = ctx.peers.loading.is_catalog_due.subscribe();
+    let mut is_decided = ctx.peers.bootstrap.is_role_decided.subscribe();
     // The sender lives as long as the context.
-    let _ = is_due.wait_for(|is_due| *is_due).await;
+    let _ = is_decided.wait_for(|is_decided| *is_decided).await;
 }
 
 /// Returns the job records as a peer knows them; nothing if this host is to list
 /// them itself.
 pub(crate) async fn fetch_job_records(ctx: &Context) -> Option<Snapshot> {
-    if lists(ctx).await {
+    if is_listing_host(ctx).await {
         return None;
     }
-    let deadline = deadline();
+    let deadline = peer_deadline();
     while Instant::now() < deadline {
-        let Some((_, addr)) = peer(ctx, |p| p.status.store_up) else {
-            sleep_random(PAUSE_MS).await;
+        let Some((_, addr)) = random_peer(ctx, |p| p.status.store_up) else {
+            sleep_random(RETRY_PAUSE_MS).await;
             continue;
         };
-        let answer = rpc::call(addr, rpc::RECORDS, Bytes::new(), TIMEOUT).await;
-        match answer.map(|bytes| postcard::from_bytes(&bytes)) {
+        let response = rpc::call(addr, rpc::RECORDS, Bytes::new(), TIMEOUT).await;
+        match response.map(|bytes| postcard::from_bytes(&bytes)) {
             Ok(Ok(snapshot)) => return Some(snapshot),
             Ok(Err(err)) => slog::error!(ctx.logger, "unreadable answer of a peer";
                 "addr" => addr.to_string(), "error" => err.to_string()),
@@ -181,7 +181,7 @@
                 .metrics
                 .count(Counted::Changes, "records not handed over"),
         }
-        sleep_random(PAUSE_MS).await;
+        sleep_random(RETRY_PAUSE_MS).await;
     }
     slog::warn!(
         ctx.logger,
@@ -191,30 +191,33 @@
 }
 
 /// Returns whether this host lists for itself.
-async fn lists(ctx: &Context) -> bool {
-    ctx.peers.loading.until_list_read(LIST_WAIT).await;
-    let cells = ctx.peers.neighbours.cells();
+async fn is_listing_host(ctx: &Context) -> bool {
+    ctx.peers.bootstrap.wait_list_read(LIST_WAIT).await;
+    let cells = ctx.peers.cell_state.cells();
     if !cells.is_divided() {
         return true;
     }
     let known = lock(&ctx.peers.known);
-    let near = known
+    let local = known
         .iter()
-        .filter(|(host, peer)| cell::is_together(ctx, cells, host, peer));
-    let hosts = near.map(|(host, _)| host.as_str()).chain([ctx.host()]);
+        .filter(|(host, peer)| cell::is_in_own_cell(ctx, cells, host, peer));
+    let hosts = local.map(|(host, _)| host.as_str()).chain([ctx.host()]);
     let hosts: Vec<&str> = hosts.collect();
-    rendezvous::top_ranked(TASK, &hosts, LISTERS).contains(&ctx.host())
+    rendezvous::top_ranked(TASK, &hosts, LISTING_HOSTS).contains(&ctx.host())
 }
 
-fn deadline() -> Instant {
-    let drawn = rand::rng().random_range(0..OTHERS_WAIT_DRAWN_MS);
-    Instant::now() + OTHERS_WAIT + Duration::from_millis(drawn)
+fn peer_deadline() -> Instant {
+    let jitter_ms = rand::rng().random_range(0..PEER_WAIT_JITTER_MS);
+    Instant::now() + PEER_WAIT + Duration::from_millis(jitter_ms)
 }
 
 /// Returns a peer that has what is wanted, drawn.
-pub(super) fn peer(ctx: &Context, has: impl Fn(&Peer) -> bool) -> Option<(HostId, SocketAddr)> {
+pub(super) fn random_peer(
+    ctx: &Context,
+    has: impl Fn(&Peer) -> bool,
+) -> Option<(HostId, SocketAddr)> {
     let known = lock(&ctx.peers.known);
-    let having = known.iter().filter(|(_, p)| p.is_alive && has(p));
-    let (host, peer) = having.choose(&mut rand::rng())?;
+    let candidates = known.iter().filter(|(_, p)| p.is_alive && has(p));
+    let (host, peer) = candidates.choose(&mut rand::rng())?;
     Some((host.clone(), peer.addr))
 }
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -39,39 +39,39 @@
 /// Time between two datagrams to other cells. With five cells each hears of each
 /// other one every 200 ms on average, as old as news of far hosts is in a fleet that
 /// is one cell.
-const BEAT: Duration = Duration::from_millis(50);
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Beats without a word of a cell, for each other cell, after which it counts as
 /// gone: words come to random hosts, so one that lives is not heard for so long with
 /// a chance of e^-15. A job taken over by mistake runs again.
-const SILENT_BEATS: u32 = 15;
+const SILENT_AFTER_INTERVALS: u32 = 15;
 
 /// Least time without a word of a cell after which it counts as gone: all hosts of a
 /// data centre are back within it after most losses of power.
-const SILENT_MIN: Duration = Duration::from_secs(3);
+const SILENCE_MIN: Duration = Duration::from_secs(3);
 
 /// Time after which a host that is not in the list is taken for gone: new ones are
 /// there within a second.
-const UNLISTED_MAX: Duration = Duration::from_secs(5);
+const UNLISTED_GRACE: Duration = Duration::from_secs(5);
 
 /// Time for which word of a host in another cell says that it can be asked.
-pub(super) const FAR_WORD_MAX: Duration = Duration::from_secs(2);
+pub(super) const CELL_REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// The division of the fleet as this host sees it.
 #[derive(Debug)]
-pub(super) struct Neighbours {
+pub(super) struct CellState {
     division: Mutex<Division>,
     /// When something was last heard of each other cell, by its name.
-    heard: Mutex<HashMap<String, Instant>>,
+    last_received: Mutex<HashMap<String, Instant>>,
     /// Since when jobs have had owners that are not in the list.
     unlisted: Mutex<HashMap<HostId, Instant>>,
 }
 
-impl Neighbours {
+impl CellState {
     pub(super) fn new(cell_hosts_max: usize) -> Self {
         Self {
             division: Mutex::new(Division::new(cell_hosts_max)),
-            heard: Mutex::default(),
+            last_received: Mutex::default(),
             unlisted: Mutex::default(),
         }
     }
@@ -82,23 +82,26 @@
     }
 
     /// Returns the cells whose hosts are told what this one runs.
-    pub(super) fn told(&self, now: Instant) -> Cells {
+    pub(super) fn broadcast_cells(&self, now: Instant) -> Cells {
         lock(&self.division).broadcast_cells(now)
     }
 
     /// Returns whether nothing was heard of a cell for so long that all its hosts
     /// are gone.
     fn is_silent(&self, cell: &str) -> bool {
-        let heard = lock(&self.heard);
-        let others = u32::try_from(heard.len()).unwrap_or(u32::MAX);
-        let silence_max = SILENT_MIN.max(BEAT * SILENT_BEATS.saturating_mul(others));
-        heard.get(cell).is_none_or(|at| at.elapsed() >= silence_max)
+        let last_received = lock(&self.last_received);
+        let others = u32::try_from(last_received.len()).unwrap_or(u32::MAX);
+        let silence_max =
+            SILENCE_MIN.max(SEND_INTERVAL * SILENT_AFTER_INTERVALS.saturating_mul(others));
+        last_received
+            .get(cell)
+            .is_none_or(|at| at.elapsed() >= silence_max)
     }
 
     fn is_unlisted_for_long(&self, host: &str) -> bool {
         let mut unlisted = lock(&self.unlisted);
         let since = unlisted.entry(host.to_owned()).or_insert_with(Instant::now);
-        since.elapsed() >= UNLISTED_MAX
+        since.elapsed() >= UNLISTED_GRACE
     }
 }
 
@@ -108,9 +111,9 @@
 }
 
 /// Divides the fleet anew if its hosts call for it.
-pub(super) fn divide(ctx: &Context) {
+pub(super) fn update_division(ctx: &Context) {
     let now = Instant::now();
-    let neighbours = &ctx.peers.neighbours;
+    let cell_state = &ctx.peers.cell_state;
     let known = lock(&ctx.peers.known);
     let listed = known.values().filter_map(|p| p.data_centre.as_deref());
     let own = ctx.settings.host.data_centre.as_str();
@@ -118,8 +121,8 @@
     for data_centre in listed.chain([own]) {
         *hosts.entry(data_centre).or_default() += 1;
     }
-    let is_new = lock(&neighbours.division).note_hosts(hosts.values().copied(), now);
-    let cells = neighbours.cells();
+    let has_changed = lock(&cell_state.division).note_hosts(hosts.values().copied(), now);
+    let cells = cell_state.cells();
     let own_cell = own_cell(ctx, cells);
     let listed = known.iter().filter_map(|(host, peer)| {
         let data_centre = peer.data_centre.as_deref()?;
@@ -128,16 +131,16 @@
     let others: Vec<String> = listed.filter(|cell| *cell != own_cell).collect();
     drop(known);
     {
-        let mut heard = lock(&neighbours.heard);
-        heard.retain(|cell, _| others.contains(cell));
+        let mut last_received = lock(&cell_state.last_received);
+        last_received.retain(|cell, _| others.contains(cell));
         for cell in others {
             // Its hosts have just been read of: they have time to be heard.
-            heard.entry(cell).or_insert(now);
+            last_received.entry(cell).or_insert(now);
         }
     }
-    lock(&neighbours.unlisted).retain(|host, _| !is_listed(ctx, host));
-    if is_new {
-        begin_division(ctx, cells, &own_cell);
+    lock(&cell_state.unlisted).retain(|host, _| !is_listed(ctx, host));
+    if has_changed {
+        apply_division(ctx, cells, &own_cell);
     }
 }
 
@@ -147,27 +150,27 @@
 }
 
 /// Forgets what was known by another division.
-fn begin_division(ctx: &Context, cells: Cells, own_cell: &str) {
-    let count = lock(&ctx.peers.neighbours.heard).len() + 1;
+fn apply_division(ctx: &Context, cells: Cells, own_cell: &str) {
+    let count = lock(&ctx.peers.cell_state.last_received).len() + 1;
     slog::info!(ctx.logger, "fleet divided"; "cells" => count, "own_cell" => own_cell);
     ctx.metrics.set("cells", count);
     ctx.metrics.count(Counted::Changes, "cells");
     lock(&ctx.balancer).clear_cells();
-    let mut outside = Vec::new();
+    let mut other_cells = Vec::new();
     for (host, peer) in lock(&ctx.peers.known).iter_mut() {
-        if !is_together(ctx, cells, host, peer) {
+        if !is_in_own_cell(ctx, cells, host, peer) {
             peer.is_alive = false;
-            outside.push(host.clone());
+            other_cells.push(host.clone());
         }
     }
-    for host in outside {
+    for host in other_cells {
         lock(&ctx.balancer).remove_peer(&host);
         ctx.items.peer_down(&host);
     }
 }
 
 /// Returns whether a peer is in this host's cell.
-pub(super) fn is_together(ctx: &Context, cells: Cells, host: &str, peer: &Peer) -> bool {
+pub(super) fn is_in_own_cell(ctx: &Context, cells: Cells, host: &str, peer: &Peer) -> bool {
     let own = (ctx.host(), ctx.settings.host.data_centre.as_str());
     let data_centre = peer.data_centre.as_deref().unwrap_or_default();
     cells.are_in_same_cell(own, (host, data_centre))
@@ -176,8 +179,8 @@
 /// Returns whether this host looks after the jobs of another that may be gone: one
 /// of its own cell, of a cell that is gone as a whole, or of none.
 pub(super) fn is_responsible_for(ctx: &Context, host: &str) -> bool {
-    let neighbours = &ctx.peers.neighbours;
-    let cells = neighbours.cells();
+    let cell_state = &ctx.peers.cell_state;
+    let cells = cell_state.cells();
     if !cells.is_divided() {
         return true;
     }
@@ -187,68 +190,68 @@
         peer.map(|peer| {
             let data_centre = peer.data_centre.as_deref().unwrap_or_default();
             (
-                is_together(ctx, cells, host, peer),
+                is_in_own_cell(ctx, cells, host, peer),
                 cells.name_of((host, data_centre)),
             )
         })
     };
     match cell {
-        Some((is_together, cell)) => is_together || neighbours.is_silent(&cell),
-        None => neighbours.is_unlisted_for_long(host),
+        Some((is_in_own_cell, cell)) => is_in_own_cell || cell_state.is_silent(&cell),
+        None => cell_state.is_unlisted_for_long(host),
     }
 }
 
 /// Returns whether a task of the whole fleet is for a host of this one's cell.
 pub(super) fn is_assigned_to_own_cell(ctx: &Context, task: &str) -> bool {
-    let neighbours = &ctx.peers.neighbours;
-    let own = own_cell(ctx, neighbours.cells());
-    let heard = lock(&neighbours.heard);
-    let others = heard.keys().map(String::as_str);
+    let cell_state = &ctx.peers.cell_state;
+    let own = own_cell(ctx, cell_state.cells());
+    let last_received = lock(&cell_state.last_received);
+    let others = last_received.keys().map(String::as_str);
     let all: Vec<&str> = others.chain([own.as_str()]).collect();
     rendezvous::top_ranked(task, &all, 1) == [own.as_str()]
 }
 
 /// Takes in what another cell runs, from one of its hosts.
-pub(super) fn take(ctx: &Arc<Context>, addr: SocketAddr, told: CellStatus) {
+pub(super) fn apply_status(ctx: &Arc<Context>, addr: SocketAddr, status: CellStatus) {
     let now = Instant::now();
-    note_word(ctx, addr, &told, now);
-    let cells = ctx.peers.neighbours.cells();
+    record_remote_host(ctx, addr, &status, now);
+    let cells = ctx.peers.cell_state.cells();
     let own = (ctx.host(), ctx.settings.host.data_centre.as_str());
-    let from = (told.host.as_str(), told.data_centre.as_str());
+    let from = (status.host.as_str(), status.data_centre.as_str());
     // One that divides the fleet differently for a moment may be of this cell.
     if cells.is_divided() && !cells.are_in_same_cell(own, from) {
         let cell = cells.name_of(from);
-        let loads = told.loads.iter().map(status::load).collect();
+        let loads = status.loads.iter().map(status::load).collect();
         lock(&ctx.balancer).set_cell_loads(&cell, loads, now);
-        lock(&ctx.peers.neighbours.heard).insert(cell, now);
+        lock(&ctx.peers.cell_state.last_received).insert(cell, now);
     }
-    ctx.journal.told(told.jobs);
-    let theirs = Versions {
-        config: told.config,
-        targets: told.targets,
+    ctx.journal.told(status.jobs);
+    let versions = Versions {
+        config: status.config,
+        targets: status.targets,
     };
     // A host that reaches the store reads changes there or follows the reader.
     if !ctx.store.is_up() {
-        ctx.distributor.note_ahead(addr, theirs);
+        ctx.distributor.record_newer_versions(addr, versions);
     }
 }
 
 /// Notes that a host in another cell lives. A host that the store turns away may not
 /// have it in its list, and needs it all the more.
-fn note_word(ctx: &Context, addr: SocketAddr, told: &CellStatus, now: Instant) {
+fn record_remote_host(ctx: &Context, addr: SocketAddr, status: &CellStatus, now: Instant) {
     let is_new = {
         let mut known = lock(&ctx.peers.known);
-        let peer = known.entry(told.host.clone());
+        let peer = known.entry(status.host.clone());
         let peer = peer.or_insert_with(|| Peer::new(addr));
         peer.addr = addr;
-        peer.far_word = Some((now, told.store_up));
+        peer.cell_report = Some((now, status.store_up));
         let is_new = peer.data_centre.is_none();
         peer.data_centre
-            .get_or_insert_with(|| told.data_centre.clone());
+            .get_or_insert_with(|| status.data_centre.clone());
         is_new
     };
     if is_new {
-        divide(ctx);
+        update_division(ctx);
     }
 }
 
@@ -274,19 +277,21 @@
 /// Tells other cells what this one runs, and notes those that are gone, until the
 /// host stops.
 pub(super) async fn run(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(BEAT);
+    let mut ticks = ctx.timer.subscribe(SEND_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
-        let cells = ctx.peers.neighbours.cells();
+        let cells = ctx.peers.cell_state.cells();
         if !cells.is_divided() {
             continue;
         }
-        forget_silent(&ctx);
+        remove_silent_cells(&ctx);
         let addr = {
             let known = lock(&ctx.peers.known);
-            let outside = known
+            let other_cells = known
                 .iter()
-                .filter(|(host, peer)| !is_together(&ctx, cells, host, peer));
-            outside.map(|(_, peer)| peer.addr).choose(&mut rand::rng())
+                .filter(|(host, peer)| !is_in_own_cell(&ctx, cells, host, peer));
+            other_cells
+                .map(|(_, peer)| peer.addr)
+                .choose(&mut rand::rng())
         };
         let (Some(addr), Some(socket)) = (addr, ctx.peers.socket.get()) else {
             continue;
@@ -299,11 +304,11 @@
 }
 
 /// Forgets what cells run that are gone.
-fn forget_silent(ctx: &Context) {
-    let neighbours = &ctx.peers.neighbours;
-    let cells: Vec<String> = lock(&neighbours.heard).keys().cloned().collect();
+fn remove_silent_cells(ctx: &Context) {
+    let cell_state = &ctx.peers.cell_state;
+    let cells: Vec<String> = lock(&cell_state.last_received).keys().cloned().collect();
     for cell in cells {
-        if neighbours.is_silent(&cell) && lock(&ctx.balancer).remove_cell(&cell) {
+        if cell_state.is_silent(&cell) && lock(&ctx.balancer).remove_cell(&cell) {
             slog::warn!(ctx.logger, "cell down"; "cell" => cell);
             ctx.metrics.count(Counted::Changes, "cell down");
         }
--- a/crates/gateway/src/peers/contact.rs
+++ b/crates/gateway/src/peers/contact.rs
@@ -20,8 +20,8 @@
 use serde::Serialize;
 
 use super::cell;
-use super::list;
-use super::list::Listing;
+use super::host_list;
+use super::host_list::HostInfo;
 use super::rpc;
 use crate::context::Context;
 use crate::metrics::Counted;
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Introduction {
     host: HostId,
-    listing: Listing,
+    listing: HostInfo,
 }
 
 /// Contacts the seeds until the host list has been read.
@@ -54,7 +54,7 @@
     if seeds.is_empty() {
         return;
     }
-    ctx.peers.loading.until_list_tried(LIST_WAIT).await;
+    ctx.peers.bootstrap.wait_list_attempt(LIST_WAIT).await;
     let mut backoff = Backoff::new(PAUSE_MIN, PAUSE_MAX);
     while ctx.phase() < Phase::Leaving && !is_fleet_found(&ctx) {
         for seed in &seeds {
@@ -68,9 +68,9 @@
 /// was read after all hosts that started with it had been entered, or many hosts are known.
 fn is_fleet_found(ctx: &Context) -> bool {
     let peers = &ctx.peers;
-    let entered_at = *lock(&peers.entered_at);
-    let read_at = peers.loading.list_read_at();
-    let settled_at = entered_at.map(|at| at + list::SETTLED_AFTER);
+    let registered_at = *lock(&peers.registered_at);
+    let read_at = peers.bootstrap.list_read_at();
+    let settled_at = registered_at.map(|at| at + host_list::SETTLED_AFTER);
     peers.was_listed.load(Ordering::Relaxed)
         || settled_at.is_some_and(|settled| read_at.is_some_and(|read| read >= settled))
         || lock(&peers.known).len() >= HOSTS_RETURNED_MAX
@@ -79,12 +79,12 @@
 async fn contact_seed(ctx: &Arc<Context>, seed: SocketAddr) {
     let own = Introduction {
         host: ctx.host().to_owned(),
-        listing: list::own_listing(ctx),
+        listing: host_list::own_info(ctx),
     };
     let body = postcard::to_stdvec(&own).expect("Introductions are representable.");
-    let answer = rpc::call(seed, rpc::CONTACTS, body.into(), TIMEOUT).await;
+    let respond = rpc::call(seed, rpc::CONTACTS, body.into(), TIMEOUT).await;
     // A failed seed is retried after the others.
-    let Ok(bytes) = answer else {
+    let Ok(bytes) = respond else {
         return ctx.metrics.count(Counted::Changes, "seed not reached");
     };
     match postcard::from_bytes::<Vec<Introduction>>(&bytes) {
@@ -104,29 +104,29 @@
 }
 
 /// Records the host that sent a request; returns other known hosts and this one.
-pub(super) fn answer(ctx: &Arc<Context>, body: &[u8]) -> Option<Vec<u8>> {
-    let Ok(asking) = postcard::from_bytes::<Introduction>(body) else {
+pub(super) fn respond(ctx: &Arc<Context>, body: &[u8]) -> Option<Vec<u8>> {
+    let Ok(requesting) = postcard::from_bytes::<Introduction>(body) else {
         slog::warn!(ctx.logger, "invalid introduction from host");
         return None;
     };
-    let mut introductions = others(ctx, &asking.host);
+    let mut introductions = others(ctx, &requesting.host);
     introductions.push(Introduction {
         host: ctx.host().to_owned(),
-        listing: list::own_listing(ctx),
+        listing: host_list::own_info(ctx),
     });
-    add(ctx, &asking);
+    add(ctx, &requesting);
     Some(postcard::to_stdvec(&introductions).expect("Introductions are representable."))
 }
 
-fn others(ctx: &Context, asking: &str) -> Vec<Introduction> {
+fn others(ctx: &Context, requesting: &str) -> Vec<Introduction> {
     let known = lock(&ctx.peers.known);
     let others = known.iter().filter_map(|(host, peer)| {
-        let listing = Listing {
+        let listing = HostInfo {
             addr: peer.addr,
             data_centre: peer.data_centre.clone()?,
         };
         let host = host.clone();
-        (host != asking).then_some(Introduction { host, listing })
+        (host != requesting).then_some(Introduction { host, listing })
     });
     others.sample(&mut rand::rng(), HOSTS_RETURNED_MAX)
 }
@@ -136,8 +136,8 @@
     if introduction.host == ctx.host() || lock(&ctx.peers.known).contains_key(&introduction.host) {
         return false;
     }
-    list::add_contact(ctx, &introduction.host, &introduction.listing);
-    cell::divide(ctx);
+    host_list::add_contact(ctx, &introduction.host, &introduction.listing);
+    cell::update_division(ctx);
     ctx.peers.notify();
     true
 }
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/host_list.rs
@@ -35,16 +35,16 @@
 
 /// Time for the list to be read before a host's own entry is written: two timeouts of
 /// a slow store.
-const ENTER_WAIT: Duration = Duration::from_millis(1_500);
+const REGISTER_WAIT: Duration = Duration::from_millis(1_500);
 /// Pause before a host's own entry is written again, doubled each time.
-const ENTRY_PAUSE_MIN: Duration = Duration::from_millis(300);
+const REGISTER_PAUSE_MIN: Duration = Duration::from_millis(300);
 /// The longest such pause: other hosts find this one by its datagrams meanwhile.
-const ENTRY_PAUSE_MAX: Duration = Duration::from_millis(2_400);
+const REGISTER_PAUSE_MAX: Duration = Duration::from_millis(2_400);
 
 /// Silence after which the list says so: four times that after which a host counts as
 /// down, longer than most are away. One that is back, or was never gone, writes its entry
 /// again.
-const SILENT_AFTER: Duration = Duration::from_secs(5);
+const MARK_SILENT_AFTER: Duration = Duration::from_secs(5);
 
 /// Maximum number of new hosts that are logged individually.
 const LOGGED_HOSTS_MAX: usize = 8;
@@ -56,7 +56,7 @@
 
 /// A host's entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Listing {
+pub(super) struct HostInfo {
     pub(super) addr: SocketAddr,
     pub(super) data_centre: String,
 }
@@ -64,13 +64,13 @@
 /// An entry with what others say of its host. Entries of hosts that know of no such word
 /// end before it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Marked {
-    listing: Listing,
+struct HostEntry {
+    listing: HostInfo,
     /// Whether the host has long been silent.
     is_silent: bool,
 }
 
-impl Marked {
+impl HostEntry {
     fn decode(value: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(value).or_else(|_| {
             let listing = postcard::from_bytes(value)?;
@@ -83,17 +83,17 @@
 }
 
 /// Returns a host's entry.
-fn entry(host: &str, listing: Listing, is_silent: bool) -> Entry {
-    let marked = Marked { listing, is_silent };
-    let value = postcard::to_stdvec(&marked).expect("Listings are representable.");
+fn entry(host: &str, listing: HostInfo, is_silent: bool) -> Entry {
+    let entry = HostEntry { listing, is_silent };
+    let value = postcard::to_stdvec(&entry).expect("Listings are representable.");
     Entry {
         key: host.to_owned(),
         value: Some(value.into()),
     }
 }
 
-pub(super) fn own_listing(ctx: &Context) -> Listing {
-    Listing {
+pub(super) fn own_info(ctx: &Context) -> HostInfo {
+    HostInfo {
         addr: ctx.settings.host.peer_listen,
         data_centre: ctx.settings.host.data_centre.clone(),
     }
@@ -102,14 +102,14 @@
 /// Writes this host's entry, unless the list has it: after a loss of all hosts the list
 /// has all of them, and writing it anew would hold up all that read it. The store takes
 /// one append after the other, and does not read the list out meanwhile.
-pub(super) async fn enter(ctx: Arc<Context>) {
-    let entry = entry(ctx.host(), own_listing(&ctx), false);
-    ctx.peers.loading.until_list_tried(ENTER_WAIT).await;
-    let mut backoff = Backoff::new(ENTRY_PAUSE_MIN, ENTRY_PAUSE_MAX);
-    while ctx.phase() < Phase::Leaving && lock(&ctx.peers.entered_at).is_none() {
+pub(super) async fn register(ctx: Arc<Context>) {
+    let entry = entry(ctx.host(), own_info(&ctx), false);
+    ctx.peers.bootstrap.wait_list_attempt(REGISTER_WAIT).await;
+    let mut backoff = Backoff::new(REGISTER_PAUSE_MIN, REGISTER_PAUSE_MAX);
+    while ctx.phase() < Phase::Leaving && lock(&ctx.peers.registered_at).is_none() {
         let res = ctx.store.append(Topic::Hosts, 0, vec![entry.clone()]).await;
         if res.is_ok() {
-            *lock(&ctx.peers.entered_at) = Some(Instant::now());
+            *lock(&ctx.peers.registered_at) = Some(Instant::now());
             return;
         }
         // Hosts that start together must not all write again at once.
@@ -118,35 +118,40 @@
 }
 
 /// Takes in whether the list has this host's entry; writes it again if it was dropped.
-fn note_own(ctx: &Arc<Context>, asked: Instant, is_listing: bool, records: &[StoredRecord]) {
+fn check_own_entry(
+    ctx: &Arc<Context>,
+    requested_at: Instant,
+    is_listing: bool,
+    records: &[StoredRecord],
+) {
     let own = records.iter().rev().find(|r| r.entry.key == ctx.host());
     let value = own.and_then(|own| own.entry.value.as_deref());
     let is_listed = value.is_some_and(|value| {
-        let marked = Marked::decode(value);
-        marked.is_ok_and(|own| !own.is_silent && own.listing == own_listing(ctx))
+        let entry = HostEntry::decode(value);
+        entry.is_ok_and(|own| !own.is_silent && own.listing == own_info(ctx))
     });
-    let mut entered_at = lock(&ctx.peers.entered_at);
+    let mut registered_at = lock(&ctx.peers.registered_at);
     if is_listed {
-        if entered_at.is_none() && is_listing {
+        if registered_at.is_none() && is_listing {
             ctx.peers.was_listed.store(true, Ordering::Relaxed);
         }
-        entered_at.get_or_insert(asked);
+        registered_at.get_or_insert(requested_at);
         return;
     }
     let is_missing = own.is_some() || is_listing;
-    let was_entered = entered_at.is_some_and(|at| at < asked);
-    if is_missing && was_entered && ctx.phase() < Phase::Leaving {
+    let was_registered = registered_at.is_some_and(|at| at < requested_at);
+    if is_missing && was_registered && ctx.phase() < Phase::Leaving {
         slog::info!(
             ctx.logger,
             "own host entry changed by another, written again"
         );
-        *entered_at = None;
-        tokio::spawn(enter(Arc::clone(ctx)));
+        *registered_at = None;
+        tokio::spawn(register(Arc::clone(ctx)));
     }
 }
 
 /// Drops this host's entry; without it others find out by its silence.
-pub(crate) async fn leave(ctx: &Context) {
+pub(crate) async fn deregister(ctx: &Context) {
     let entry = Entry::tombstone(ctx.host().to_owned());
     if let Err(err) = ctx.store.append(Topic::Hosts, 0, vec![entry]).await {
         slog::warn!(ctx.logger, "host's entry not dropped"; "error" => err.to_string());
@@ -164,7 +169,7 @@
 }
 
 /// Applies changes of the list received from a peer.
-pub(super) fn take_changes(ctx: &Arc<Context>, received: Hosts) {
+pub(super) fn apply_changes(ctx: &Arc<Context>, received: Hosts) {
     let known_to = end(ctx);
     if received.from > known_to || received.to <= known_to {
         return;
@@ -182,10 +187,10 @@
 }
 
 /// Applies a reading of the list.
-pub(super) fn take(ctx: &Arc<Context>, reading: Reading) {
+pub(super) fn apply_reading(ctx: &Arc<Context>, reading: Reading) {
     // The reader tries again, and the store's wrapper has logged why.
     let Ok(seen) = reading.seen else {
-        ctx.peers.loading.list_tried();
+        ctx.peers.bootstrap.mark_list_attempted();
         return;
     };
     let listed_to = seen.listing_end();
@@ -197,12 +202,12 @@
 
 fn apply(
     ctx: &Arc<Context>,
-    asked: Instant,
+    requested_at: Instant,
     is_listing: bool,
     to: u64,
     records: Vec<StoredRecord>,
 ) {
-    note_own(ctx, asked, is_listing, &records);
+    check_own_entry(ctx, requested_at, is_listing, &records);
     {
         let mut host_log = lock(&ctx.peers.host_log);
         records.iter().for_each(|record| host_log.apply(record));
@@ -219,19 +224,19 @@
         }
         let Some(value) = record.entry.value else {
             slog::info!(ctx.logger, "host left the list"; "peer" => host.as_str());
-            forget(ctx, &host);
+            remove_host(ctx, &host);
             continue;
         };
-        match Marked::decode(&value) {
-            Ok(marked) if know(ctx, &host, &marked) => added.push((host, marked.listing.addr)),
+        match HostEntry::decode(&value) {
+            Ok(entry) if update_host(ctx, &host, &entry) => added.push((host, entry.listing.addr)),
             Ok(_) => {}
             Err(err) => slog::error!(ctx.logger, "unreadable host entry";
                 "peer" => host, "error" => err.to_string()),
         }
     }
     log_known(ctx, &added);
-    cell::divide(ctx);
-    ctx.peers.loading.list_read(asked);
+    cell::update_division(ctx);
+    ctx.peers.bootstrap.record_list_read(requested_at);
     ctx.peers.notify();
 }
 
@@ -247,17 +252,17 @@
 }
 
 /// Adds a host learned from a peer rather than from the list.
-pub(super) fn add_contact(ctx: &Context, host: &str, listing: &Listing) {
-    let marked = Marked {
+pub(super) fn add_contact(ctx: &Context, host: &str, listing: &HostInfo) {
+    let entry = HostEntry {
         listing: listing.clone(),
         is_silent: false,
     };
-    know(ctx, host, &marked);
+    update_host(ctx, host, &entry);
 }
 
 /// Applies a host's entry; returns whether the host was unknown.
-fn know(ctx: &Context, host: &str, marked: &Marked) -> bool {
-    let listing = &marked.listing;
+fn update_host(ctx: &Context, host: &str, entry: &HostEntry) -> bool {
+    let listing = &entry.listing;
     let addr = listing.addr;
     let mut known = lock(&ctx.peers.known);
     let is_new = !known.contains_key(host);
@@ -265,7 +270,7 @@
         .entry(host.to_owned())
         .or_insert_with(|| Peer::new(addr));
     peer.addr = addr;
-    peer.is_marked_silent = marked.is_silent;
+    peer.is_marked_silent = entry.is_silent;
     peer.data_centre = Some(listing.data_centre.clone());
     is_new
 }
@@ -278,38 +283,38 @@
     if !ctx.store.is_up() || ctx.phase() != Phase::Ready {
         return;
     }
-    for (host, listing) in silent(ctx) {
+    for (host, listing) in silent_hosts(ctx) {
         if !ctx.peers.is_successor(ctx.host(), &host) {
             continue;
         }
         set_marked(ctx, &host, true);
         slog::info!(ctx.logger, "silent host marked in the list"; "peer" => host.as_str());
         ctx.metrics.count(Counted::Changes, "silent host marked");
-        tokio::spawn(mark(Arc::clone(ctx), host, listing));
+        tokio::spawn(write_silent_mark(Arc::clone(ctx), host, listing));
     }
 }
 
 /// Returns the hosts of this one's cell that have been silent for long, those of other
 /// cells being never heard themselves.
-fn silent(ctx: &Context) -> Vec<(HostId, Listing)> {
-    let cells = ctx.peers.neighbours.cells();
+fn silent_hosts(ctx: &Context) -> Vec<(HostId, HostInfo)> {
+    let cells = ctx.peers.cell_state.cells();
     let known = lock(&ctx.peers.known);
-    let silent = known.iter().filter_map(|(host, peer)| {
-        let silence = peer.heard.unwrap_or(peer.since).elapsed();
-        let is_gone = !peer.is_alive && silence >= SILENT_AFTER && !peer.is_marked_silent;
-        if !is_gone || (cells.is_divided() && !cell::is_together(ctx, cells, host, peer)) {
+    let silent_hosts = known.iter().filter_map(|(host, peer)| {
+        let silence = peer.last_received.unwrap_or(peer.known_since).elapsed();
+        let is_gone = !peer.is_alive && silence >= MARK_SILENT_AFTER && !peer.is_marked_silent;
+        if !is_gone || (cells.is_divided() && !cell::is_in_own_cell(ctx, cells, host, peer)) {
             return None;
         }
-        let listing = Listing {
+        let listing = HostInfo {
             addr: peer.addr,
             data_centre: peer.data_centre.clone()?,
         };
         Some((host.clone(), listing))
     });
-    silent.collect()
+    silent_hosts.collect()
 }
 
-async fn mark(ctx: Arc<Context>, host: HostId, listing: Listing) {
+async fn write_silent_mark(ctx: Arc<Context>, host: HostId, listing: HostInfo) {
     let entry = entry(&host, listing, true);
     let res = ctx.store.append(Topic::Hosts, 0, vec![entry]).await;
     if res.is_err() {
@@ -324,7 +329,7 @@
     }
 }
 
-fn forget(ctx: &Context, host: &str) {
+fn remove_host(ctx: &Context, host: &str) {
     let is_silent = lock(&ctx.peers.known)
         .get(host)
         .is_some_and(|p| !p.is_alive);
--- a/crates/gateway/src/peers/links.rs
+++ b/crates/gateway/src/peers/links.rs
@@ -8,8 +8,8 @@
 use notchwharf_proto::records::ChangesRequest;
 use notchwharf_proto::records::ChangesResponse;
 
-use super::list;
-use super::loading;
+use super::bootstrap;
+use super::host_list;
 use super::relay;
 use super::rpc;
 use crate::catalog;
@@ -26,23 +26,23 @@
 /// Returns the peer operations of this host.
 pub(super) fn new(ctx: &Arc<Context>) -> Links {
     let shared = || Arc::clone(ctx);
-    let (near, ahead, sender, end, taker, waker) =
+    let (local, newer, sender, end, applier, waker) =
         (shared(), shared(), shared(), shared(), shared(), shared());
     Links {
-        neighbours: Box::new(move || neighbours(&near)),
-        newer_peer: Box::new(move || peer_ahead(&ahead)),
+        neighbours: Box::new(move || neighbours(&local)),
+        newer_peer: Box::new(move || newer_peer(&newer)),
         send: Box::new(move |addr, news| sender.peers.send_to(addr, news)),
         request: Box::new(|addr, request| request_changes(addr, request).boxed()),
-        hosts_end: Box::new(move || list::end(&end)),
+        hosts_end: Box::new(move || host_list::end(&end)),
         apply: Box::new(move |operator_records, hosts| {
-            let ctx = Arc::clone(&taker);
+            let ctx = Arc::clone(&applier);
             async move {
-                list::take_changes(&ctx, hosts);
+                host_list::apply_changes(&ctx, hosts);
                 if let Some(config) = operator_records.config {
-                    catalog::take_from_peer(&ctx, config).await;
+                    catalog::apply_peer_config(&ctx, config).await;
                 }
                 if let Some(evacuated) = operator_records.evacuated {
-                    catalog::take_evacuated(&ctx, evacuated);
+                    catalog::apply_peer_evacuation(&ctx, evacuated);
                 }
             }
             .boxed()
@@ -54,18 +54,22 @@
 /// Returns the other hosts of the data centre that are not marked silent; `None` in a fleet
 /// of a single cell.
 fn neighbours(ctx: &Context) -> Option<Vec<Neighbour>> {
-    if !ctx.peers.neighbours.cells().is_divided() {
+    if !ctx.peers.cell_state.cells().is_divided() {
         return None;
     }
     let known = lock(&ctx.peers.known);
-    let near = known
+    let local = known
         .iter()
-        .filter(|(_, peer)| relay::is_near(ctx, peer) && !peer.is_marked_silent);
-    Some(near.map(|(host, peer)| (host.clone(), peer.addr)).collect())
+        .filter(|(_, peer)| relay::is_local(ctx, peer) && !peer.is_marked_silent);
+    Some(
+        local
+            .map(|(host, peer)| (host.clone(), peer.addr))
+            .collect(),
+    )
 }
 
-fn peer_ahead(ctx: &Context) -> Option<SocketAddr> {
-    let peer = loading::peer(ctx, |peer| {
+fn newer_peer(ctx: &Context) -> Option<SocketAddr> {
+    let peer = bootstrap::random_peer(ctx, |peer| {
         let versions = Versions {
             config: peer.status.config,
             targets: peer.status.targets,
@@ -77,7 +81,7 @@
 
 async fn request_changes(addr: SocketAddr, request: ChangesRequest) -> ChangesResult {
     let body = postcard::to_stdvec(&request).expect("Requests are representable.");
-    let answer = rpc::call(addr, rpc::CHANGES, body.into(), REQUEST_TIMEOUT).await;
-    let bytes = answer.map_err(rpc::CallError::reason)?;
+    let response = rpc::call(addr, rpc::CHANGES, body.into(), REQUEST_TIMEOUT).await;
+    let bytes = response.map_err(rpc::CallError::reason)?;
     postcard::from_bytes::<ChangesResponse>(&bytes).map_err(|_| "invalid response")
 }
--- a/crates/gateway/src/peers/receivers.rs
+++ b/crates/gateway/src/peers/recipients.rs
@@ -16,7 +16,7 @@
 
 /// Where to send.
 #[derive(Debug, Default)]
-pub(super) struct Receivers {
+pub(super) struct Recipients {
     pub(super) addrs: Vec<SocketAddr>,
     /// How hosts in other data centres are told, if they are now.
     pub(super) pace: Option<Pace>,
@@ -24,36 +24,36 @@
 
 /// Returns where to send in this host's cell: to peers that live, and now and
 /// then to the others.
-pub(super) fn receivers(ctx: &Context, due: Due) -> Receivers {
+pub(super) fn status_recipients(ctx: &Context, due: Due) -> Recipients {
     let now = Instant::now();
-    let own = own(ctx, ctx.peers.neighbours.told(now));
+    let sender = sender(ctx, ctx.peers.cell_state.broadcast_cells(now));
     let mut known = lock(&ctx.peers.known);
-    let told = {
+    let chosen = {
         let peers: Vec<dissemination::Peer<'_>> = known.iter().map(peer).collect();
-        dissemination::recipients(&own, &peers, due, now, &mut rand::rng())
+        dissemination::recipients(&sender, &peers, due, now, &mut rand::rng())
     };
     let mut all: Vec<&mut Peer> = known.values_mut().collect();
-    for place in &told.local {
-        all[*place].told = Some(now);
+    for index in &chosen.local {
+        all[*index].last_sent = Some(now);
     }
-    let addrs = told.local.iter().chain(&told.remote);
-    Receivers {
-        addrs: addrs.map(|place| all[*place].addr).collect(),
-        pace: told.pace,
+    let addrs = chosen.local.iter().chain(&chosen.remote);
+    Recipients {
+        addrs: addrs.map(|index| all[*index].addr).collect(),
+        pace: chosen.pace,
     }
 }
 
 /// Returns where to pass on what hosts far away told.
-pub(super) fn passed_on_to(ctx: &Context) -> Vec<SocketAddr> {
-    let own = own(ctx, ctx.peers.neighbours.cells());
+pub(super) fn relay_recipients(ctx: &Context) -> Vec<SocketAddr> {
+    let sender = sender(ctx, ctx.peers.cell_state.cells());
     let known = lock(&ctx.peers.known);
     let peers: Vec<dissemination::Peer<'_>> = known.iter().map(peer).collect();
-    let told = dissemination::relay_recipients(&own, &peers);
+    let chosen = dissemination::relay_recipients(&sender, &peers);
     let all: Vec<&Peer> = known.values().collect();
-    told.into_iter().map(|place| all[place].addr).collect()
+    chosen.into_iter().map(|index| all[index].addr).collect()
 }
 
-fn own(ctx: &Context, cells: Cells) -> Sender<'_> {
+fn sender(ctx: &Context, cells: Cells) -> Sender<'_> {
     Sender {
         host: ctx.host(),
         data_centre: &ctx.settings.host.data_centre,
@@ -66,6 +66,6 @@
         host,
         data_centre: peer.data_centre.as_deref(),
         is_alive: peer.is_alive,
-        last_sent: peer.told,
+        last_sent: peer.last_sent,
     }
 }
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -19,7 +19,7 @@
 use tokio::net::UdpSocket;
 
 use super::Peer;
-use super::receivers::passed_on_to;
+use super::recipients::relay_recipients;
 use crate::context::Context;
 use crate::metrics::Counted;
 use crate::sync::lock;
@@ -30,53 +30,53 @@
 /// each of them as a peer.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
-    heard: Mutex<HashSet<HostId>>,
+    pending: Mutex<HashSet<HostId>>,
 }
 
 impl Relay {
     /// Notes that there is news of a host far away, to be passed on soon.
-    pub(super) fn put(&self, host: &str) {
-        lock(&self.heard).insert(host.to_owned());
+    pub(super) fn enqueue(&self, host: &str) {
+        lock(&self.pending).insert(host.to_owned());
     }
 
     fn take(&self) -> HashSet<HostId> {
-        std::mem::take(&mut *lock(&self.heard))
+        std::mem::take(&mut *lock(&self.pending))
     }
 }
 
 /// Returns how hosts are, in parts that each fit a datagram.
-fn parts(ctx: &Context, hosts: &HashSet<HostId>) -> Vec<Vec<Status>> {
+fn split_statuses(ctx: &Context, hosts: &HashSet<HostId>) -> Vec<Vec<Status>> {
     let known = lock(&ctx.peers.known);
-    let news = hosts.iter().filter_map(|host| known.get(host));
+    let changed = hosts.iter().filter_map(|host| known.get(host));
     let bytes_of = |status: &Status| messages::encode(&PeerMessage::Status(status.clone())).len();
-    messages::split_by_size(news.map(|peer| peer.status.clone()), bytes_of)
+    messages::split_by_size(changed.map(|peer| peer.status.clone()), bytes_of)
 }
 
 /// Passes news on inside this host's data centre.
 pub(super) async fn run(ctx: Arc<Context>) {
     let mut ticks = ctx.timer.subscribe(RELAY_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
-        let heard = ctx.peers.relay.take();
-        if heard.is_empty() {
+        let pending = ctx.peers.relay.take();
+        if pending.is_empty() {
             continue;
         }
-        let near = passed_on_to(&ctx);
-        if near.is_empty() {
+        let local = relay_recipients(&ctx);
+        if local.is_empty() {
             continue;
         }
         let Some(socket) = ctx.peers.socket.get() else {
             return;
         };
         work::timed(&ctx.metrics, Part::NewsPassedOn, || {
-            pass_on(&ctx, &heard, &near, socket);
+            relay(&ctx, &pending, &local, socket);
         });
     }
 }
 
-fn pass_on(ctx: &Context, heard: &HashSet<HostId>, near: &[SocketAddr], socket: &UdpSocket) {
-    for part in parts(ctx, heard) {
+fn relay(ctx: &Context, pending: &HashSet<HostId>, local: &[SocketAddr], socket: &UdpSocket) {
+    for part in split_statuses(ctx, pending) {
         let bytes = messages::encode(&PeerMessage::PassedOn(part));
-        for addr in near {
+        for addr in local {
             // Lost, the next one makes up for it.
             let _ = socket.try_send_to(&bytes, *addr);
             ctx.metrics.count(Counted::Datagrams, "passed on");
@@ -85,6 +85,6 @@
 }
 
 /// Returns whether a peer stands in this host's data centre.
-pub(super) fn is_near(ctx: &Context, peer: &Peer) -> bool {
+pub(super) fn is_local(ctx: &Context, peer: &Peer) -> bool {
     peer.data_centre.as_ref() == Some(&ctx.settings.host.data_centre)
 }
--- a/crates/gateway/src/peers/rpc.rs
+++ b/crates/gateway/src/peers/rpc.rs
@@ -26,7 +26,7 @@
 use tokio::net::TcpStream;
 
 use super::contact;
-use super::list;
+use super::host_list;
 use super::suspects;
 use crate::context::Context;
 use crate::jobs;
@@ -86,18 +86,18 @@
 }
 
 async fn exchange(socket: TcpStream, path: &str, body: Bytes) -> Result<Bytes, CallError> {
-    const BROKE: CallError = CallError::Lost("connection to peer broke");
+    const BROKEN: CallError = CallError::Lost("connection to peer broke");
     let conn = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await;
     let (mut sender, conn) = conn.map_err(|_| CallError::NotSent("no handshake"))?;
     tokio::spawn(conn);
     let req = Request::post(path).header("host", "peer");
     let req = req.body(Full::new(body));
     let req = req.map_err(|_| CallError::NotSent("malformed call"))?;
-    let resp = sender.send_request(req).await.map_err(|_| BROKE)?;
+    let resp = sender.send_request(req).await.map_err(|_| BROKEN)?;
     if resp.status() != StatusCode::OK {
         return Err(CallError::Lost("peer could not answer"));
     }
-    let body = resp.into_body().collect().await.map_err(|_| BROKE)?;
+    let body = resp.into_body().collect().await.map_err(|_| BROKEN)?;
     Ok(body.to_bytes())
 }
 
@@ -115,11 +115,11 @@
         };
         let shared = Arc::clone(&ctx);
         // A hand-over lasts until the peer has it all and closes the connection.
-        let under_way: Arc<Mutex<Option<Gauge>>> = Arc::default();
+        let in_progress: Arc<Mutex<Option<Gauge>>> = Arc::default();
         let service = service_fn(move |req: Request<Incoming>| {
             let ctx = Arc::clone(&shared);
-            let under_way = Arc::clone(&under_way);
-            async move { Ok::<_, std::convert::Infallible>(answer(&ctx, req, &under_way).await) }
+            let in_progress = Arc::clone(&in_progress);
+            async move { Ok::<_, std::convert::Infallible>(respond(&ctx, req, &in_progress).await) }
         });
         tokio::spawn(async move {
             let conn = hyper::server::conn::http1::Builder::new();
@@ -130,22 +130,22 @@
 }
 
 /// Returns what a peer asks for, unless too many others are being handed something.
-fn hand_over(
+fn begin_transfer(
     ctx: &Context,
-    under_way: &Mutex<Option<Gauge>>,
+    in_progress: &Mutex<Option<Gauge>>,
     get: impl FnOnce(&Context) -> Vec<u8>,
 ) -> Option<Vec<u8>> {
-    *lock(under_way) = Some(ctx.peers.loading.hand_over()?);
+    *lock(in_progress) = Some(ctx.peers.bootstrap.begin_transfer()?);
     Some(get(ctx))
 }
 
 /// Returns the changes that a peer requests, unless too many responses are in progress.
-fn changes(ctx: &Context, body: &[u8], under_way: &Mutex<Option<Gauge>>) -> Option<Vec<u8>> {
+fn changes(ctx: &Context, body: &[u8], in_progress: &Mutex<Option<Gauge>>) -> Option<Vec<u8>> {
     let Ok(request) = postcard::from_bytes::<ChangesRequest>(body) else {
         slog::warn!(ctx.logger, "invalid request for changes from peer");
         return None;
     };
-    *lock(under_way) = Some(ctx.peers.loading.begin_response()?);
+    *lock(in_progress) = Some(ctx.peers.bootstrap.begin_response()?);
     let targets = discovery::Position {
         from: request.targets_from,
         after: request.targets_after,
@@ -154,7 +154,7 @@
         config: ctx.catalog.config_after(request.config),
         evacuated: ctx.catalog.evacuated_after(request.config),
         targets: ctx.catalog.targets_since(&targets, RESPONSE_TARGETS_MAX),
-        hosts: list::since(ctx, request.hosts_from),
+        hosts: host_list::since(ctx, request.hosts_from),
         reading: ctx.catalog.reading(Instant::now()),
     };
     Some(postcard::to_stdvec(&response).expect("Responses are representable."))
@@ -165,24 +165,24 @@
     postcard::to_stdvec(&snapshot).expect("Snapshots are representable.")
 }
 
-async fn answer(
+async fn respond(
     ctx: &Arc<Context>,
     req: Request<Incoming>,
-    under_way: &Mutex<Option<Gauge>>,
+    in_progress: &Mutex<Option<Gauge>>,
 ) -> Response<Full<Bytes>> {
     let path = req.uri().path().to_owned();
     // A peer that breaks off in between gets no answer anyway.
     let body = req.into_body().collect().await.ok();
     let body = body.map(http_body_util::Collected::to_bytes);
-    let answered = match (path.as_str(), body) {
-        (CHANGES, Some(body)) => changes(ctx, &body, under_way),
-        (RECORDS, _) if ctx.journal.is_loaded() => hand_over(ctx, under_way, records),
-        (CONTACTS, Some(body)) => contact::answer(ctx, &body),
-        (SUSPECTS, _) => suspects::handed_over(ctx),
+    let response_body = match (path.as_str(), body) {
+        (CHANGES, Some(body)) => changes(ctx, &body, in_progress),
+        (RECORDS, _) if ctx.journal.is_loaded() => begin_transfer(ctx, in_progress, records),
+        (CONTACTS, Some(body)) => contact::respond(ctx, &body),
+        (SUSPECTS, _) => suspects::snapshot(ctx),
         (JOBS, Some(body)) => jobs::answer(ctx, &body).await,
         _ => None,
     };
-    let Some(bytes) = answered else {
+    let Some(bytes) = response_body else {
         let mut resp = Response::new(Full::default());
         *resp.status_mut() = StatusCode::BAD_REQUEST;
         return resp;
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -22,7 +22,7 @@
 
 use super::Peer;
 use super::cell;
-use super::receivers::receivers;
+use super::recipients::status_recipients;
 use super::relay;
 use super::suspects;
 use crate::catalog::Versions;
@@ -37,7 +37,7 @@
 /// Time for which a peer may know newer routes or targets before they are requested from
 /// it. Exceeds the pause between two readings, 300 ms, so that hosts whose next reading is
 /// due do not send redundant requests.
-const AHEAD_MAX: Duration = Duration::from_millis(500);
+const AHEAD_GRACE: Duration = Duration::from_millis(500);
 
 /// Bytes of a datagram at most: what UDP carries.
 const DATAGRAM_BYTES_MAX: usize = 65_536;
@@ -77,9 +77,9 @@
 }
 
 /// Tells peers what this host runs, when that changes and in each beat.
-pub(super) async fn send(ctx: Arc<Context>) {
+pub(super) async fn run_sender(ctx: Arc<Context>) {
     let settings = &ctx.settings.peers;
-    let gap = ms(settings.news_ms);
+    let interval = ms(settings.news_ms);
     let mut schedule = Schedule::new(ms(settings.beat_ms), Instant::now());
     let mut number = 0;
     if let Some(socket) = ctx.peers.socket.get() {
@@ -90,58 +90,58 @@
     }
     while ctx.phase() != Phase::Stopped {
         let wait = schedule.wait(Instant::now());
-        let news = tokio::time::timeout(wait, ctx.peers.dirty.notified()).await;
-        let due = schedule.due(news.is_ok(), Instant::now());
+        let message = tokio::time::timeout(wait, ctx.peers.dirty.notified()).await;
+        let due = schedule.due(message.is_ok(), Instant::now());
         number += 1;
         let Some(socket) = ctx.peers.socket.get() else {
             return;
         };
         let pace = work::timed(&ctx.metrics, Part::NewsTold, || {
-            tell(&ctx, number, due, socket)
+            send_status(&ctx, number, due, socket)
         });
         if let Some(pace) = pace {
             schedule.set_pace(pace);
         }
-        tokio::time::sleep(gap).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
 /// Tells peers how this host is; returns how those far away were told, if they
 /// were.
-fn tell(ctx: &Context, number: u64, due: Due, socket: &UdpSocket) -> Option<Pace> {
-    let mut receivers = receivers(ctx, due);
-    receivers.addrs.extend(changed_elsewhere(ctx, due));
-    if !receivers.addrs.is_empty() {
+fn send_status(ctx: &Context, number: u64, due: Due, socket: &UdpSocket) -> Option<Pace> {
+    let mut recipients = status_recipients(ctx, due);
+    recipients.addrs.extend(changed_remote_recipients(ctx, due));
+    if !recipients.addrs.is_empty() {
         let contention = ctx.waiting.told(Instant::now());
         let bytes = messages::encode_with_contention(own_status(ctx, number), contention.as_ref());
-        for addr in receivers.addrs {
+        for addr in recipients.addrs {
             // Lost, the next one makes up for it.
             let _ = socket.try_send_to(&bytes, addr);
             ctx.metrics.count(Counted::Datagrams, "sent");
         }
     }
-    receivers.pace
+    recipients.pace
 }
 
 /// Returns the hosts of data centres at whose targets this host now runs something else
 /// than it last told them. Those whose places are shared by an order know of no others'
 /// requests there but by this: passed on, the news comes too late.
-fn changed_elsewhere(ctx: &Context, due: Due) -> Vec<SocketAddr> {
+fn changed_remote_recipients(ctx: &Context, due: Due) -> Vec<SocketAddr> {
     if !due.local || !ctx.waiting.is_on() {
         return Vec::new();
     }
     let now = lock(&ctx.balancer).own_remote_loads(&ctx.settings.host.data_centre);
-    let mut told = lock(&ctx.peers.told_elsewhere);
-    let all = now.keys().chain(told.keys());
+    let mut reported = lock(&ctx.peers.last_sent_remote);
+    let all = now.keys().chain(reported.keys());
     let changed: BTreeSet<&DataCentreId> = all
-        .filter(|data_centre| now.get(*data_centre) != told.get(*data_centre))
+        .filter(|data_centre| now.get(*data_centre) != reported.get(*data_centre))
         .collect();
     let addrs = ctx.peers.alive_in(&changed);
-    *told = now;
+    *reported = now;
     addrs
 }
 
-pub(super) async fn receive(ctx: Arc<Context>) {
+pub(super) async fn run_receiver(ctx: Arc<Context>) {
     let Some(socket) = ctx.peers.socket.get() else {
         return;
     };
@@ -157,41 +157,41 @@
         };
         ctx.metrics.count(Counted::Datagrams, "received");
         work::timed(&ctx.metrics, Part::NewsTakenIn, || {
-            take(&ctx, addr, &buf[..len]);
+            handle_datagram(&ctx, addr, &buf[..len]);
         });
     }
 }
 
 /// Takes in a datagram.
-fn take(ctx: &Arc<Context>, addr: SocketAddr, bytes: &[u8]) {
-    let Some((news, contention)) = messages::decode_with_contention(bytes) else {
+fn handle_datagram(ctx: &Arc<Context>, addr: SocketAddr, bytes: &[u8]) {
+    let Some((message, contention)) = messages::decode_with_contention(bytes) else {
         return ctx.metrics.count(Counted::Datagrams, "unreadable");
     };
-    match news {
-        PeerMessage::Status(status) => take_status(ctx, Some(addr), status, contention),
-        PeerMessage::PassedOn(news) => {
-            for status in news {
-                take_status(ctx, None, status, None);
+    match message {
+        PeerMessage::Status(status) => apply_status(ctx, Some(addr), status, contention),
+        PeerMessage::PassedOn(message) => {
+            for status in message {
+                apply_status(ctx, None, status, None);
             }
         }
-        PeerMessage::Preemption(cut) => take_cut(ctx, cut),
-        PeerMessage::Cell(told) => cell::take(ctx, addr, told),
-        PeerMessage::Suspects(told) => suspects::take(ctx, &told),
+        PeerMessage::Preemption(preemption) => preempt_item(ctx, preemption),
+        PeerMessage::Cell(reported) => cell::apply_status(ctx, addr, reported),
+        PeerMessage::Suspects(reported) => suspects::apply_reports(ctx, &reported),
         PeerMessage::SlotTransfer(hand) => ctx.waiting.handed(hand.target),
-        PeerMessage::Limits(told) => limits::take(ctx, addr, &told),
+        PeerMessage::Limits(reported) => limits::take(ctx, addr, &reported),
         PeerMessage::Announcement(message) => ctx.distributor.receive(addr, message),
     }
 }
 
-fn take_cut(ctx: &Arc<Context>, cut: Preemption) {
-    let target = lock(&ctx.balancer).id_of(cut.target).cloned();
+fn preempt_item(ctx: &Arc<Context>, preemption: Preemption) {
+    let target = lock(&ctx.balancer).id_of(preemption.target).cloned();
     if let Some(target) = target {
         ctx.items.cut_one(&target);
     }
 }
 
 /// Takes in how a host is, from its own address or passed on by another.
-fn take_status(
+fn apply_status(
     ctx: &Arc<Context>,
     addr: Option<SocketAddr>,
     status: Status,
@@ -199,10 +199,10 @@
 ) {
     let host = status.host.clone();
     // One of another cell divides the fleet differently for a moment.
-    if host == ctx.host() || !is_of_cell(ctx, &host) {
+    if host == ctx.host() || !is_own_cell_host(ctx, &host) {
         return;
     }
-    let theirs = Versions {
+    let versions = Versions {
         config: status.config,
         targets: status.targets,
     };
@@ -211,14 +211,14 @@
     let loads: Vec<(TargetKey, Load)> = status.loads.iter().map(load).collect();
     let waiting: Vec<QueuedItems> = status.waiting.iter().map(waiting).collect();
     let failing = status.failing.clone();
-    let Some(heard) = note_status(ctx, addr, status, ctx.catalog.is_behind(theirs)) else {
+    let Some(update) = record_status(ctx, addr, status, ctx.catalog.is_behind(versions)) else {
         return;
     };
-    if addr.is_some() && !heard.is_near {
-        ctx.peers.relay.put(&host);
+    if addr.is_some() && !update.is_local {
+        ctx.peers.relay.enqueue(&host);
     }
     // A target may fail callers of one data centre only.
-    let failing = if heard.is_near { failing } else { vec![] };
+    let failing = if update.is_local { failing } else { vec![] };
     let waits = ctx.items.peer_waits(&host, waiting);
     let runs = lock(&ctx.balancer).set_peer_loads(&host, loads, failing, Instant::now());
     ctx.journal.told(jobs);
@@ -226,89 +226,89 @@
         ctx.items.wake();
     }
     if addr.is_some() {
-        take_contention(ctx, &host, &heard, contention);
+        apply_contention(ctx, &host, &update, contention);
     }
     if runs {
         ctx.waiting.wake();
     }
-    if heard.is_new {
+    if update.is_new {
         slog::info!(ctx.logger, "host up"; "peer" => host.as_str(),
-            "incarnation" => incarnation, "addr" => heard.addr.to_string(),
+            "incarnation" => incarnation, "addr" => update.addr.to_string(),
             "passed_on" => addr.is_none());
         ctx.metrics.count(Counted::Changes, "host up");
         ctx.peers.notify();
-        suspects::tell_newcomer(ctx, heard.addr);
+        suspects::send_to_new_host(ctx, update.addr);
     }
-    if heard.is_pull_due {
-        ctx.distributor.note_ahead(heard.addr, theirs);
+    if update.is_request_due {
+        ctx.distributor.record_newer_versions(update.addr, versions);
     }
 }
 
 /// Takes in what waits at a host. Those elsewhere tell too seldom for an order of requests.
-fn take_contention(
+fn apply_contention(
     ctx: &Context,
     host: &str,
-    heard: &Heard,
+    update: &StatusUpdate,
     contention: Option<messages::Contention>,
 ) {
     let now = Instant::now();
-    if heard.is_near {
+    if update.is_local {
         return ctx.waiting.peer_tells(host, contention, now);
     }
-    let is_short = contention.is_some_and(|told| !told.waiting.is_empty());
-    if let (true, Some(data_centre)) = (is_short, &heard.data_centre) {
+    let is_short = contention.is_some_and(|reported| !reported.waiting.is_empty());
+    if let (true, Some(data_centre)) = (is_short, &update.data_centre) {
         ctx.waiting.note_short(data_centre, now);
     }
 }
 
 /// Returns whether a host is of this one's cell, as far as the list tells.
-fn is_of_cell(ctx: &Context, host: &str) -> bool {
-    let cells = ctx.peers.neighbours.cells();
+fn is_own_cell_host(ctx: &Context, host: &str) -> bool {
+    let cells = ctx.peers.cell_state.cells();
     if !cells.is_divided() {
         return true;
     }
     let known = lock(&ctx.peers.known);
     let peer = known.get(host);
-    peer.is_some_and(|peer| cell::is_together(ctx, cells, host, peer))
+    peer.is_some_and(|peer| cell::is_in_own_cell(ctx, cells, host, peer))
 }
 
-pub(super) fn load(told: &messages::Load) -> (TargetKey, Load) {
+pub(super) fn load(reported: &messages::Load) -> (TargetKey, Load) {
     let load = Load {
-        online: told.online,
-        batch: told.batch,
+        online: reported.online,
+        batch: reported.batch,
     };
-    (told.target, load)
+    (reported.target, load)
 }
 
-fn waiting(told: &messages::WaitingItems) -> QueuedItems {
+fn waiting(reported: &messages::WaitingItems) -> QueuedItems {
     QueuedItems {
-        due_unix_ms: told.due_unix_ms,
-        items: told.items,
+        due_unix_ms: reported.due_unix_ms,
+        items: reported.items,
     }
 }
 
 /// What a status says of its sender.
-struct Heard {
+struct StatusUpdate {
     /// Where the host is.
     addr: SocketAddr,
     /// Whether the host was not alive before, or has started again since.
     is_new: bool,
     /// Whether it stands in this host's data centre.
-    is_near: bool,
+    is_local: bool,
     /// Where it stands, if that is known.
     data_centre: Option<DataCentreId>,
     /// Whether it has been ahead of this host for long enough to be asked.
-    is_pull_due: bool,
+    is_request_due: bool,
 }
 
 /// Notes a status; returns nothing if a newer one came before, or if it was
 /// passed on and nobody knows yet where its host is.
-fn note_status(
+fn record_status(
     ctx: &Context,
     addr: Option<SocketAddr>,
     status: Status,
     is_ahead: bool,
-) -> Option<Heard> {
+) -> Option<StatusUpdate> {
     let now = Instant::now();
     let mut known = lock(&ctx.peers.known);
     let peer = match addr {
@@ -326,13 +326,13 @@
         return None;
     }
     peer.addr = addr.unwrap_or(peer.addr);
-    peer.heard = Some(now);
+    peer.last_received = Some(now);
     if status.leaving && !peer.status.leaving {
         *lock(&ctx.peers.lost_at) = Some(now);
     }
-    peer.storeless_since = match status.store_up {
+    peer.store_unavailable_since = match status.store_up {
         true => None,
-        false => Some(peer.storeless_since.unwrap_or(now)),
+        false => Some(peer.store_unavailable_since.unwrap_or(now)),
     };
     let ahead_since = if is_ahead {
         Some(peer.ahead_since.unwrap_or(now))
@@ -341,13 +341,13 @@
     };
     peer.ahead_since = ahead_since;
     peer.status = status;
-    let is_long = ahead_since.is_some_and(|since| now.duration_since(since) >= AHEAD_MAX);
-    Some(Heard {
+    let is_long = ahead_since.is_some_and(|since| now.duration_since(since) >= AHEAD_GRACE);
+    Some(StatusUpdate {
         // One that is back before anybody missed it has forgotten all the same.
         is_new: !std::mem::replace(&mut peer.is_alive, true) || is_other_start,
         addr: peer.addr,
-        is_near: relay::is_near(ctx, peer),
+        is_local: relay::is_local(ctx, peer),
         data_centre: peer.data_centre.clone(),
-        is_pull_due: is_ahead && (is_long || !ctx.store.is_up()),
+        is_request_due: is_ahead && (is_long || !ctx.store.is_up()),
     })
 }
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -27,7 +27,7 @@
 use notchwharf_startup::Dependency;
 use rand::seq::IteratorRandom as _;
 
-use super::loading;
+use super::bootstrap;
 use super::rpc;
 use crate::context::Context;
 use crate::metrics::Counted;
@@ -36,9 +36,9 @@
 
 /// Time between two peers that a host asks when it starts, and before the first: the
 /// store answers sooner, if it does.
-const ASK_GAP: Duration = Duration::from_millis(50);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for a peer's answer: many times the way between data centres.
-const ASK_TIMEOUT: Duration = Duration::from_millis(100);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time after its start for which a host holds requests back until it knows what was
 /// blamed: three beats of a peer, whose first one may be lost.
 const CATCH_UP_MAX: Duration = Duration::from_millis(1_000);
@@ -46,19 +46,19 @@
 /// Tells all hosts what changes, until the host stops.
 pub(crate) async fn broadcast_changes(ctx: Arc<Context>) {
     let gate = Arc::clone(&ctx.suspects.gate);
-    send_changes(gate, move |told| tell_all(&ctx, told)).await;
+    send_changes(gate, move |reports| send_to_all(&ctx, reports)).await;
 }
 
-fn tell_all(ctx: &Context, told: &Report) {
+fn send_to_all(ctx: &Context, reports: &Report) {
     let addrs: Vec<SocketAddr> = {
         let known = lock(&ctx.peers.known);
         known.values().map(|peer| peer.addr).collect()
     };
-    send(ctx, std::slice::from_ref(told), &addrs);
+    send(ctx, std::slice::from_ref(reports), &addrs);
 }
 
 /// Tells a host that was not there before what is worth it.
-pub(super) fn tell_newcomer(ctx: &Context, addr: SocketAddr) {
+pub(super) fn send_to_new_host(ctx: &Context, addr: SocketAddr) {
     send(ctx, &ctx.suspects.gate.periodic_reports(), &[addr]);
 }
 
@@ -70,22 +70,22 @@
         if gate.is_empty() {
             continue;
         }
-        let told = gate.periodic_reports();
+        let reports = gate.periodic_reports();
         ctx.metrics.set("suspects", gate.len());
         let addrs: Vec<SocketAddr> = {
             let known = lock(&ctx.peers.known);
             let addrs = known.values().map(|peer| peer.addr);
             addrs.sample(&mut rand::rng(), REPORT_FANOUT)
         };
-        send(&ctx, &told, &addrs);
+        send(&ctx, &reports, &addrs);
     }
 }
 
-fn send(ctx: &Context, told: &[Report], addrs: &[SocketAddr]) {
+fn send(ctx: &Context, reports: &[Report], addrs: &[SocketAddr]) {
     let Some(socket) = ctx.peers.socket.get() else {
         return;
     };
-    for suspects in encode(told) {
+    for suspects in encode(reports) {
         let host = ctx.host().to_owned();
         let bytes = messages::encode(&PeerMessage::Suspects(messages::Suspects {
             host,
@@ -101,12 +101,12 @@
 
 /// Returns what is known here, for a host that starts; nothing if this one has just
 /// started itself.
-pub(super) fn handed_over(ctx: &Context) -> Option<Vec<u8>> {
+pub(super) fn snapshot(ctx: &Context) -> Option<Vec<u8>> {
     if !ctx.startup.is_ready(Dependency::Suspects) {
         return None;
     }
-    let told = ctx.suspects.gate.periodic_reports();
-    let suspects: Vec<messages::Suspect> = encode(&told).into_iter().flatten().collect();
+    let reports = ctx.suspects.gate.periodic_reports();
+    let suspects: Vec<messages::Suspect> = encode(&reports).into_iter().flatten().collect();
     Some(postcard::to_stdvec(&suspects).expect("Suspects are representable."))
 }
 
@@ -120,17 +120,17 @@
             return ctx.startup.mark_ready(Dependency::Suspects, "nobody");
         }
         // One without routes has just started itself.
-        if let Some((host, addr)) = loading::peer(&ctx, |p| p.status.config > 0) {
-            ask(&ctx, &host, addr).await;
+        if let Some((host, addr)) = bootstrap::random_peer(&ctx, |p| p.status.config > 0) {
+            request_reports(&ctx, &host, addr).await;
         }
-        tokio::time::sleep(ASK_GAP).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
 }
 
-async fn ask(ctx: &Arc<Context>, host: &HostId, addr: SocketAddr) {
-    let answer = rpc::call(addr, rpc::SUSPECTS, Bytes::new(), ASK_TIMEOUT).await;
+async fn request_reports(ctx: &Arc<Context>, host: &HostId, addr: SocketAddr) {
+    let response = rpc::call(addr, rpc::SUSPECTS, Bytes::new(), REQUEST_TIMEOUT).await;
     // One that has just started, or that is gone; another is asked next.
-    let Ok(bytes) = answer else {
+    let Ok(bytes) = response else {
         return ctx
             .metrics
             .count(Counted::Changes, "suspects not handed over");
@@ -148,8 +148,8 @@
 }
 
 /// Takes in what a host tells.
-pub(super) fn take(ctx: &Arc<Context>, told: &messages::Suspects) {
-    for suspect in &told.suspects {
-        quarantine::take(ctx, &told.host, &decode(suspect));
+pub(super) fn apply_reports(ctx: &Arc<Context>, reports: &messages::Suspects) {
+    for suspect in &reports.suspects {
+        quarantine::take(ctx, &reports.host, &decode(suspect));
     }
 }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -66,7 +66,7 @@
 pub(crate) type Neighbour = (HostId, SocketAddr);
 
 /// Sends a datagram to an address.
-type SendNews = Box<dyn Fn(SocketAddr, &PeerMessage) + Send + Sync>;
+type SendMessage = Box<dyn Fn(SocketAddr, &PeerMessage) + Send + Sync>;
 
 /// Operations on the other hosts.
 pub(crate) struct Links {
@@ -75,7 +75,7 @@
     /// Returns a peer with newer versions than this host.
     pub(crate) newer_peer: Box<dyn Fn() -> Option<SocketAddr> + Send + Sync>,
     /// Sends a datagram.
-    pub(crate) send: SendNews,
+    pub(crate) send: SendMessage,
     /// Requests changes from a host.
     pub(crate) request: Box<
         dyn Fn(SocketAddr, records::ChangesRequest) -> BoxFuture<'static, ChangesResult>
@@ -119,8 +119,8 @@
     rank: Option<usize>,
     /// When fresh state was last received from any reader, and from one ranked before this
     /// host.
-    heard: Instant,
-    heard_ranked_before: Instant,
+    last_received: Instant,
+    last_received_ranked_before: Instant,
     /// Keyed by incarnation as well, since a reader's clock restarts with it.
     delays: DelayEstimator<(HostId, u64)>,
     announced: Announced,
@@ -136,8 +136,8 @@
             started: now,
             state: Mutex::new(State {
                 rank: None,
-                heard: now,
-                heard_ranked_before: now,
+                last_received: now,
+                last_received_ranked_before: now,
                 delays: DelayEstimator::default(),
                 announced: Announced::default(),
             }),
@@ -153,9 +153,9 @@
     }
 
     /// Records that another host has newer versions.
-    pub(crate) fn note_ahead(&self, addr: SocketAddr, versions: Versions) {
+    pub(crate) fn record_newer_versions(&self, addr: SocketAddr, versions: Versions) {
         if self.deps.catalog.is_behind(versions) {
-            self.note_missing(Missing {
+            self.add_missing(Missing {
                 versions,
                 source: Some(addr),
                 ..Missing::default()
@@ -171,7 +171,7 @@
         let forward_to = std::mem::take(&mut message.forward_to);
         self.forward(links, &forward_to, &message);
         let now = Instant::now();
-        let read = self.note_heard(&message, now);
+        let read = self.record_announcement(&message, now);
         let announced = Missing {
             versions: Versions {
                 config: message.config,
@@ -189,15 +189,17 @@
             (links.targets_changed)();
         }
         if let Some(as_of) = read.config_as_of {
-            self.deps.catalog.confirmed_by_peer(message.config, as_of);
+            self.deps
+                .catalog
+                .record_peer_confirmation(message.config, as_of);
         }
         if self.lacks(links, &announced) {
-            self.note_missing(announced);
+            self.add_missing(announced);
         }
     }
 
     /// Records the announcement of a reader; returns its reading on this host's clock.
-    fn note_heard(&self, message: &Announcement, now: Instant) -> PeerReading {
+    fn record_announcement(&self, message: &Announcement, now: Instant) -> PeerReading {
         let mut state = lock(&self.state);
         let now_ms = millis(now - self.started);
         let sender = (message.reader.clone(), message.incarnation);
@@ -206,24 +208,25 @@
             .retain(|(host, start)| *host != sender.0 || *start == sender.1);
         let delay = state.delays.observe(sender, message.sent_ms, now_ms);
         let read = PeerReading::from_peer(&message.reading, delay, now);
-        if !read.is_served() || delay >= self.timeouts.takeover_after {
+        if !read.is_store_serving() || delay >= self.timeouts.takeover_after {
             return read;
         }
-        let heard = now - delay;
-        state.heard = state.heard.max(heard);
+        let last_received = now - delay;
+        state.last_received = state.last_received.max(last_received);
         if readers::ranks_before(&message.reader, &self.deps.host) {
-            state.heard_ranked_before = state.heard_ranked_before.max(heard);
+            state.last_received_ranked_before =
+                state.last_received_ranked_before.max(last_received);
         }
         read
     }
 
     fn forward(&self, links: &Links, addrs: &[SocketAddr], message: &Announcement) {
         for branch in tree::split(addrs, tree::FANOUT) {
-            let news = PeerMessage::Announcement(Announcement {
+            let message = PeerMessage::Announcement(Announcement {
                 forward_to: branch.forward_to,
                 ..message.clone()
             });
-            (links.send)(branch.receiver, &news);
+            (links.send)(branch.receiver, &message);
             self.deps.metrics.count(Counted::Datagrams, "told on");
         }
     }
@@ -232,11 +235,11 @@
     fn update_role(&self, now: Instant) {
         let state = lock(&self.state);
         let was_reader = *self.is_reader.borrow();
-        let heard = match was_reader {
-            true => state.heard_ranked_before,
-            false => state.heard,
+        let last_received = match was_reader {
+            true => state.last_received_ranked_before,
+            false => state.last_received,
         };
-        let silence = now.saturating_duration_since(heard);
+        let silence = now.saturating_duration_since(last_received);
         let is_store_up = self.deps.store.is_up();
         let rank = state.rank;
         drop(state);
@@ -277,13 +280,13 @@
     let Some(links) = distributor.links.get() else {
         return;
     };
-    let mut near = None;
+    let mut neighbours = None;
     let mut number: u32 = 0;
     while ticks.recv().await.is_some() && *phase.borrow() != Phase::Stopped {
-        if number.is_multiple_of(RANK_TICKS) || near.is_none() {
-            near = (links.neighbours)();
-            let rank = near.as_ref().map(|near| {
-                let hosts = near.iter().map(|(host, _)| host.as_str());
+        if number.is_multiple_of(RANK_TICKS) || neighbours.is_none() {
+            neighbours = (links.neighbours)();
+            let rank = neighbours.as_ref().map(|neighbours| {
+                let hosts = neighbours.iter().map(|(host, _)| host.as_str());
                 readers::rank(&distributor.deps.host, hosts)
             });
             lock(&distributor.state).rank = rank;
@@ -291,10 +294,10 @@
         number = number.wrapping_add(1);
         let now = Instant::now();
         distributor.update_role(now);
-        if let Some(near) = &near
+        if let Some(neighbours) = &neighbours
             && *distributor.is_reader.borrow()
         {
-            distributor.announce(links, near, now);
+            distributor.announce(links, neighbours, now);
         }
     }
 }
--- a/crates/gateway/src/spread/announcing.rs
+++ b/crates/gateway/src/spread/announcing.rs
@@ -34,18 +34,18 @@
 
 impl Distributor {
     /// Announces what this host has read, if there are changes or an announcement is due.
-    pub(super) fn announce(&self, links: &Links, near: &[Neighbour], now: Instant) {
+    pub(super) fn announce(&self, links: &Links, neighbours: &[Neighbour], now: Instant) {
         let versions = self.deps.catalog.versions();
         let hosts = (links.hosts_end)();
         let announced = lock(&self.state).announced;
-        let is_news = versions != announced.versions || hosts != announced.hosts;
+        let has_changes = versions != announced.versions || hosts != announced.hosts;
         let is_due = announced
             .at
             .is_none_or(|at| now - at >= self.timeouts.announce_interval);
-        if !is_news && !is_due {
+        if !has_changes && !is_due {
             return;
         }
-        let mut addrs: Vec<SocketAddr> = near.iter().map(|(_, addr)| *addr).collect();
+        let mut addrs: Vec<SocketAddr> = neighbours.iter().map(|(_, addr)| *addr).collect();
         addrs.shuffle(&mut rand::rng());
         let reading = self.deps.catalog.reading(now);
         let parts = self.datagram_parts(&announced);
@@ -81,12 +81,12 @@
                 .catalog
                 .targets_since(&position, ANNOUNCED_CHANGES_MAX)
         };
-        let again = since(announced.targets_from);
-        let is_short = changes_bytes(&again) <= CHANGES_BYTES_MAX
-            && again.page.is_none()
-            && !again.is_complete;
+        let repeated = since(announced.targets_from);
+        let is_short = changes_bytes(&repeated) <= CHANGES_BYTES_MAX
+            && repeated.page.is_none()
+            && !repeated.is_complete;
         let targets = match is_short {
-            true => again,
+            true => repeated,
             false => since(announced.targets_to),
         };
         if targets.page.is_some() || targets.is_complete || targets.to < targets.end {
--- a/crates/gateway/src/spread/catching_up.rs
+++ b/crates/gateway/src/spread/catching_up.rs
@@ -62,13 +62,13 @@
         let mut attempts = 0;
         let mut requests: u32 = 0;
         while attempts < ATTEMPTS_MAX && distributor.is_missing_records(links) {
-            let told_by = lock(&distributor.missing).source;
-            let ahead = (links.newer_peer)();
+            let announced_by = lock(&distributor.missing).source;
+            let newer_peer = (links.newer_peer)();
             // The sender has the records first but is contacted by other hosts as well, so
             // requests alternate between it and a newer peer.
             let addr = match requests % 2 {
-                0 => told_by.or(ahead),
-                _ => ahead.or(told_by),
+                0 => announced_by.or(newer_peer),
+                _ => newer_peer.or(announced_by),
             };
             requests = requests.wrapping_add(1);
             let Some(addr) = addr else {
@@ -101,7 +101,7 @@
     }
 
     /// Starts requests for what another host has announced.
-    pub(super) fn note_missing(&self, announced: Missing) {
+    pub(super) fn add_missing(&self, announced: Missing) {
         lock(&self.missing).merge(announced);
         self.is_behind.notify_one();
     }
@@ -116,9 +116,9 @@
             targets_after: targets.after.clone(),
             hosts_from,
         };
-        let asked = Instant::now();
-        let answer = match (links.request)(addr, request).await {
-            Ok(answer) => answer,
+        let requested_at = Instant::now();
+        let response = match (links.request)(addr, request).await {
+            Ok(response) => response,
             Err(why) => {
                 self.deps.metrics.count(Counted::Changes, "peer not asked");
                 slog::debug!(self.deps.logger, "request for changes failed";
@@ -127,15 +127,15 @@
             }
         };
         self.deps.metrics.count(Counted::Changes, "peer asked");
-        let is_config = answer.config.is_some() || answer.evacuated.is_some();
+        let is_config = response.config.is_some() || response.evacuated.is_some();
         let operator_records = OperatorRecords {
-            config: answer.config,
-            evacuated: answer.evacuated,
+            config: response.config,
+            evacuated: response.evacuated,
         };
-        (links.apply)(operator_records, answer.hosts).await;
+        (links.apply)(operator_records, response.hosts).await;
         // Ages are relative to the time of the response, which is no earlier than the request.
-        let read = PeerReading::from_peer(&answer.reading, Duration::ZERO, asked);
-        if catalog.apply_peer_targets(answer.targets, read, Instant::now()) {
+        let read = PeerReading::from_peer(&response.reading, Duration::ZERO, requested_at);
+        if catalog.apply_peer_targets(response.targets, read, Instant::now()) {
             (links.targets_changed)();
         }
         is_config || catalog.targets_position() != targets || (links.hosts_end)() > hosts_from
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -27,12 +27,12 @@
 use crate::time::millis;
 
 /// Failures in a row after which the store counts as lost.
-const LOST_AFTER: u32 = 2;
+const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
 
 /// The store, with what is known of its health.
 #[derive(Clone)]
 pub(crate) struct Store {
-    calls: ports::Store,
+    port: ports::Store,
     metrics: Arc<Metrics>,
     logger: slog::Logger,
     health: Arc<Mutex<Health>>,
@@ -41,12 +41,12 @@
 #[derive(Debug, Default)]
 struct Health {
     failures: u32,
-    lost_since: Option<Instant>,
-    regained_at: Option<Instant>,
+    unavailable_since: Option<Instant>,
+    recovered_at: Option<Instant>,
     /// How all calls have gone.
     calls: Availability,
     /// How those have that read the entries of targets.
-    readings: Availability,
+    target_reads: Availability,
 }
 
 /// The newest record of each key.
@@ -68,9 +68,9 @@
 }
 
 impl Store {
-    pub(crate) fn new(calls: ports::Store, metrics: Arc<Metrics>, logger: slog::Logger) -> Self {
+    pub(crate) fn new(port: ports::Store, metrics: Arc<Metrics>, logger: slog::Logger) -> Self {
         Self {
-            calls,
+            port,
             metrics,
             logger,
             health: Arc::default(),
@@ -79,21 +79,21 @@
 
     /// Returns whether the store answers, as far as known.
     pub(crate) fn is_up(&self) -> bool {
-        lock(&self.health).lost_since.is_none()
+        lock(&self.health).unavailable_since.is_none()
     }
 
     /// Returns whether the store answers and has done so for a time.
     pub(crate) fn has_been_up_for(&self, time: Duration) -> bool {
         let health = lock(&self.health);
-        let is_settled = health.regained_at.is_none_or(|at| at.elapsed() >= time);
-        health.lost_since.is_none() && is_settled
+        let is_settled = health.recovered_at.is_none_or(|at| at.elapsed() >= time);
+        health.unavailable_since.is_none() && is_settled
     }
 
     /// Returns what is known for the judgement of targets' missing entries.
     pub(crate) fn evidence(&self) -> Evidence {
         let health = lock(&self.health);
         Evidence {
-            reads: health.readings,
+            reads: health.target_reads,
             calls: health.calls,
         }
     }
@@ -104,17 +104,17 @@
         part: u32,
         entries: Vec<Entry>,
     ) -> Result<u64, StoreError> {
-        let begun = Instant::now();
-        let res = (self.calls.append)(topic, part, entries).await;
-        self.note("append", topic, begun, res.as_ref().err());
+        let started_at = Instant::now();
+        let res = (self.port.append)(topic, part, entries).await;
+        self.record_call("append", topic, started_at, res.as_ref().err());
         res
     }
 
     pub(crate) async fn read(&self, read: Read) -> Result<Tail, StoreError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let topic = read.topic;
-        let res = (self.calls.read)(read).await;
-        self.note("read", topic, begun, res.as_ref().err());
+        let res = (self.port.read)(read).await;
+        self.record_call("read", topic, started_at, res.as_ref().err());
         res
     }
 
@@ -124,9 +124,9 @@
         part: u32,
         after: Option<String>,
     ) -> Result<Page, StoreError> {
-        let begun = Instant::now();
-        let res = (self.calls.newest)(topic, part, after).await;
-        self.note("newest", topic, begun, res.as_ref().err());
+        let started_at = Instant::now();
+        let res = (self.port.newest)(topic, part, after).await;
+        self.record_call("newest", topic, started_at, res.as_ref().err());
         res
     }
 
@@ -149,9 +149,15 @@
         Ok(Listing { end, records })
     }
 
-    fn note(&self, call: &'static str, topic: Topic, begun: Instant, err: Option<&StoreError>) {
+    fn record_call(
+        &self,
+        call: &'static str,
+        topic: Topic,
+        started_at: Instant,
+        err: Option<&StoreError>,
+    ) {
         let now = Instant::now();
-        let took = now - begun;
+        let duration = now - started_at;
         let outcome = match err {
             None => "done",
             Some(StoreError::Refused(_) | StoreError::Throttled) => "refused",
@@ -162,8 +168,8 @@
         self.metrics.count(Counted::Store, outcome);
         let failure = match err {
             None | Some(StoreError::Expired) => {
-                self.metrics.time(Timed::StoreCall, call, took);
-                return self.answered(topic, now);
+                self.metrics.time(Timed::StoreCall, call, duration);
+                return self.record_response(topic, now);
             }
             Some(StoreError::Refused(_)) => Failure::Refused,
             Some(StoreError::Unknown(_)) => Failure::Lost,
@@ -171,43 +177,43 @@
         };
         // When a call was begun says what its failure is evidence of.
         slog::warn!(self.logger, "store call failed"; "call" => call, "topic" => ?topic,
-            "error" => err.map(ToString::to_string), "took_ms" => millis(took));
-        self.failed(topic, begun, now, failure);
+            "error" => err.map(ToString::to_string), "took_ms" => millis(duration));
+        self.record_failure(topic, started_at, now, failure);
     }
 
-    fn answered(&self, topic: Topic, now: Instant) {
+    fn record_response(&self, topic: Topic, now: Instant) {
         let mut health = lock(&self.health);
         health.failures = 0;
         health.calls.record_response(now);
         if topic == Topic::Targets {
-            health.readings.record_response(now);
+            health.target_reads.record_response(now);
         }
-        if let Some(since) = health.lost_since.take() {
-            health.regained_at = Some(now);
+        if let Some(since) = health.unavailable_since.take() {
+            health.recovered_at = Some(now);
             drop(health);
             slog::info!(self.logger, "store regained"; "lost_ms" => millis(now - since));
         }
     }
 
-    fn failed(&self, topic: Topic, begun: Instant, now: Instant, failure: Failure) {
+    fn record_failure(&self, topic: Topic, started_at: Instant, now: Instant, failure: Failure) {
         let mut health = lock(&self.health);
-        let is_late = health.calls.is_stale(begun, failure);
-        let last_answer = health.calls.last_response();
-        health.calls.record_failure(begun, now, failure);
+        let is_stale = health.calls.is_stale(started_at, failure);
+        let last_response = health.calls.last_response();
+        health.calls.record_failure(started_at, now, failure);
         if topic == Topic::Targets {
-            health.readings.record_failure(begun, now, failure);
+            health.target_reads.record_failure(started_at, now, failure);
         }
-        if is_late {
+        if is_stale {
             return;
         }
         health.failures += 1;
-        if health.failures < LOST_AFTER || health.lost_since.is_some() {
+        if health.failures < UNAVAILABLE_AFTER_FAILURES || health.unavailable_since.is_some() {
             return;
         }
-        health.lost_since = Some(now);
+        health.unavailable_since = Some(now);
         drop(health);
         self.metrics.count(Counted::Changes, "store lost");
         slog::warn!(self.logger, "store lost";
-            "last_answer_ms_ago" => last_answer.map(|at| millis(now - at)));
+            "last_answer_ms_ago" => last_response.map(|at| millis(now - at)));
     }
 }
