--- a/crates/gateway/benches/news.rs
+++ b/crates/gateway/benches/peer_status.rs
@@ -1,7 +1,7 @@
-//! What one datagram of a peer costs to take in, against the number of peers.
+//! Cost of applying a peer's status datagram, by number of peers.
 //!
-//! A host of a fleet that is not divided takes in some hundred of them a second from
-//! each ten peers, so this is most of its processor time.
+//! In a fleet of a single cell a host receives some hundred datagrams per second from each ten
+//! peers, which take most of its CPU time.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -20,11 +20,11 @@
 use notchwharf_routing::balancer::key_of;
 
 const TARGETS: u32 = 153;
-/// Targets at which a host runs something at a time.
-const BUSY: u32 = 2;
+/// Number of targets at which a host runs requests at a time.
+const BUSY_TARGETS: u32 = 2;
 
-fn places() -> Balancer {
-    let mut places = Balancer::new(Config::default(), 1);
+fn balancer() -> Balancer {
+    let mut balancer = Balancer::new(Config::default(), 1);
     for target in 0..TARGETS {
         let spec = Spec {
             service: "s".into(),
@@ -32,14 +32,14 @@
             slots: 7,
             ..Spec::default()
         };
-        places.upsert(&format!("i-{target:08x}"), spec);
+        balancer.upsert(&format!("i-{target:08x}"), spec);
     }
-    places
+    balancer
 }
 
-/// Returns what a peer tells at a step: it runs something else each time.
+/// Returns a peer's status at a step; its loads differ at each step.
 fn datagram(peer: u32, step: u32) -> Vec<u8> {
-    let loads = (0..BUSY).map(|n| messages::Load {
+    let loads = (0..BUSY_TARGETS).map(|n| messages::Load {
         target: key_of(&format!("i-{:08x}", (peer + step + n) % TARGETS)),
         online: 1,
         batch: 0,
@@ -57,34 +57,34 @@
     }))
 }
 
-fn take(places: &mut Balancer, bytes: &[u8], now: Instant) {
+fn apply(balancer: &mut Balancer, bytes: &[u8], now: Instant) {
     let Some(PeerMessage::Status(status)) = messages::decode(bytes) else {
         return;
     };
-    let loads = status.loads.iter().map(|told| {
+    let loads = status.loads.iter().map(|report| {
         let load = Load {
-            online: told.online,
-            batch: told.batch,
+            online: report.online,
+            batch: report.batch,
         };
-        (told.target, load)
+        (report.target, load)
     });
-    places.set_peer_loads(&status.host, loads, status.failing, now);
+    balancer.set_peer_loads(&status.host, loads, status.failing, now);
 }
 
-fn news(c: &mut Criterion) {
+fn peer_status(c: &mut Criterion) {
     let now = Instant::now();
-    let mut group = c.benchmark_group("news");
+    let mut group = c.benchmark_group("peer_status");
     for peers in [60, 360] {
         for (what, steps) in [("changed", 2), ("unchanged", 1)] {
-            let mut places = places();
-            let told: Vec<Vec<u8>> = (0..steps)
+            let mut balancer = balancer();
+            let datagrams: Vec<Vec<u8>> = (0..steps)
                 .flat_map(|step| (0..peers).map(move |peer| datagram(peer, step)))
                 .collect();
-            let mut next = told.iter().cycle();
+            let mut next = datagrams.iter().cycle();
             group.bench_function(BenchmarkId::new(what, peers), |b| {
                 b.iter(|| {
                     let bytes = next.next().map_or(&[][..], Vec::as_slice);
-                    take(&mut places, black_box(bytes), now);
+                    apply(&mut balancer, black_box(bytes), now);
                 });
             });
         }
@@ -92,5 +92,5 @@
     group.finish();
 }
 
-criterion_group!(benches, news);
+criterion_group!(benches, peer_status);
 criterion_main!(benches);
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -1,9 +1,9 @@
-//! Routes and targets as the store or a peer tells them.
+//! Catalog of routes and targets, read from the store or received from peers.
 //!
-//! Every record has an offset, and nothing older than what is known counts,
-//! whoever tells it. Which targets exist is [`discovery`]'s to decide; here
-//! it is read, logged and put to use, one reading after the other: targets in
-//! use and what peers are told never tell of different readings.
+//! Records are ordered by offset; a record older than the known state is ignored, whatever its
+//! source. [`discovery`] decides which targets exist. This module feeds it with readings, logs the
+//! changes and applies them to the balancer. Readings are applied one after another under one lock,
+//! so that the balancer and the records sent to peers reflect the same reading.
 
 mod config;
 mod evacuation;
@@ -54,14 +54,13 @@
 pub(crate) use self::records::PeerReading;
 pub(crate) use self::records::Versions;
 
-/// Time after the store's return within which it has the entries of living
-/// targets again, as the platform names it.
+/// Time after an outage of the store within which running targets write their entries again, as
+/// specified by the platform.
 const REREGISTER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for news of an entry beside the pause between two readings: an answer
+/// Delay until an update of an entry is received, besides the interval between readings: a response
 /// of the store takes some milliseconds.
 const UPDATE_LATENCY: Duration = Duration::from_millis(50);
-/// Time for which a host that has used up its share of a processor may stand
-/// still in the middle of sending a request.
+/// Time for which a host that has exhausted its CPU quota may be paused while it sends a request.
 const STALL_MAX: Duration = Duration::from_millis(100);
 
 /// Maximum number of simultaneous changes that are logged individually.
@@ -76,11 +75,11 @@
     retained: usize,
 }
 
-/// What is known, in the form in which it came.
+/// The known records and state derived from them.
 #[derive(Debug)]
 struct State {
     config: Option<Config>,
-    /// When the configuration was known to be the newest.
+    /// The time for which the configuration was last confirmed to be the newest.
     config_as_of: Option<Instant>,
     removed: RemovedKeys,
     evacuated: Evacuated,
@@ -89,15 +88,15 @@
     peer_evidence: Option<Evidence>,
 }
 
-/// Routes and targets that a host knows, and where they are put to use.
+/// Routes and targets known to a host, and the components that use them.
 pub(crate) struct Catalog {
     state: Mutex<State>,
-    /// When the store was last asked whether the configuration is the newest.
+    /// When the store was last queried for a newer configuration.
     last_check: tokio::sync::Mutex<Option<Instant>>,
     deps: Dependencies,
 }
 
-/// Where routes and targets are put to use.
+/// Dependencies of the catalog on this host.
 pub(crate) struct Dependencies {
     pub(crate) store: Store,
     pub(crate) decode: Decode,
@@ -108,16 +107,16 @@
     pub(crate) logger: slog::Logger,
 }
 
-/// What changed.
+/// Which parts of the catalog have changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Updated {
-    /// Whether other routes are in force.
+    /// Whether the routes have changed.
     pub(crate) routes: bool,
-    /// Whether targets came, changed or went.
+    /// Whether targets were added, updated or removed.
     pub(crate) targets: bool,
 }
 
-/// Returns the times on which [`TargetView`] depends.
+/// Returns the timeouts of [`TargetView`].
 fn timeouts(settings: &Settings) -> Timeouts {
     Timeouts {
         drain: ms(settings.targets.drain_ms),
@@ -128,7 +127,7 @@
 }
 
 impl Catalog {
-    /// Returns a catalog that knows nothing yet.
+    /// Returns an empty catalog.
     pub(crate) fn new(settings: &Settings, deps: Dependencies) -> Self {
         let state = State {
             config: None,
@@ -145,13 +144,13 @@
         }
     }
 
-    /// Takes in a reading of targets.
+    /// Applies a reading of targets.
     fn apply_targets(&self, reading: Reading, now: Instant) -> Updated {
         let Reading { asked, seen } = reading;
         let decode = |value: &Bytes| (self.deps.decode.target)(value);
         let evidence = self.deps.store.evidence();
         let mut state = lock(&self.state);
-        // As of before this reading: what it tells is newer than that.
+        // Taken before this reading is applied, whose changes are newer.
         let complete_as_of = state.targets.complete_as_of();
         let changes = match seen {
             Ok(Seen::All { end, records }) => {
@@ -174,7 +173,7 @@
                     .targets
                     .apply_records(&read_info, &evidence, records, decode)
             }
-            // The reader tries again; the store's wrapper knows of the failure.
+            // The follower retries; `Store` has logged the failure.
             Err(_) => return Updated::default(),
         };
         state.peer_evidence = None;
@@ -198,25 +197,25 @@
         let expired = state.targets.expire(now, &evidence);
         for id in &expired {
             if expired.len() <= LOGGED_CHANGES_MAX {
-                slog::info!(self.deps.logger, "target's entry did not come back";
+                slog::info!(self.deps.logger, "target removed; its entry was not restored in time";
                     "target" => id.as_str());
             }
             self.remove_target(id);
         }
         if expired.len() > LOGGED_CHANGES_MAX {
-            slog::info!(self.deps.logger, "targets' entries did not come back";
+            slog::info!(self.deps.logger, "targets removed; their entries were not restored in time";
                 "targets" => expired.len());
         }
     }
 
-    /// Returns how the log was read, by this host or by the reader it follows.
+    /// Returns the evidence from reading the log, by this host or by the reader it follows.
     fn evidence(&self, state: &State) -> Evidence {
         let followed = state.peer_evidence;
         followed.unwrap_or_else(|| self.deps.store.evidence())
     }
 
-    /// Puts changes to use while what is believed is held, so that no other
-    /// reading comes in between; returns whether there were any.
+    /// Applies changes of targets and returns whether there were any. The caller holds the lock on
+    /// the state, so that no other reading is applied in between.
     fn apply_changes<E: fmt::Display>(
         &self,
         complete_as_of: Option<Instant>,
@@ -237,7 +236,7 @@
                     self.deps
                         .metrics
                         .count(Counted::Changes, "target unreadable");
-                    slog::error!(self.deps.logger, "target not taken"; "target" => id.as_str(),
+                    slog::error!(self.deps.logger, "invalid target record"; "target" => id.as_str(),
                         "offset" => offset, "error" => error.to_string(),
                         "was_known" => lock(&self.deps.balancer).spec(&id).is_some());
                     lock(&self.deps.balancer).remove(&id);
@@ -245,7 +244,7 @@
                 Change::Removed { id, offset } => {
                     counts.removed += 1;
                     if is_each_logged {
-                        slog::info!(self.deps.logger, "target's entry is gone";
+                        slog::info!(self.deps.logger, "target entry deleted";
                             "target" => id.as_str(), "offset" => offset,
                             "kept_for_now" => false);
                     }
@@ -256,7 +255,7 @@
                     self.deps.metrics.count(Counted::Changes, "target kept");
                     let ago = |at: Option<Instant>| at.map(|at| millis(now - at));
                     if is_each_logged || counts.retained == 1 {
-                        slog::info!(self.deps.logger, "target's entry is gone"; "target" => id,
+                        slog::info!(self.deps.logger, "target entry deleted"; "target" => id,
                             "offset" => offset, "kept_for_now" => true,
                             "kept_ms" => millis(until.saturating_duration_since(now)),
                             "none_before_ms_ago" => ago(complete_as_of),
@@ -280,8 +279,8 @@
         counts: &mut ChangeCounts,
         now: Instant,
     ) {
-        let mut places = lock(&self.deps.balancer);
-        let before = places.spec(id);
+        let mut balancer = lock(&self.deps.balancer);
+        let before = balancer.spec(id);
         if before != Some(&spec) {
             match before {
                 Some(_) => counts.updated += 1,
@@ -297,8 +296,8 @@
             self.deps.metrics.count(Counted::Changes, "target");
         }
         let cold_left = spec.cold_left;
-        places.upsert(id, spec);
-        places.set_cold(id, cold_left, now);
+        balancer.upsert(id, spec);
+        balancer.set_cold(id, cold_left, now);
     }
 
     fn remove_target(&self, id: &str) {
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: taken in, put in force, and confirmed to be the newest.
+//! The configuration: decoding, applying, and confirming that it is the newest.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -28,20 +28,21 @@
 use crate::ports::Topic;
 use crate::sync::lock;
 
-/// Bytes from which on a configuration is read on a thread of its own. One of 16,000
-/// workspaces takes some 20 ms, for which every request of the host would wait.
+/// Minimum size of a configuration that is decoded on a blocking thread. Decoding 16,000 workspaces
+/// takes some 20 ms, which would delay every request of the host.
 const BLOCKING_DECODE_BYTES_MIN: usize = 64 << 10;
-/// Time between two looks whether a configuration is the newest. Requests with unknown
-/// keys share them: 300 hosts that are flooded with such make 3,000 calls a second.
+/// Minimum time between two checks for a newer configuration. Requests with unknown keys share a
+/// check: 300 hosts flooded with such requests make 3,000 calls per second.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for a peer's word while the store is away: a beat tells of a newer
-/// configuration, and a call fetches it.
+/// Maximum time to wait for a peer's configuration while the store is unavailable: one heartbeat
+/// announces a newer version, and one call fetches it.
 const PEER_WAIT: Duration = Duration::from_millis(150);
-/// Keys that were taken away and are remembered as such; beyond, the oldest count as
-/// ones that nobody ever held, which is refused alike.
+/// Maximum number of removed keys to remember. Older ones count as unknown, which is refused in the
+/// same way.
 const REMOVED_MAX: usize = 4_096;
 
-/// Keys that were taken away, so that logs tell them from those that never were.
+/// Keys that were removed from the configuration, which logs distinguish from keys that never
+/// existed.
 #[derive(Debug, Default)]
 pub(super) struct RemovedKeys {
     digests: HashSet<Digest>,
@@ -71,9 +72,9 @@
     }
 }
 
-/// Takes in a reading of the configuration.
-pub(super) async fn read(ctx: &Context, reading: Reading) {
-    // The reader tries again, and the store's wrapper has logged why.
+/// Applies a reading of the configuration topic.
+pub(super) async fn apply_reading(ctx: &Context, reading: Reading) {
+    // The follower retries; `Store` has logged the failure.
     let Ok(seen) = reading.seen else {
         return;
     };
@@ -86,9 +87,9 @@
     for record in records.clone() {
         apply_record(ctx, record, "store").await;
     }
-    // Not before the configuration, since peers compare the version of both.
+    // Applied after the configuration, since peers compare a version that covers both.
     evacuation::apply_records(ctx, listing_end, &records);
-    // Not before its records are in force, or they would count as confirmed.
+    // Recorded after the records are applied; otherwise outdated routes would count as confirmed.
     if is_whole {
         ctx.catalog.record_confirmation(reading.asked);
     }
@@ -106,7 +107,7 @@
     apply_record(ctx, record, "peer").await;
 }
 
-/// Takes in a configuration, and lets those know who act on it.
+/// Applies a configuration record and notifies its users.
 async fn apply_record(ctx: &Context, record: StoredRecord, source: &'static str) {
     let Some(value) = record.entry.value else {
         return;
@@ -143,14 +144,14 @@
     })
 }
 
-/// Makes sure that the configuration in force was the newest at some time or later;
-/// returns whether it was. What is read meanwhile is in force then.
+/// Ensures that the current configuration was the newest at `since` or later, by reading the store
+/// if necessary; returns whether it was. Records read meanwhile have been applied on return.
 pub(crate) async fn confirm(ctx: &Context, since: Instant, until: Instant) -> bool {
     if ctx.catalog.is_confirmed(since) {
         return true;
     }
     if !ctx.store.is_up() {
-        // A peer may reach the store and tell of a newer one; whether it is the
+        // A peer with access to the store may provide a newer version; whether that is the
         // newest cannot be known.
         let mut routes = ctx.routes.subscribe();
         let wait = PEER_WAIT.min(until.saturating_duration_since(Instant::now()));
@@ -160,8 +161,8 @@
         ) && ctx.catalog.is_confirmed(since);
     }
     let until = tokio::time::Instant::from_std(until);
-    let looked = tokio::time::timeout_at(until, check_newest(ctx, since)).await;
-    looked.is_ok() && ctx.catalog.is_confirmed(since)
+    let checked = tokio::time::timeout_at(until, check_newest(ctx, since)).await;
+    checked.is_ok() && ctx.catalog.is_confirmed(since)
 }
 
 async fn check_newest(ctx: &Context, since: Instant) {
@@ -177,11 +178,11 @@
     let reading = ctx.follower().once(Topic::Config, from).await;
     ctx.metrics
         .count(Counted::Changes, "configuration looked for");
-    read(ctx, reading).await;
+    apply_reading(ctx, reading).await;
 }
 
 impl Catalog {
-    /// Puts a configuration in force, unless a newer one is; returns whether it is now.
+    /// Applies a configuration unless a newer one is known; returns whether it was applied.
     fn apply_config(
         &self,
         config: Config,
@@ -193,12 +194,12 @@
         let table = match decoded {
             Ok(table) => table,
             Err(err) => {
-                slog::error!(logger, "configuration not taken"; "offset" => offset,
+                slog::error!(logger, "invalid configuration"; "offset" => offset,
                     "source" => source, "error" => err.to_string());
                 return false;
             }
         };
-        // Held until the routes are in force: an older one must not overtake.
+        // Held until the routes are replaced, so that an older version cannot replace a newer one.
         let mut state = lock(&self.state);
         if state.config.as_ref().is_some_and(|c| c.offset >= offset) {
             return false;
@@ -206,7 +207,7 @@
         state.config = Some(config);
         let (version, workspaces) = (table.version(), table.workspaces().map(Workspaces::len));
         for error in table.entry_errors() {
-            slog::error!(logger, "entry of the configuration at fault"; "version" => version,
+            slog::error!(logger, "invalid configuration entry"; "version" => version,
                 "error" => error.to_string());
         }
         let rates = table.services();
@@ -219,38 +220,38 @@
         drop(state);
         self.deps.startup.mark_ready(Dependency::Routes, source);
         self.deps.metrics.count(Counted::Changes, "configuration");
-        slog::info!(logger, "configuration in force"; "version" => version,
+        slog::info!(logger, "configuration applied"; "version" => version,
             "before" => before.map(|t| t.version()), "offset" => offset, "source" => source,
             "workspaces" => workspaces);
         true
     }
 
-    /// Records when a peer confirmed a version as the newest, if that version is in force.
-    pub(crate) fn record_peer_confirmation(&self, version: u64, asked: Instant) {
+    /// Records that a peer confirmed a version as the newest, if it is the current version.
+    pub(crate) fn record_peer_confirmation(&self, version: u64, requested_at: Instant) {
         let mut state = lock(&self.state);
         let own = state.config_version();
         if own == version && own > 0 {
-            state.config_as_of = state.config_as_of.max(Some(asked));
+            state.config_as_of = state.config_as_of.max(Some(requested_at));
         }
     }
 
-    /// Notes that the configuration in force was the newest at some time.
-    fn record_confirmation(&self, asked: Instant) {
+    /// Records that the current configuration was the newest at the given time.
+    fn record_confirmation(&self, requested_at: Instant) {
         let mut state = lock(&self.state);
-        state.config_as_of = state.config_as_of.max(Some(asked));
+        state.config_as_of = state.config_as_of.max(Some(requested_at));
     }
 
-    /// Returns whether the configuration in force was the newest at some time or later.
+    /// Returns whether the current configuration was the newest at `since` or later.
     pub(crate) fn is_confirmed(&self, since: Instant) -> bool {
         lock(&self.state).config_as_of >= Some(since)
     }
 
-    /// Returns the time since the configuration in force was known to be the newest.
+    /// Returns the time since the current configuration was last confirmed to be the newest.
     pub(crate) fn config_age(&self) -> Option<Duration> {
         lock(&self.state).config_as_of.map(|at| at.elapsed())
     }
 
-    /// Returns whether a key was taken away from the workspace that held it.
+    /// Returns whether a key was removed from the workspace that used it.
     pub(crate) fn was_removed(&self, key: &str) -> bool {
         lock(&self.state).removed.contains(&access::digest(key))
     }
--- a/crates/gateway/src/catalog/follow.rs
+++ b/crates/gateway/src/catalog/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps the catalog up to date, and lets those know who act on it.
+//! Follows the configuration and target topics, and notifies the users of changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,28 +17,26 @@
 use crate::ports::Topic;
 use crate::time::ms;
 
-/// Part of the time to settle after a fault that a reading's wait leaves: a
-/// connection that falls silent is noticed after the wait and the store's timeout,
-/// and a new one has to bring the news, 1,550 ms in all with the default settings.
-/// The rest is a host that stands still for a moment.
+/// Part of the settle time after a fault that remains after a read's wait. A connection that fails
+/// silently is detected after the wait and the store's timeout, and the update has to be read over
+/// a new one: 1,550 ms in total with the default settings. The rest allows for a short stall of the
+/// host.
 const SETTLE_MARGIN: Duration = Duration::from_secs(2);
-/// Shortest wait of a reading: below, hosts would ask the store all the time.
+/// Minimum wait of a read; with less, hosts would poll the store continuously.
 const WAIT_MIN: Duration = Duration::from_millis(500);
-/// Longest wait of a reading: half of what the store allows.
+/// Maximum wait of a read: half of what the store allows.
 const WAIT_MAX: Duration = Duration::from_secs(15);
-/// Time between two readings of the configuration that find one: it must be in
-/// force within two seconds.
+/// Minimum time between two reads of the configuration that return records. A configuration must be
+/// applied within two seconds.
 const CONFIG_READ_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between two readings of targets that find some. A target that leaves must
-/// get nothing new two seconds later; when a fleet starts, its targets' entries
-/// come by the dozen.
+/// Minimum time between two reads of targets that return records. A leaving target must not receive
+/// new requests after two seconds; when a fleet starts, dozens of entries are written at a time.
 pub(super) const TARGETS_READ_INTERVAL: Duration = Duration::from_millis(300);
-/// Longest pause after a reading of either failed.
+/// Maximum pause after a failed read of either topic.
 const RETRY_PAUSE_MAX: Duration = Duration::from_millis(200);
 
-/// Returns how the configuration or targets are read. A reading that waits costs no
-/// call, so it waits as long as the time to settle allows: 3 s where that is 5 s,
-/// a third of the calls that a wait of 1 s takes.
+/// Returns how a topic is read. A waiting read costs no call, so it waits as long as the settle
+/// time allows: 3 s with a settle time of 5 s, which takes a third of the calls of a wait of 1 s.
 fn pace(settings: &Settings, gap: Duration) -> Pace {
     let settle = ms(settings.targets.settle_ms);
     Pace {
@@ -50,10 +48,10 @@
     }
 }
 
-/// Time between two looks at targets whose entries are missing.
+/// Interval between checks of targets whose entries are missing.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Starts to follow routes and targets.
+/// Starts to follow the configuration and target topics.
 pub(crate) fn start(ctx: &Arc<Context>) {
     tokio::spawn(follow_config(Arc::clone(ctx)));
     tokio::spawn(follow_targets(Arc::clone(ctx)));
@@ -63,7 +61,7 @@
 async fn follow_config(ctx: Arc<Context>) {
     let pace = pace(&ctx.settings, CONFIG_READ_INTERVAL);
     peers::wait_for_role(&ctx).await;
-    // What a peer told need not be listed again.
+    // Records received from a peer need not be listed again.
     let catalog = Arc::clone(&ctx.catalog);
     let source = Source {
         from: Box::new(move || Some(catalog.versions().config).filter(|end| *end > 0)),
@@ -71,7 +69,7 @@
         reads_first: false,
     };
     let follower = ctx.follower();
-    // A large configuration takes a while to read; what is read later waits.
+    // Decoding a large configuration takes time, during which later readings are queued.
     let (readings, mut read) = mpsc::unbounded_channel();
     let sink = move |reading| {
         // The receiver lives until the follower has ended.
@@ -80,7 +78,7 @@
     let following = follower.follow(Topic::Config, pace, source, sink);
     let taking = async {
         while let Some(reading) = read.recv().await {
-            config::read(&ctx, reading).await;
+            config::apply_reading(&ctx, reading).await;
         }
     };
     tokio::join!(following, taking);
@@ -103,7 +101,7 @@
     follower.follow(Topic::Targets, pace, source, sink).await;
 }
 
-/// Lets those know who act on routes and targets.
+/// Notifies the users of routes and targets of changes.
 pub(super) fn notify(ctx: &Context, updated: Updated) {
     if updated.routes {
         ctx.advance_phase(Phase::Ready);
--- a/crates/gateway/src/catalog/records.rs
+++ b/crates/gateway/src/catalog/records.rs
@@ -34,8 +34,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerReading {
     /// When its newest complete reading of targets was requested.
-    pub(crate) asked: Option<Instant>,
-    /// When its configuration was last known to be the newest.
+    pub(crate) requested_at: Option<Instant>,
+    /// When its configuration was last confirmed to be the newest.
     pub(crate) config_as_of: Option<Instant>,
     evidence: Evidence,
 }
@@ -44,23 +44,23 @@
     /// Converts a reported state to this host's clock, given the delay of the message.
     pub(crate) fn from_peer(message: &records::Reading, delay: Duration, now: Instant) -> Self {
         let at = |ago: Option<u64>| ago.and_then(|ago| now.checked_sub(ms(ago) + delay));
-        let contact = |message: &records::Contact| {
+        let availability = |message: &records::Contact| {
             Availability::from_peer(at(message.away_ms_ago), at(message.back_ms_ago))
         };
         Self {
-            asked: at(message.age_ms),
+            requested_at: at(message.age_ms),
             config_as_of: at(message.config_age_ms),
             evidence: Evidence {
-                reads: contact(&message.targets),
-                calls: contact(&message.calls),
+                reads: availability(&message.targets),
+                calls: availability(&message.calls),
             },
         }
     }
 
-    /// Returns whether the store answers readings, according to the reader.
+    /// Returns whether reads of the store succeed, according to the reader.
     pub(crate) fn is_store_serving(&self) -> bool {
-        let readings = &self.evidence.reads;
-        readings.outage_at().is_none() || readings.recovered_at().is_some()
+        let reads = &self.evidence.reads;
+        reads.outage_at().is_none() || reads.recovered_at().is_some()
     }
 }
 
@@ -76,9 +76,9 @@
     }
 
     /// Returns whether versions of another host are newer than this host's.
-    pub(crate) fn is_behind(&self, theirs: Versions) -> bool {
+    pub(crate) fn is_behind(&self, versions: Versions) -> bool {
         let state = lock(&self.state);
-        theirs.config > state.config_version() || theirs.targets > state.targets.end()
+        versions.config > state.config_version() || versions.targets > state.targets.end()
     }
 
     /// Returns the offset from which to read the log of targets.
@@ -138,15 +138,15 @@
         let state = lock(&self.state);
         let evidence = self.evidence(&state);
         let ago = |at: Option<Instant>| at.map(|at| millis(now.saturating_duration_since(at)));
-        let contact = |contact: &Availability| records::Contact {
-            away_ms_ago: ago(contact.outage_at()),
-            back_ms_ago: ago(contact.recovered_at()),
+        let availability = |of: &Availability| records::Contact {
+            away_ms_ago: ago(of.outage_at()),
+            back_ms_ago: ago(of.recovered_at()),
         };
         records::Reading {
             age_ms: ago(state.targets.complete_as_of()),
             config_age_ms: ago(state.config_as_of),
-            targets: contact(&evidence.reads),
-            calls: contact(&evidence.calls),
+            targets: availability(&evidence.reads),
+            calls: availability(&evidence.calls),
         }
     }
 
@@ -154,7 +154,7 @@
     pub(crate) fn apply_peer_targets(
         &self,
         message: records::Targets,
-        read: PeerReading,
+        reading: PeerReading,
         now: Instant,
     ) -> bool {
         let mut state = lock(&self.state);
@@ -164,18 +164,18 @@
         }
         let complete_as_of = state.targets.complete_as_of();
         let read_info = ReadInfo {
-            requested_at: read.asked.unwrap_or(now),
+            requested_at: reading.requested_at.unwrap_or(now),
             answered_at: now,
-            is_at_end: read.asked.is_some(),
+            is_at_end: reading.requested_at.is_some(),
         };
         let difference = difference(message);
         let changes = state
             .targets
-            .apply_difference(&read_info, &read.evidence, difference);
+            .apply_difference(&read_info, &reading.evidence, difference);
         if state.targets.end() == to {
-            state.peer_evidence = Some(read.evidence);
+            state.peer_evidence = Some(reading.evidence);
         }
-        let has_changes = self.apply_changes(complete_as_of, &read.evidence, changes, now);
+        let has_changes = self.apply_changes(complete_as_of, &reading.evidence, changes, now);
         if has_changes || state.targets.end() > 0 {
             self.deps.startup.mark_ready(Dependency::Targets, "peer");
         }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of one host share.
+//! State shared by all modules of a host.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -40,11 +40,11 @@
 use crate::waiting;
 use crate::waiting::Waiting;
 
-/// Offers beyond the first that are made, as a share of successes: enough for
-/// a crash of a fifth of the targets, too few to double the load of all.
+/// Maximum number of retries, in percent of successful requests: enough if a fifth of the targets
+/// crashes, too few to double the load of the others.
 const RETRY_SHARE_PERCENT: u32 = 30;
 
-/// What all parts of one host share.
+/// State shared by all modules of a host.
 pub struct Context {
     /// The settings.
     pub settings: Settings,
@@ -54,20 +54,21 @@
     pub metrics: Arc<Metrics>,
     /// The timer service.
     pub timer: Timer,
-    /// Where the process is in its life.
+    /// The lifecycle phase of the process.
     pub phase: watch::Sender<Phase>,
-    /// The routes in force.
+    /// The current routes; `None` until they are known.
     pub routes: watch::Sender<Option<Arc<Table>>>,
-    /// Requests and calls that are not answered yet.
+    /// Requests and calls that have not been responded to yet.
     pub in_flight: Gauge,
     /// Connections of callers.
     pub connections: Gauge,
     /// When the process started.
     pub started: Instant,
-    /// The time of day at which the process started, in milliseconds.
+    /// The time of day at which the process started, in milliseconds, by which peers distinguish
+    /// restarts.
     pub incarnation: u64,
-    /// The name under which this start of the host writes records. It is drawn:
-    /// a clock that was set back must not bring a key that is in use.
+    /// Identifies this start of the host in the keys of its records. It is random, since one
+    /// derived from a clock that was set back could reproduce keys that are in use.
     pub(crate) writer_id: String,
     pub(crate) store: Store,
     pub(crate) targets: Targets,
@@ -180,18 +181,18 @@
         &self.settings.host.name
     }
 
-    /// Returns where the process is in its life.
+    /// Returns the lifecycle phase of the process.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Returns the routes in force.
+    /// Returns the current routes.
     pub fn table(&self) -> Option<Arc<Table>> {
         self.routes.borrow().clone()
     }
 
-    /// Returns the routes in force. A host that has just started has them within some
-    /// milliseconds; a request waits for them a moment, at most until its deadline.
+    /// Returns the current routes, waiting until `deadline` if there are none yet. A starting host
+    /// receives them within milliseconds.
     pub async fn wait_for_routes(&self, deadline: Instant) -> Option<Arc<Table>> {
         self.startup
             .wait_ready_until(Dependency::Routes, deadline)
@@ -199,7 +200,7 @@
         self.table()
     }
 
-    /// Returns the number of targets that are in use.
+    /// Returns the number of targets in use.
     pub fn targets_known(&self) -> usize {
         lock(&self.balancer).ids().count()
     }
@@ -209,12 +210,12 @@
         lock(&self.balancer).spec(target).is_some()
     }
 
-    /// Returns what all hosts run at a target, as far as known.
+    /// Returns the load of a target by all hosts, as far as known.
     pub fn load_of(&self, target: &str) -> balancer::Load {
         lock(&self.balancer).load(target)
     }
 
-    /// Returns whether a target is known to leave.
+    /// Returns whether a target has announced that it shuts down.
     pub fn is_leaving(&self, target: &str) -> bool {
         lock(&self.balancer)
             .spec(target)
@@ -227,7 +228,7 @@
         *self.distributor.is_reader().borrow()
     }
 
-    /// Returns the offset up to which the log of targets is known.
+    /// Returns the offset up to which the log of targets has been read.
     pub fn targets_read_to(&self) -> u64 {
         self.catalog.targets_end()
     }
@@ -237,22 +238,22 @@
         self.peers.alive()
     }
 
-    /// Returns the number of other hosts that the list in the store has told of.
+    /// Returns the number of other hosts in the host list.
     pub fn peers_listed(&self) -> usize {
         self.peers.listed()
     }
 
-    /// Returns the number of other hosts that reach the store, as far as they have said.
+    /// Returns the number of other hosts that have reported that they can reach the store.
     pub fn peers_with_store(&self) -> usize {
         self.peers.with_store()
     }
 
-    /// Returns whether the store answers, as far as known.
+    /// Returns whether the store is considered available.
     pub fn is_store_up(&self) -> bool {
         self.store.is_up()
     }
 
-    /// Returns what following a topic takes.
+    /// Returns a follower of the store's topics.
     pub(crate) fn follower(&self) -> Follower {
         Follower {
             store: self.store.clone(),
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Moves on to a phase; never back.
+    /// Advances to a later phase. Requests for an earlier phase are ignored.
     pub(crate) fn advance_phase(&self, phase: Phase) {
         self.phase.send_if_modified(|now| {
             let later = phase > *now;
@@ -272,7 +273,7 @@
         });
     }
 
-    /// Waits until the process stops.
+    /// Waits until the host has stopped.
     pub(crate) async fn stopped(&self) {
         let mut phase = self.phase.subscribe();
         // The sender lives as long as the context.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,14 +1,13 @@
-//! Serves routed requests and jobs on hosts that keep nothing.
+//! Serves routed requests and jobs on stateless hosts.
 //!
-//! [`ports`] is what an adapter fills: a store of ordered topics, targets that
-//! run requests, and the meaning of configuration and target records. An
-//! adapter calls [`online::serve`] for requests and the functions of [`jobs`]
-//! for jobs, and answers callers in its own protocol. [`lifecycle::Host`] starts and
-//! stops it all.
+//! [`ports`] is the interface that an adapter implements: a store of ordered topics, targets that
+//! run requests, and decoders for configuration and target records. An adapter calls
+//! [`online::serve`] for requests and the functions of [`jobs`] for jobs, and responds to callers
+//! in its own protocol. [`lifecycle::Host`] starts and stops a host.
 //!
-//! Everything that lasts lies in the store: [`journal`] folds the job records,
-//! `catalog` follows routes and targets. What a host knows beside that comes
-//! from its peers by datagram and is lost without harm.
+//! All durable state is kept in the store: [`journal`] applies the job records, `catalog` follows
+//! routes and targets. Any other state of a host is received from its peers by datagram and may be
+//! lost without harm.
 
 pub mod access;
 mod backlog;
@@ -39,5 +38,5 @@
 mod waiting;
 mod work;
 
-/// The name of a request, chosen by its caller.
+/// The ID of a request, chosen by its caller.
 pub type RequestId = String;
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a host: start, leave, stop.
+//! The lifecycle of a host: start, graceful shutdown, stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 use notchwharf_listen::Phase;
 
 const DRAIN_PERIOD: Duration = Duration::from_millis(20);
-/// Time for the host's entry to be dropped when it leaves.
+/// Timeout for deleting the host's entry from the host list at shutdown.
 const LEAVE_LIST_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A running host.
@@ -36,7 +36,7 @@
 }
 
 impl Host {
-    /// Starts a host; the adapter starts to listen for callers itself.
+    /// Starts a host. The adapter starts to listen for callers itself.
     ///
     /// # Errors
     ///
@@ -77,14 +77,14 @@
         Ok(Self { ctx })
     }
 
-    /// Returns what all parts of the host share.
+    /// Returns the state shared by all modules of the host.
     pub fn context(&self) -> &Arc<Context> {
         &self.ctx
     }
 
-    /// Leaves: turns not ready, finishes what it has, stops.
+    /// Shuts down gracefully: reports not ready, finishes requests in progress and stops.
     ///
-    /// Returns whether everything was finished within the settings' time.
+    /// Returns whether everything was finished within the configured time.
     pub async fn leave(self) -> bool {
         let ctx = &self.ctx;
         ctx.advance_phase(Phase::Leaving);
@@ -102,9 +102,11 @@
     async fn drain(&self) {
         let ctx = &self.ctx;
         let mut ticks = ctx.timer.subscribe(DRAIN_PERIOD);
-        // One that starts meanwhile asks those in the list who holds its parts.
+        // Hosts that start meanwhile query the listed hosts for the leases on limits that they
+        // hold.
         limits::stop_holding(ctx);
-        // A host that could not drop its entry is found out by its silence.
+        // If the entry cannot be deleted, other hosts detect the shutdown by the missing
+        // heartbeats.
         let _ = tokio::time::timeout(LEAVE_LIST_TIMEOUT, peers::deregister(ctx)).await;
         tokio::time::sleep(ms(ctx.settings.shutdown.notice_ms)).await;
         while ctx.in_flight.count() + ctx.items.unsettled.count() > 0 {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,13 +1,12 @@
-//! Other hosts: who they are, what they run, and what they know.
+//! Other hosts: failure detection, their load, and calls to them.
 //!
-//! Hosts find one another in the store and then speak by datagram: each tells
-//! all others of its cell what it runs as soon as that changes. A host that is cut from the
-//! store takes routes and targets from a peer that knows newer ones.
+//! Hosts find one another by the host list in the store and then exchange datagrams: each notifies
+//! all others of its cell as soon as its load changes. A host that cannot reach the store receives
+//! routes and targets from a peer with newer ones.
 //!
-//! The gossip of the membership package was rejected here: it spreads news in
-//! rounds, and a place that was taken must be known within milliseconds. Calls
-//! between hosts use plain HTTP and not JSON-RPC, since the one there is hands
-//! over bytes as they came.
+//! The gossip of the membership package was rejected here: it disseminates in rounds, but the start
+//! of a request must be known within milliseconds. Calls between hosts use plain HTTP rather than
+//! JSON-RPC, since their bodies are raw bytes.
 
 mod bootstrap;
 mod cell;
@@ -72,41 +71,41 @@
 use self::relay::Relay;
 pub(crate) use self::rpc::CallError;
 
-/// Time without the store after which a host's jobs are taken over: most
-/// outages of one host are shorter, and items take some seconds.
+/// Time without access to the store after which a host's jobs are taken over: most outages of a
+/// single host are shorter, and items take some seconds.
 pub(crate) const STORE_OUTAGE_MAX: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at who is down.
+/// Interval between checks for failed hosts.
 const SWEEP: Duration = Duration::from_millis(100);
 
-/// Other hosts.
+/// The other hosts known to this one.
 #[derive(Debug)]
 pub(crate) struct Peers {
     known: Mutex<HashMap<HostId, Peer>>,
     dirty: Arc<Notify>,
-    /// What hosts elsewhere were last told that this one runs at their targets.
+    /// The loads of this host by remote data centre, as last sent there.
     last_sent_remote: Mutex<BTreeMap<DataCentreId, Vec<(TargetKey, Load)>>>,
-    /// When a peer was last lost or said that it leaves.
+    /// When a peer last failed or announced its shutdown.
     lost_at: Mutex<Option<Instant>>,
     socket: OnceLock<UdpSocket>,
     relay: Relay,
     cell_state: CellState,
     host_log: Mutex<HostLog>,
     bootstrap: Bootstrap,
-    /// Since when the list has this host's own entry.
+    /// Since when the host list has contained this host's entry.
     registered_at: Mutex<Option<Instant>>,
-    /// Whether it had it when this host started.
+    /// Whether the list contained it when this host started.
     was_listed: AtomicBool,
 }
 
-/// Another host, as limits know it.
+/// Another host, as needed by the rate limits.
 #[derive(Clone, Debug)]
 pub(crate) struct QuotaPeer {
     pub(crate) key: HostKey,
     pub(crate) addr: SocketAddr,
-    /// Whether it could hold limits.
+    /// Whether it may hold leases on limits.
     pub(crate) could_hold: bool,
-    /// Whether it has been silent for so long that it holds none.
+    /// Whether it has been silent for so long that its leases have expired.
     pub(crate) is_silent: bool,
 }
 
@@ -115,19 +114,19 @@
     addr: SocketAddr,
     /// Since when it has been known.
     known_since: Instant,
-    /// Whether the list says that it has long been silent, or is being told.
+    /// Whether its entry in the host list is marked as silent, or is being marked.
     is_marked_silent: bool,
-    /// Where it stands, once its entry in the store is known.
+    /// Its data centre, once its entry in the host list is known.
     data_centre: Option<DataCentreId>,
     last_received: Option<Instant>,
     is_alive: bool,
     last_sent: Option<Instant>,
     ahead_since: Option<Instant>,
-    /// Since when it does not reach the store.
+    /// Since when it has reported that it cannot reach the store.
     store_unavailable_since: Option<Instant>,
     status: Status,
-    /// When it last told of its cell, being in another one, and whether it reached
-    /// the store.
+    /// For a host of another cell: when it last sent a summary of its cell, and whether it could
+    /// reach the store.
     cell_report: Option<(Instant, bool)>,
 }
 
@@ -150,7 +149,7 @@
 }
 
 impl Peers {
-    /// Returns that no other host is known yet.
+    /// Returns a state without known hosts.
     pub(crate) fn new(settings: &Settings) -> Self {
         let cell_hosts_max = usize::try_from(settings.cell_hosts_max).unwrap_or(usize::MAX);
         Self {
@@ -174,33 +173,33 @@
         known.values().filter(|peer| peer.is_alive).count()
     }
 
-    /// Returns the number of other hosts of which it is known where they stand.
+    /// Returns the number of other hosts whose data centre is known.
     pub(crate) fn listed(&self) -> usize {
         let known = lock(&self.known);
         let listed = known.values().filter(|peer| peer.data_centre.is_some());
         listed.count()
     }
 
-    /// Returns what lets peers know soon that something has changed.
+    /// Returns the handle that triggers a notification of peers.
     pub(crate) fn change_notifier(&self) -> Arc<Notify> {
         Arc::clone(&self.dirty)
     }
 
-    /// Lets peers know soon that something has changed.
+    /// Notifies peers of a change soon.
     pub(crate) fn notify(&self) {
         self.dirty.notify_one();
     }
 
-    /// Sends this host's load to peers immediately, or with the next heartbeat if the fleet
-    /// is divided into cells and the target's places are not scarce.
+    /// Sends this host's load to peers immediately, or with the next heartbeat if the fleet is
+    /// divided into cells and the target has enough free slots.
     pub(crate) fn notify_load(&self, is_scarce: bool) {
         if is_scarce || !self.cell_state.cells().is_divided() {
             self.notify();
         }
     }
 
-    /// Returns whether no host can be missing from those that are known. One that is new
-    /// to the list waits until those that are new as well have written their entries.
+    /// Returns whether all hosts of the fleet are known. A host that is new to the list waits until
+    /// others that started with it have written their entries.
     pub(crate) fn is_fleet_known(&self) -> bool {
         let registered_at = *lock(&self.registered_at);
         let is_settled = registered_at.is_some_and(|at| at.elapsed() >= host_list::SETTLED_AFTER);
@@ -208,7 +207,7 @@
         self.bootstrap.is_list_read() && (was_listed || is_settled)
     }
 
-    /// Returns all other hosts that are known, for whoever shares limits with them.
+    /// Returns all other known hosts, as needed by the rate limits.
     pub(crate) fn quota_peers(&self) -> Vec<QuotaPeer> {
         let known = lock(&self.known);
         let all = known.iter().map(|(host, peer)| QuotaPeer {
@@ -220,7 +219,7 @@
         all.collect()
     }
 
-    /// Sends a datagram; lost, whoever sent it makes up for it.
+    /// Sends a datagram. Senders must compensate for lost ones.
     pub(crate) fn send_to(&self, addr: SocketAddr, message: &PeerMessage) {
         if let Some(socket) = self.socket.get() {
             let _ = socket.try_send_to(&messages::encode(message), addr);
@@ -234,13 +233,13 @@
         }
     }
 
-    /// Asks a peer to cut an item at a target.
+    /// Requests a peer to preempt an item at a target.
     pub(crate) fn request_preemption(&self, host: &str, target: TargetKey) {
-        // Lost, the target is overfull and its hosts notice that too.
+        // If this is lost, the target stays overcommitted, which its hosts detect.
         self.send_to_host(host, &PeerMessage::Preemption(Preemption { target }));
     }
 
-    /// Returns the addresses of the hosts of some data centres that live.
+    /// Returns the addresses of the live hosts of some data centres.
     fn alive_in(&self, data_centres: &BTreeSet<&DataCentreId>) -> Vec<SocketAddr> {
         let known = lock(&self.known);
         let alive = known.values().filter(|peer| {
@@ -250,14 +249,14 @@
         alive.map(|peer| peer.addr).collect()
     }
 
-    /// Hands a place that has fallen free to a request that waits at a peer.
+    /// Transfers a freed slot to a request that waits at a peer.
     pub(crate) fn transfer_slot(&self, host: &str, target: TargetKey) {
-        // Lost, all see soon that the place is free.
+        // If this is lost, all hosts soon see the free slot.
         self.send_to_host(host, &PeerMessage::SlotTransfer(SlotTransfer { target }));
     }
 
-    /// Returns the hosts that can run jobs' items, without this one: they are
-    /// alive, stay, and reach the store.
+    /// Returns the other hosts of this cell that can run items: those that are alive, not shutting
+    /// down, and able to reach the store.
     fn can_run_items(&self) -> Vec<HostId> {
         let known = lock(&self.known);
         let can_run_items = known
@@ -266,8 +265,8 @@
         can_run_items.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Returns whether a peer goes on running the items of its jobs. Without
-    /// the store it does for a moment: taken over, its items would run again.
+    /// Returns whether a peer continues to run the items of its jobs. A short outage of the store
+    /// does not change this, since items of a job that is taken over run again.
     pub(crate) fn retains_jobs(&self, host: &str) -> bool {
         let known = lock(&self.known);
         known.get(host).is_some_and(|peer| {
@@ -277,30 +276,30 @@
         })
     }
 
-    /// Returns whether a peer was lost or left within a time before now.
+    /// Returns whether a peer has failed or left within a time before now.
     pub(crate) fn has_lost_peer_within(&self, time: Duration) -> bool {
         lock(&self.lost_at).is_some_and(|at| at.elapsed() < time)
     }
 
-    /// Returns the hosts of other cells that have just said that they reach the
-    /// store: the store may turn away a whole data centre.
+    /// Returns the hosts of other cells that have recently reported access to the store, which may
+    /// refuse all hosts of a data centre.
     fn remote_with_store(&self) -> Vec<HostId> {
         let known = lock(&self.known);
         let can_run_items = known.iter().filter(|(_, peer)| {
-            let word = peer.cell_report;
-            word.is_some_and(|(at, store_up)| store_up && at.elapsed() < CELL_REPORT_TTL)
+            let report = peer.cell_report;
+            report.is_some_and(|(at, store_up)| store_up && at.elapsed() < CELL_REPORT_TTL)
         });
         can_run_items.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Returns the number of peers that reach the store.
+    /// Returns the number of peers that can reach the store.
     pub(crate) fn with_store(&self) -> usize {
         self.can_run_items().len() + self.remote_with_store().len()
     }
 
-    /// Returns the addresses of some peers that reach the store, in the order in which to
-    /// ask them: some of this host's cell, then some of others. The store may have turned
-    /// away the whole cell a moment ago, and its hosts have not said so yet.
+    /// Returns the addresses of random peers that can reach the store, in the order in which to
+    /// call them: up to `most` of this host's cell, then up to `most` of others. The store may have
+    /// refused the whole cell a moment ago without its hosts having reported it.
     pub(crate) fn sample_with_store(&self, most: usize) -> Vec<SocketAddr> {
         let (can_run_items, remote_with_store) = (self.can_run_items(), self.remote_with_store());
         let known = lock(&self.known);
@@ -317,7 +316,7 @@
     ///
     /// # Errors
     ///
-    /// Returns whether the peer may have done what it was asked for.
+    /// The error says whether the peer may have executed the call.
     pub(crate) async fn call(
         &self,
         addr: SocketAddr,
@@ -327,8 +326,7 @@
         rpc::call(addr, rpc::JOBS, body, timeout).await
     }
 
-    /// Returns whether this host is the one of its cell that should take a job
-    /// over.
+    /// Returns whether this host is the one of its cell that should take over a job.
     pub(crate) fn is_successor(&self, own: &str, job: &str) -> bool {
         let can_run_items = self.can_run_items();
         let mut hosts: Vec<&str> = can_run_items.iter().map(String::as_str).collect();
@@ -337,19 +335,19 @@
     }
 }
 
-/// Returns whether this host looks after the jobs of another that may be gone.
+/// Returns whether this host may take over the jobs of another one that has possibly failed.
 pub(crate) fn is_responsible_for(ctx: &Context, host: &str) -> bool {
     cell::is_responsible_for(ctx, host)
 }
 
-/// Returns whether a task of the whole fleet is for a host of this one's cell.
+/// Returns whether a task of the whole fleet is assigned to this host's cell.
 pub(crate) fn is_assigned_to_own_cell(ctx: &Context, task: &str) -> bool {
     cell::is_assigned_to_own_cell(ctx, task)
 }
 
-/// Starts to speak with other hosts.
+/// Starts to communicate with other hosts.
 pub(crate) fn start(ctx: &Arc<Context>, socket: UdpSocket, listeners: Vec<TcpListener>) {
-    // The context is new, so nothing was set in it before.
+    // The context is new, so the socket was not set before.
     let _ = ctx.peers.socket.set(socket);
     tokio::spawn(host_list::register(Arc::clone(ctx)));
     let (shared, list_ctx) = (Arc::clone(ctx), Arc::clone(ctx));
@@ -380,7 +378,7 @@
     }
 }
 
-/// Returns the number of hosts that tell one another at each change, with this one.
+/// Returns the number of hosts that notify one another of each change, including this one.
 fn local_host_count(ctx: &Context) -> u32 {
     let known = lock(&ctx.peers.known);
     let local = known
@@ -389,7 +387,7 @@
     u32::try_from(local.count() + 1).unwrap_or(u32::MAX)
 }
 
-/// Notes peers that have fallen silent.
+/// Detects peers that have failed.
 async fn sweep(ctx: Arc<Context>) {
     let down = ms(ctx.settings.peers.down_ms);
     let mut ticks = ctx.timer.subscribe(SWEEP);
--- a/crates/gateway/src/peers/bootstrap.rs
+++ b/crates/gateway/src/peers/bootstrap.rs
@@ -1,17 +1,16 @@
-//! Who reads for whom when hosts start.
+//! Initial loading of routes, targets and job records.
 //!
-//! A host that starts needs the routes, the targets and the job records. In a large
-//! fleet that starts as a whole, each host that lists them from the store takes what
-//! the store can read out in 20 ms or more: some 2 MB of 80 a second, so 300 hosts
-//! take six seconds at best. They do not get there: answers come too late for their
-//! callers, who ask again while the store still answers the last call, and no host
-//! ever serves jobs again. So in a fleet that is divided into cells a few hosts of
-//! each cell list, the best by rendezvous hashing among those in the list of hosts,
-//! and the others take what these have, and then from one another. One that gets
-//! nothing in time lists after all, so the death of those that list costs a moment.
+//! A starting host needs the routes, the targets and the job records. If each host of a large fleet
+//! listed them from the store at a start of the whole fleet, each listing would take 20 ms or more
+//! of the store's throughput, some 2 MB of 80 MB per second, so 300 hosts would take at least six
+//! seconds. In practice they never finish: responses arrive after the callers' timeouts, and the
+//! retries add load while the store still processes the abandoned calls. So in a fleet that is
+//! divided into cells, a few hosts of each cell list, selected by rendezvous hashing among the
+//! hosts in the host list. The others copy from them and then from one another. A host that
+//! receives nothing in time lists itself, so a failure of the listing hosts costs a moment only.
 //!
-//! Listing in turn, each host after another, was rejected: six seconds remain six
-//! seconds. Longer time-outs alone were rejected for the same reason.
+//! Listing sequentially, one host after another, was rejected since it takes the same six seconds.
+//! Longer timeouts alone were rejected for the same reason.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,42 +36,41 @@
 use crate::sync::lock;
 use crate::time::sleep_random;
 
-/// The name by which hosts agree on who lists.
-const TASK: &str = "list";
-/// Hosts of a cell that list: some may be gone, and the first to have all hand it
-/// on at once.
+/// The rendezvous hashing key for selecting the hosts that list.
+const LISTING_TASK: &str = "list";
+/// Number of hosts of a cell that list. Some may be down, and the first to finish transfers to all
+/// of its share at once.
 const LISTING_HOSTS: usize = 3;
-/// Maximum time that a starting host waits for the host list. Without the list a host does
-/// not know that others list, and lists for itself. When a thousand hosts start together,
-/// the store sends 85 MB of host lists, which takes a second.
+/// Maximum time that a starting host waits for the host list, without which it does not know of
+/// other listing hosts and lists itself. When a thousand hosts start together, the store sends 85
+/// MB of host lists, which takes a second.
 const LIST_WAIT: Duration = Duration::from_millis(2_500);
-/// Time for which a host waits for what others list.
+/// Minimum time to wait for records from a listing host.
 const PEER_WAIT: Duration = Duration::from_secs(4);
-/// Time that is drawn on top, so that hosts that have waited in vain do not list all
-/// at once.
+/// Maximum random time added to the wait, so that hosts that time out do not list all at once.
 const PEER_WAIT_JITTER_MS: u64 = 3_000;
-/// Time for a peer's answer: a megabyte over the least link takes 0.3 s, and it hands
-/// over to some at a time.
-const TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause between two looks for a peer that has what is wanted, drawn.
+/// Timeout of a transfer: a megabyte takes 0.3 s on the slowest link, and the peer serves several
+/// transfers at a time.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Random pause between two attempts to find a peer that has the records.
 const RETRY_PAUSE_MS: std::ops::Range<u64> = 20..80;
-/// Peers that a host hands over to at a time: fewer would leave its link idle, more
-/// would all get it late, and nobody could hand it on.
+/// Maximum number of concurrent transfers from a host: with fewer its link would be idle, with more
+/// all of them would finish late and could not be copied further.
 const TRANSFERS_MAX: usize = 3;
 
 /// Maximum number of concurrent responses to requests for changes.
 const RESPONSES_MAX: usize = tree::FANOUT;
 
-/// What a host notes while it starts.
+/// Progress of initial loading.
 #[derive(Debug)]
 pub(super) struct Bootstrap {
-    /// Whether the list of hosts was read, or could not be.
+    /// Whether the host list has been read, or reading it has failed.
     is_list_attempted: watch::Sender<bool>,
     /// When the newest reading of the host list was requested.
     list_read_at: watch::Sender<Option<Instant>>,
-    /// Whether routes and targets are here, or are to be listed.
+    /// Whether it is decided if this host reads routes and targets or follows another host.
     is_role_decided: watch::Sender<bool>,
-    /// Peers that are being handed something.
+    /// Transfers of records to peers in progress.
     transfers: Gauge,
     /// Responses to requests for changes in progress.
     responses: Gauge,
@@ -91,7 +89,7 @@
 }
 
 impl Bootstrap {
-    /// Notes that the list of hosts was read, or could not be.
+    /// Records that the host list was read, or that reading it failed.
     pub(super) fn mark_list_attempted(&self) {
         self.is_list_attempted.send_replace(true);
     }
@@ -103,11 +101,10 @@
         self.mark_list_attempted();
     }
 
-    /// Waits for the list of hosts to be read, or not to be readable, at most for a
-    /// time.
+    /// Waits until the host list is read or reading it has failed, or `wait` has elapsed.
     pub(super) async fn wait_list_attempt(&self, wait: Duration) {
         let mut is_attempted = self.is_list_attempted.subscribe();
-        // Late, the list says as little as none.
+        // On timeout the caller continues as if reading had failed.
         let _ = tokio::time::timeout(wait, is_attempted.wait_for(|attempted| *attempted)).await;
     }
 
@@ -118,7 +115,7 @@
         let _ = tokio::time::timeout(wait, read_at.wait_for(Option::is_some)).await;
     }
 
-    /// Returns whether the list of hosts was read.
+    /// Returns whether the host list has been read.
     pub(super) fn is_list_read(&self) -> bool {
         self.list_read_at().is_some()
     }
@@ -134,7 +131,7 @@
         (self.responses.count() <= RESPONSES_MAX).then_some(guard)
     }
 
-    /// Begins to hand something over, if not too many are being handed something.
+    /// Starts a transfer to a peer, unless too many are in progress.
     pub(super) fn begin_transfer(&self) -> Option<Gauge> {
         let guard = self.transfers.enter();
         (self.transfers.count() <= TRANSFERS_MAX).then_some(guard)
@@ -152,15 +149,14 @@
     ctx.peers.bootstrap.is_role_decided.send_replace(true);
 }
 
-/// Waits until routes and targets are here, or are to be listed.
+/// Waits until it is decided whether this host reads routes and targets or follows another host.
 pub(crate) async fn wait_for_role(ctx: &Context) {
     let mut is_decided = ctx.peers.bootstrap.is_role_decided.subscribe();
     // The sender lives as long as the context.
     let _ = is_decided.wait_for(|is_decided| *is_decided).await;
 }
 
-/// Returns the job records as a peer knows them; nothing if this host is to list
-/// them itself.
+/// Returns the job records of a peer, or `None` if this host should list them itself.
 pub(crate) async fn fetch_job_records(ctx: &Context) -> Option<Snapshot> {
     if is_listing_host(ctx).await {
         return None;
@@ -171,12 +167,12 @@
             sleep_random(RETRY_PAUSE_MS).await;
             continue;
         };
-        let response = rpc::call(addr, rpc::RECORDS, Bytes::new(), TIMEOUT).await;
+        let response = rpc::call(addr, rpc::RECORDS, Bytes::new(), TRANSFER_TIMEOUT).await;
         match response.map(|bytes| postcard::from_bytes(&bytes)) {
             Ok(Ok(snapshot)) => return Some(snapshot),
-            Ok(Err(err)) => slog::error!(ctx.logger, "unreadable answer of a peer";
+            Ok(Err(err)) => slog::error!(ctx.logger, "invalid response from peer";
                 "addr" => addr.to_string(), "error" => err.to_string()),
-            // It hands over to others already, or has just died.
+            // The peer has too many transfers in progress, or has just failed.
             Err(_) => ctx
                 .metrics
                 .count(Counted::Changes, "records not handed over"),
@@ -185,12 +181,12 @@
     }
     slog::warn!(
         ctx.logger,
-        "no peer has handed over the job records, listing them"
+        "no peer provided the job records; listing them from the store"
     );
     None
 }
 
-/// Returns whether this host lists for itself.
+/// Returns whether this host should list records from the store.
 async fn is_listing_host(ctx: &Context) -> bool {
     ctx.peers.bootstrap.wait_list_read(LIST_WAIT).await;
     let cells = ctx.peers.cell_state.cells();
@@ -203,7 +199,7 @@
         .filter(|(host, peer)| cell::is_in_own_cell(ctx, cells, host, peer));
     let hosts = local.map(|(host, _)| host.as_str()).chain([ctx.host()]);
     let hosts: Vec<&str> = hosts.collect();
-    rendezvous::top_ranked(TASK, &hosts, LISTING_HOSTS).contains(&ctx.host())
+    rendezvous::top_ranked(LISTING_TASK, &hosts, LISTING_HOSTS).contains(&ctx.host())
 }
 
 fn peer_deadline() -> Instant {
@@ -211,7 +207,7 @@
     Instant::now() + PEER_WAIT + Duration::from_millis(jitter_ms)
 }
 
-/// Returns a peer that has what is wanted, drawn.
+/// Returns a random live peer that satisfies a condition.
 pub(super) fn random_peer(
     ctx: &Context,
     has: impl Fn(&Peer) -> bool,
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -1,14 +1,13 @@
-//! The cells of a large fleet: which one this host is in, and word between them.
+//! Membership of hosts in the cells of a large fleet, and messages between cells.
 //!
-//! Inside its cell a host tells all that it runs, see [`cells`]. To other cells it
-//! tells sums: each beat one host of another cell, drawn at random, gets what all
-//! hosts of this one run at each target. So a host sends and gets as much however
-//! large the fleet is, and each cell hears of each other one many times a second. A
-//! cell of which nothing comes for long is gone as a whole, and the jobs of its hosts
-//! are taken over by others.
+//! Within its cell a host sends its loads to all hosts, see [`cells`]. To other cells it sends
+//! sums: at each interval one random host of another cell receives the total load of this cell at
+//! each target. So the number of messages per host does not depend on the size of the fleet, and
+//! each cell receives an update from each other cell many times per second. A cell that sends
+//! nothing for long has failed as a whole, and other cells take over the jobs of its hosts.
 //!
-//! Hosts of each cell that speak for it were rejected: their death would silence the
-//! cell, and who speaks would have to be agreed on.
+//! Dedicated hosts that represent each cell were rejected: their failure would silence the cell,
+//! and they would have to be elected.
 //!
 //! [`cells`]: notchwharf_routing::cells
 
@@ -36,34 +35,35 @@
 use crate::metrics::Counted;
 use crate::sync::lock;
 
-/// Time between two datagrams to other cells. With five cells each hears of each
-/// other one every 200 ms on average, as old as news of far hosts is in a fleet that
-/// is one cell.
+/// Interval between two datagrams to other cells. With five cells, each receives an update from
+/// each other cell every 200 ms on average, like those between remote hosts in a fleet of a single
+/// cell.
 const SEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Beats without a word of a cell, for each other cell, after which it counts as
-/// gone: words come to random hosts, so one that lives is not heard for so long with
-/// a chance of e^-15. A job taken over by mistake runs again.
+/// Number of intervals without a message from a cell, per other cell, after which the cell counts
+/// as failed. As messages go to random hosts, a live cell is silent for so long with a probability
+/// of e^-15. Jobs that are taken over by mistake run again.
 const SILENT_AFTER_INTERVALS: u32 = 15;
 
-/// Least time without a word of a cell after which it counts as gone: all hosts of a
-/// data centre are back within it after most losses of power.
+/// Minimum silence after which a cell counts as failed: after most power failures, all hosts of a
+/// data centre are back within this time.
 const SILENCE_MIN: Duration = Duration::from_secs(3);
 
-/// Time after which a host that is not in the list is taken for gone: new ones are
-/// there within a second.
+/// Time after which a host that is not in the host list counts as failed; new hosts are listed
+/// within a second.
 const UNLISTED_GRACE: Duration = Duration::from_secs(5);
 
-/// Time for which word of a host in another cell says that it can be asked.
+/// Time for which a message from a host in another cell counts as evidence that the host can be
+/// called.
 pub(super) const CELL_REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// The division of the fleet as this host sees it.
+/// The division of the fleet into cells, as known to this host.
 #[derive(Debug)]
 pub(super) struct CellState {
     division: Mutex<Division>,
-    /// When something was last heard of each other cell, by its name.
+    /// When a message was last received from each other cell, by the cell's name.
     last_received: Mutex<HashMap<String, Instant>>,
-    /// Since when jobs have had owners that are not in the list.
+    /// Since when hosts that own jobs have been missing from the host list.
     unlisted: Mutex<HashMap<HostId, Instant>>,
 }
 
@@ -76,18 +76,17 @@
         }
     }
 
-    /// Returns the cells as they are.
+    /// Returns the current cells.
     pub(super) fn cells(&self) -> Cells {
         lock(&self.division).cells()
     }
 
-    /// Returns the cells whose hosts are told what this one runs.
+    /// Returns the cells to whose hosts this host sends its status.
     pub(super) fn broadcast_cells(&self, now: Instant) -> Cells {
         lock(&self.division).broadcast_cells(now)
     }
 
-    /// Returns whether nothing was heard of a cell for so long that all its hosts
-    /// are gone.
+    /// Returns whether a cell has been silent for so long that all its hosts count as failed.
     fn is_silent(&self, cell: &str) -> bool {
         let last_received = lock(&self.last_received);
         let others = u32::try_from(last_received.len()).unwrap_or(u32::MAX);
@@ -110,7 +109,7 @@
     cells.name_of((ctx.host(), &ctx.settings.host.data_centre))
 }
 
-/// Divides the fleet anew if its hosts call for it.
+/// Updates the division into cells after a change of the known hosts.
 pub(super) fn update_division(ctx: &Context) {
     let now = Instant::now();
     let cell_state = &ctx.peers.cell_state;
@@ -134,7 +133,7 @@
         let mut last_received = lock(&cell_state.last_received);
         last_received.retain(|cell, _| others.contains(cell));
         for cell in others {
-            // Its hosts have just been read of: they have time to be heard.
+            // A cell whose hosts are new to the list counts as live until its timeout.
             last_received.entry(cell).or_insert(now);
         }
     }
@@ -149,10 +148,10 @@
     known.get(host).is_some_and(|p| p.data_centre.is_some())
 }
 
-/// Forgets what was known by another division.
+/// Applies a new division and removes the state of the previous one.
 fn apply_division(ctx: &Context, cells: Cells, own_cell: &str) {
     let count = lock(&ctx.peers.cell_state.last_received).len() + 1;
-    slog::info!(ctx.logger, "fleet divided"; "cells" => count, "own_cell" => own_cell);
+    slog::info!(ctx.logger, "fleet divided into cells"; "cells" => count, "own_cell" => own_cell);
     ctx.metrics.set("cells", count);
     ctx.metrics.count(Counted::Changes, "cells");
     lock(&ctx.balancer).clear_cells();
@@ -176,8 +175,8 @@
     cells.are_in_same_cell(own, (host, data_centre))
 }
 
-/// Returns whether this host looks after the jobs of another that may be gone: one
-/// of its own cell, of a cell that is gone as a whole, or of none.
+/// Returns whether this host may take over the jobs of another one that has possibly failed: if
+/// that host is of the same cell, of a cell that has failed as a whole, or not in the host list.
 pub(super) fn is_responsible_for(ctx: &Context, host: &str) -> bool {
     let cell_state = &ctx.peers.cell_state;
     let cells = cell_state.cells();
@@ -201,7 +200,7 @@
     }
 }
 
-/// Returns whether a task of the whole fleet is for a host of this one's cell.
+/// Returns whether a task of the whole fleet is assigned to this host's cell.
 pub(super) fn is_assigned_to_own_cell(ctx: &Context, task: &str) -> bool {
     let cell_state = &ctx.peers.cell_state;
     let own = own_cell(ctx, cell_state.cells());
@@ -211,14 +210,14 @@
     rendezvous::top_ranked(task, &all, 1) == [own.as_str()]
 }
 
-/// Takes in what another cell runs, from one of its hosts.
+/// Applies the summary of another cell, received from one of its hosts.
 pub(super) fn apply_status(ctx: &Arc<Context>, addr: SocketAddr, status: CellStatus) {
     let now = Instant::now();
     record_remote_host(ctx, addr, &status, now);
     let cells = ctx.peers.cell_state.cells();
     let own = (ctx.host(), ctx.settings.host.data_centre.as_str());
     let from = (status.host.as_str(), status.data_centre.as_str());
-    // One that divides the fleet differently for a moment may be of this cell.
+    // A sender that temporarily uses another division may be of this host's cell.
     if cells.is_divided() && !cells.are_in_same_cell(own, from) {
         let cell = cells.name_of(from);
         let loads = status.loads.iter().map(status::load).collect();
@@ -230,14 +229,14 @@
         config: status.config,
         targets: status.targets,
     };
-    // A host that reaches the store reads changes there or follows the reader.
+    // A host that can reach the store reads changes there or follows the reader.
     if !ctx.store.is_up() {
         ctx.distributor.record_newer_versions(addr, versions);
     }
 }
 
-/// Notes that a host in another cell lives. A host that the store turns away may not
-/// have it in its list, and needs it all the more.
+/// Records that a host in another cell is alive. A host that is refused by the store may not have
+/// it in its host list, and depends on such hosts.
 fn record_remote_host(ctx: &Context, addr: SocketAddr, status: &CellStatus, now: Instant) {
     let is_new = {
         let mut known = lock(&ctx.peers.known);
@@ -274,8 +273,7 @@
     }
 }
 
-/// Tells other cells what this one runs, and notes those that are gone, until the
-/// host stops.
+/// Sends the summary of this cell to other cells and detects failed cells, until the host stops.
 pub(super) async fn run(ctx: Arc<Context>) {
     let mut ticks = ctx.timer.subscribe(SEND_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
@@ -297,13 +295,13 @@
             continue;
         };
         let bytes = messages::encode(&PeerMessage::Cell(cell_status(&ctx)));
-        // Lost, another one makes up for it.
+        // If this is lost, a later one replaces it.
         let _ = socket.try_send_to(&bytes, addr);
         ctx.metrics.count(Counted::Datagrams, "sent");
     }
 }
 
-/// Forgets what cells run that are gone.
+/// Removes the loads of cells that have failed.
 fn remove_silent_cells(ctx: &Context) {
     let cell_state = &ctx.peers.cell_state;
     let cells: Vec<String> = lock(&cell_state.last_received).keys().cloned().collect();
--- a/crates/gateway/src/peers/host_list.rs
+++ b/crates/gateway/src/peers/host_list.rs
@@ -1,4 +1,4 @@
-//! The list of hosts in the store: this host's entry, and those of others.
+//! The host list in the store: this host's entry and those of others.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,48 +25,46 @@
 use crate::sync::lock;
 use crate::time::Backoff;
 
-/// How the list of hosts is read. It changes seldom, and a host that is known
-/// to one other is known to all by its own datagrams.
+/// How the list is read. It changes rarely, and a host known to any other soon becomes known to all
+/// by its own datagrams.
 pub(super) const PACE: Pace = Pace {
     wait: Duration::from_secs(10),
     gap: Duration::from_millis(700),
     pause_max: Duration::from_millis(400),
 };
 
-/// Time for the list to be read before a host's own entry is written: two timeouts of
-/// a slow store.
+/// Maximum time to wait for the list before writing this host's entry: two timeouts of a slow
+/// store.
 const REGISTER_WAIT: Duration = Duration::from_millis(1_500);
-/// Pause before a host's own entry is written again, doubled each time.
+/// Initial pause between attempts to write this host's entry, doubled after each.
 const REGISTER_PAUSE_MIN: Duration = Duration::from_millis(300);
-/// The longest such pause: other hosts find this one by its datagrams meanwhile.
+/// Maximum such pause. Other hosts discover this one by its datagrams meanwhile.
 const REGISTER_PAUSE_MAX: Duration = Duration::from_millis(2_400);
 
-/// Silence after which the list says so: four times that after which a host counts as
-/// down, longer than most are away. One that is back, or was never gone, writes its entry
-/// again.
+/// Silence after which a host is marked as silent in the list: four times the failure timeout, and
+/// longer than most outages. A host that recovers, or had not failed, writes its entry again.
 const MARK_SILENT_AFTER: Duration = Duration::from_secs(5);
 
 /// Maximum number of new hosts that are logged individually.
 const LOGGED_HOSTS_MAX: usize = 8;
 
-/// Time after a host's own entry was written within which all hosts that started with it
-/// have written theirs and it has received them: a pause between two readings, a call, and
-/// forwarding by the reader.
+/// Time after writing a host's own entry within which all hosts that started with it have written
+/// theirs and it has received them: the interval between two reads, a call, and forwarding by the
+/// reader.
 pub(super) const SETTLED_AFTER: Duration = Duration::from_millis(1_500);
 
-/// A host's entry in the store.
+/// The address and location of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct HostInfo {
     pub(super) addr: SocketAddr,
     pub(super) data_centre: String,
 }
 
-/// An entry with what others say of its host. Entries of hosts that know of no such word
-/// end before it.
+/// A host's entry in the store. Entries written by older versions contain only the listing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HostEntry {
     listing: HostInfo,
-    /// Whether the host has long been silent.
+    /// Whether other hosts have marked the host as silent.
     is_silent: bool,
 }
 
@@ -82,10 +80,10 @@
     }
 }
 
-/// Returns a host's entry.
+/// Returns the record of a host's entry.
 fn entry(host: &str, listing: HostInfo, is_silent: bool) -> Entry {
     let entry = HostEntry { listing, is_silent };
-    let value = postcard::to_stdvec(&entry).expect("Listings are representable.");
+    let value = postcard::to_stdvec(&entry).expect("Host entries are representable.");
     Entry {
         key: host.to_owned(),
         value: Some(value.into()),
@@ -99,9 +97,9 @@
     }
 }
 
-/// Writes this host's entry, unless the list has it: after a loss of all hosts the list
-/// has all of them, and writing it anew would hold up all that read it. The store takes
-/// one append after the other, and does not read the list out meanwhile.
+/// Writes this host's entry unless the list contains it. After an outage of all hosts the list
+/// contains them all, and writing the entries again would delay every reader: the store executes
+/// appends one at a time and does not serve reads of the list meanwhile.
 pub(super) async fn register(ctx: Arc<Context>) {
     let entry = entry(ctx.host(), own_info(&ctx), false);
     ctx.peers.bootstrap.wait_list_attempt(REGISTER_WAIT).await;
@@ -112,12 +110,13 @@
             *lock(&ctx.peers.registered_at) = Some(Instant::now());
             return;
         }
-        // Hosts that start together must not all write again at once.
+        // Randomized, so that hosts that start together do not retry together.
         backoff.wait().await;
     }
 }
 
-/// Takes in whether the list has this host's entry; writes it again if it was dropped.
+/// Checks whether the list contains this host's entry, and writes it again if it was changed or
+/// deleted.
 fn check_own_entry(
     ctx: &Arc<Context>,
     requested_at: Instant,
@@ -143,22 +142,22 @@
     if is_missing && was_registered && ctx.phase() < Phase::Leaving {
         slog::info!(
             ctx.logger,
-            "own host entry changed by another, written again"
+            "own host entry changed by another host; writing it again"
         );
         *registered_at = None;
         tokio::spawn(register(Arc::clone(ctx)));
     }
 }
 
-/// Drops this host's entry; without it others find out by its silence.
+/// Deletes this host's entry. If that fails, others detect the shutdown by the missing heartbeats.
 pub(crate) async fn deregister(ctx: &Context) {
     let entry = Entry::tombstone(ctx.host().to_owned());
     if let Err(err) = ctx.store.append(Topic::Hosts, 0, vec![entry]).await {
-        slog::warn!(ctx.logger, "host's entry not dropped"; "error" => err.to_string());
+        slog::warn!(ctx.logger, "own host entry not deleted"; "error" => err.to_string());
     }
 }
 
-/// Returns the offset up to which the list of hosts is known.
+/// Returns the offset up to which the host list is known.
 pub(super) fn end(ctx: &Context) -> u64 {
     lock(&ctx.peers.host_log).end
 }
@@ -188,7 +187,7 @@
 
 /// Applies a reading of the list.
 pub(super) fn apply_reading(ctx: &Arc<Context>, reading: Reading) {
-    // The reader tries again, and the store's wrapper has logged why.
+    // The follower retries; `Store` has logged the failure.
     let Ok(seen) = reading.seen else {
         ctx.peers.bootstrap.mark_list_attempted();
         return;
@@ -223,14 +222,14 @@
             continue;
         }
         let Some(value) = record.entry.value else {
-            slog::info!(ctx.logger, "host left the list"; "peer" => host.as_str());
+            slog::info!(ctx.logger, "host removed from the list"; "peer" => host.as_str());
             remove_host(ctx, &host);
             continue;
         };
         match HostEntry::decode(&value) {
             Ok(entry) if update_host(ctx, &host, &entry) => added.push((host, entry.listing.addr)),
             Ok(_) => {}
-            Err(err) => slog::error!(ctx.logger, "unreadable host entry";
+            Err(err) => slog::error!(ctx.logger, "invalid host entry";
                 "peer" => host, "error" => err.to_string()),
         }
     }
@@ -243,11 +242,11 @@
 /// Logs newly known hosts.
 fn log_known(ctx: &Context, added: &[(HostId, SocketAddr)]) {
     if added.len() > LOGGED_HOSTS_MAX {
-        slog::info!(ctx.logger, "hosts known"; "hosts" => added.len());
+        slog::info!(ctx.logger, "hosts discovered"; "hosts" => added.len());
         return;
     }
     for (host, addr) in added {
-        slog::info!(ctx.logger, "host known"; "peer" => host, "addr" => addr.to_string());
+        slog::info!(ctx.logger, "host discovered"; "peer" => host, "addr" => addr.to_string());
     }
 }
 
@@ -275,10 +274,10 @@
     is_new
 }
 
-/// Says in the list which hosts have been silent for long, where this host is the one to
-/// do it. A host that starts asks all in the list what they hold of its limits, and would
-/// wait for those that never answer. They still count as hosts of the fleet: one that
-/// lives behind a cut has its part of each limit.
+/// Marks hosts in the list that have been silent for long, if this host is responsible for it. A
+/// starting host queries all listed hosts for their leases on limits and would wait for failed ones
+/// in vain. Marked hosts still count as hosts of the fleet, since a host that is only partitioned
+/// keeps its share of each limit.
 pub(super) fn mark_silent(ctx: &Arc<Context>) {
     if !ctx.store.is_up() || ctx.phase() != Phase::Ready {
         return;
@@ -294,15 +293,15 @@
     }
 }
 
-/// Returns the hosts of this one's cell that have been silent for long, those of other
-/// cells being never heard themselves.
+/// Returns the hosts of this cell that have been silent for long. Hosts of other cells send nothing
+/// to this one.
 fn silent_hosts(ctx: &Context) -> Vec<(HostId, HostInfo)> {
     let cells = ctx.peers.cell_state.cells();
     let known = lock(&ctx.peers.known);
     let silent_hosts = known.iter().filter_map(|(host, peer)| {
         let silence = peer.last_received.unwrap_or(peer.known_since).elapsed();
-        let is_gone = !peer.is_alive && silence >= MARK_SILENT_AFTER && !peer.is_marked_silent;
-        if !is_gone || (cells.is_divided() && !cell::is_in_own_cell(ctx, cells, host, peer)) {
+        let has_failed = !peer.is_alive && silence >= MARK_SILENT_AFTER && !peer.is_marked_silent;
+        if !has_failed || (cells.is_divided() && !cell::is_in_own_cell(ctx, cells, host, peer)) {
             return None;
         }
         let listing = HostInfo {
@@ -318,7 +317,7 @@
     let entry = entry(&host, listing, true);
     let res = ctx.store.append(Topic::Hosts, 0, vec![entry]).await;
     if res.is_err() {
-        // The store's wrapper has logged why; a later look tries again.
+        // `Store` has logged the failure; a later check retries.
         set_marked(&ctx, &host, false);
     }
 }
--- a/crates/gateway/src/peers/links.rs
+++ b/crates/gateway/src/peers/links.rs
@@ -31,7 +31,7 @@
     Links {
         neighbours: Box::new(move || neighbours(&local)),
         newer_peer: Box::new(move || newer_peer(&newer)),
-        send: Box::new(move |addr, news| sender.peers.send_to(addr, news)),
+        send: Box::new(move |addr, message| sender.peers.send_to(addr, message)),
         request: Box::new(|addr, request| request_changes(addr, request).boxed()),
         hosts_end: Box::new(move || host_list::end(&end)),
         apply: Box::new(move |operator_records, hosts| {
--- a/crates/gateway/src/peers/recipients.rs
+++ b/crates/gateway/src/peers/recipients.rs
@@ -1,4 +1,4 @@
-//! Where a host sends what it tells, by the decisions of [`dissemination`].
+//! Recipients of status messages, selected by [`dissemination`].
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -14,16 +14,15 @@
 use crate::context::Context;
 use crate::sync::lock;
 
-/// Where to send.
+/// The recipients of a status message.
 #[derive(Debug, Default)]
 pub(super) struct Recipients {
     pub(super) addrs: Vec<SocketAddr>,
-    /// How hosts in other data centres are told, if they are now.
+    /// The pace of sending to remote data centres, if that is due now.
     pub(super) pace: Option<Pace>,
 }
 
-/// Returns where to send in this host's cell: to peers that live, and now and
-/// then to the others.
+/// Returns the recipients in this host's cell: live peers, and occasionally the others.
 pub(super) fn status_recipients(ctx: &Context, due: Due) -> Recipients {
     let now = Instant::now();
     let sender = sender(ctx, ctx.peers.cell_state.broadcast_cells(now));
@@ -43,7 +42,7 @@
     }
 }
 
-/// Returns where to pass on what hosts far away told.
+/// Returns the recipients of relayed statuses of remote hosts.
 pub(super) fn relay_recipients(ctx: &Context) -> Vec<SocketAddr> {
     let sender = sender(ctx, ctx.peers.cell_state.cells());
     let known = lock(&ctx.peers.known);
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -1,7 +1,6 @@
-//! News of hosts in other data centres, passed on inside one's own.
+//! Relays statuses of hosts in other data centres within the local one.
 //!
-//! Who is told and who passes on is decided in [`dissemination`]; here it is noted and
-//! sent.
+//! [`dissemination`] decides who receives and who relays; this module keeps the queue and sends.
 //!
 //! [`dissemination`]: notchwharf_routing::dissemination
 
@@ -26,15 +25,14 @@
 use crate::work;
 use crate::work::Part;
 
-/// Hosts far away of which there is news to pass on; what it is stands with
-/// each of them as a peer.
+/// Remote hosts whose status is to be relayed. The status itself is stored with the peer.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
     pending: Mutex<HashSet<HostId>>,
 }
 
 impl Relay {
-    /// Notes that there is news of a host far away, to be passed on soon.
+    /// Queues the status of a remote host for the next relay.
     pub(super) fn enqueue(&self, host: &str) {
         lock(&self.pending).insert(host.to_owned());
     }
@@ -44,7 +42,7 @@
     }
 }
 
-/// Returns how hosts are, in parts that each fit a datagram.
+/// Returns the statuses of hosts, split into parts that each fit a datagram.
 fn split_statuses(ctx: &Context, hosts: &HashSet<HostId>) -> Vec<Vec<Status>> {
     let known = lock(&ctx.peers.known);
     let changed = hosts.iter().filter_map(|host| known.get(host));
@@ -52,7 +50,7 @@
     messages::split_by_size(changed.map(|peer| peer.status.clone()), bytes_of)
 }
 
-/// Passes news on inside this host's data centre.
+/// Relays queued statuses until the host stops.
 pub(super) async fn run(ctx: Arc<Context>) {
     let mut ticks = ctx.timer.subscribe(RELAY_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
@@ -77,14 +75,14 @@
     for part in split_statuses(ctx, pending) {
         let bytes = messages::encode(&PeerMessage::PassedOn(part));
         for addr in local {
-            // Lost, the next one makes up for it.
+            // If this is lost, the next one replaces it.
             let _ = socket.try_send_to(&bytes, *addr);
             ctx.metrics.count(Counted::Datagrams, "passed on");
         }
     }
 }
 
-/// Returns whether a peer stands in this host's data centre.
+/// Returns whether a peer is in this host's data centre.
 pub(super) fn is_local(ctx: &Context, peer: &Peer) -> bool {
     peer.data_centre.as_ref() == Some(&ctx.settings.host.data_centre)
 }
--- a/crates/gateway/src/peers/rpc.rs
+++ b/crates/gateway/src/peers/rpc.rs
@@ -1,7 +1,7 @@
-//! Calls between hosts: a body there, a body back.
+//! Calls between hosts: an HTTP request and a response, each with a binary body.
 //!
-//! Each call has a connection of its own: there are few of them, and a kept one
-//! may have gone silent.
+//! Each call opens a new connection: calls are rare, and a pooled connection may have failed
+//! unnoticed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,30 +35,29 @@
 
 /// The path of requests for changes of routes, targets and hosts.
 pub(super) const CHANGES: &str = "/changes";
-/// The path of calls for the job records.
+/// The path of requests for the job records.
 pub(super) const RECORDS: &str = "/records";
-/// The path of calls for requests under which targets crashed.
+/// The path of requests for the requests under which targets have crashed.
 pub(super) const SUSPECTS: &str = "/suspects";
 /// The path of introductions by hosts that cannot read the host list.
 pub(super) const CONTACTS: &str = "/contacts";
 /// The path of calls about jobs.
 pub(super) const JOBS: &str = "/jobs";
 
-/// Time after which an attempt to connect to a peer has failed: many times the
-/// way between data centres.
+/// Timeout of connecting to a peer: many times the latency between data centres.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Why a peer gave no answer.
+/// Why there is no response from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// It was not reached.
+    /// The peer was not reached.
     NotSent(&'static str),
-    /// It may have done what it was asked for.
+    /// The peer may have executed the call.
     Lost(&'static str),
 }
 
 impl CallError {
-    /// Returns the reason in a word or two.
+    /// Returns a short description of the reason.
     pub(super) fn reason(self) -> &'static str {
         match self {
             Self::NotSent(reason) | Self::Lost(reason) => reason,
@@ -101,20 +100,21 @@
     Ok(body.to_bytes())
 }
 
-/// Answers peers until the host stops.
+/// Serves calls of peers until the host stops.
 pub(super) async fn serve(ctx: Arc<Context>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = ctx.stopped() => return,
         };
-        // Running out of descriptors must not end the service.
+        // An error such as a lack of file descriptors must not end the service.
         let Ok((socket, _)) = accepted else {
             tokio::task::yield_now().await;
             continue;
         };
         let shared = Arc::clone(&ctx);
-        // A hand-over lasts until the peer has it all and closes the connection.
+        // Kept until the connection is closed, so that a transfer counts until its last byte is
+        // sent.
         let in_progress: Arc<Mutex<Option<Gauge>>> = Arc::default();
         let service = service_fn(move |req: Request<Incoming>| {
             let ctx = Arc::clone(&shared);
@@ -123,13 +123,13 @@
         });
         tokio::spawn(async move {
             let conn = hyper::server::conn::http1::Builder::new();
-            // A peer that goes away in between asks again.
+            // If the connection breaks, the peer retries.
             let _ = conn.serve_connection(TokioIo::new(socket), service).await;
         });
     }
 }
 
-/// Returns what a peer asks for, unless too many others are being handed something.
+/// Returns records for a peer, unless too many transfers are in progress.
 fn begin_transfer(
     ctx: &Context,
     in_progress: &Mutex<Option<Gauge>>,
@@ -171,7 +171,7 @@
     in_progress: &Mutex<Option<Gauge>>,
 ) -> Response<Full<Bytes>> {
     let path = req.uri().path().to_owned();
-    // A peer that breaks off in between gets no answer anyway.
+    // If the request is incomplete, the peer has closed the connection and needs no response.
     let body = req.into_body().collect().await.ok();
     let body = body.map(http_body_util::Collected::to_bytes);
     let response_body = match (path.as_str(), body) {
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -1,4 +1,4 @@
-//! What hosts tell one another by datagram.
+//! Datagrams between hosts: sending this host's status and handling those of others.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -34,24 +34,24 @@
 use crate::work;
 use crate::work::Part;
 
-/// Time for which a peer may know newer routes or targets before they are requested from
-/// it. Exceeds the pause between two readings, 300 ms, so that hosts whose next reading is
-/// due do not send redundant requests.
+/// Time for which a peer may have newer routes or targets before they are requested from it.
+/// Exceeds the interval between two reads, 300 ms, so that hosts whose next read is due do not send
+/// redundant requests.
 const AHEAD_GRACE: Duration = Duration::from_millis(500);
 
-/// Bytes of a datagram at most: what UDP carries.
+/// Maximum size of a UDP datagram in bytes.
 const DATAGRAM_BYTES_MAX: usize = 65_536;
 
 fn own_status(ctx: &Context, number: u64) -> Status {
     let versions = ctx.catalog.versions();
     let (loads, failing) = {
-        let places = lock(&ctx.balancer);
-        let loads = places.own_loads().map(|(target, load)| messages::Load {
+        let balancer = lock(&ctx.balancer);
+        let loads = balancer.own_loads().map(|(target, load)| messages::Load {
             target,
             online: load.online,
             batch: load.batch,
         });
-        (loads.collect(), places.failing(Instant::now()))
+        (loads.collect(), balancer.failing(Instant::now()))
     };
     let waiting = ctx
         .items
@@ -76,16 +76,16 @@
     }
 }
 
-/// Tells peers what this host runs, when that changes and in each beat.
+/// Sends this host's status to peers, when it changes and at each heartbeat.
 pub(super) async fn run_sender(ctx: Arc<Context>) {
     let settings = &ctx.settings.peers;
     let interval = ms(settings.news_ms);
     let mut schedule = Schedule::new(ms(settings.beat_ms), Instant::now());
     let mut number = 0;
     if let Some(socket) = ctx.peers.socket.get() {
-        // Before the runtime has looked at it, a socket takes nothing, and a peer that
-        // missed the first word is told again only after a second. An error shows again
-        // when something is sent.
+        // The runtime reports a new socket as writable only after a first poll; sends before that
+        // fail, and a peer that misses the first status receives the next one a second later. An
+        // error recurs when sending.
         let _ = socket.writable().await;
     }
     while ctx.phase() != Phase::Stopped {
@@ -106,8 +106,7 @@
     }
 }
 
-/// Tells peers how this host is; returns how those far away were told, if they
-/// were.
+/// Sends this host's status to peers; returns the pace of sending to remote hosts, if that was due.
 fn send_status(ctx: &Context, number: u64, due: Due, socket: &UdpSocket) -> Option<Pace> {
     let mut recipients = status_recipients(ctx, due);
     recipients.addrs.extend(changed_remote_recipients(ctx, due));
@@ -115,7 +114,7 @@
         let contention = ctx.waiting.told(Instant::now());
         let bytes = messages::encode_with_contention(own_status(ctx, number), contention.as_ref());
         for addr in recipients.addrs {
-            // Lost, the next one makes up for it.
+            // If this is lost, the next one replaces it.
             let _ = socket.try_send_to(&bytes, addr);
             ctx.metrics.count(Counted::Datagrams, "sent");
         }
@@ -123,24 +122,25 @@
     recipients.pace
 }
 
-/// Returns the hosts of data centres at whose targets this host now runs something else
-/// than it last told them. Those whose places are shared by an order know of no others'
-/// requests there but by this: passed on, the news comes too late.
+/// Returns the hosts of remote data centres at whose targets this host's load has changed since the
+/// last status sent to them. Where requests wait in a queue, hosts learn of requests from elsewhere
+/// only by this: a relayed status arrives too late.
 fn changed_remote_recipients(ctx: &Context, due: Due) -> Vec<SocketAddr> {
     if !due.local || !ctx.waiting.is_on() {
         return Vec::new();
     }
     let now = lock(&ctx.balancer).own_remote_loads(&ctx.settings.host.data_centre);
-    let mut reported = lock(&ctx.peers.last_sent_remote);
-    let all = now.keys().chain(reported.keys());
+    let mut last_sent = lock(&ctx.peers.last_sent_remote);
+    let all = now.keys().chain(last_sent.keys());
     let changed: BTreeSet<&DataCentreId> = all
-        .filter(|data_centre| now.get(*data_centre) != reported.get(*data_centre))
+        .filter(|data_centre| now.get(*data_centre) != last_sent.get(*data_centre))
         .collect();
     let addrs = ctx.peers.alive_in(&changed);
-    *reported = now;
+    *last_sent = now;
     addrs
 }
 
+/// Handles datagrams until the host stops.
 pub(super) async fn run_receiver(ctx: Arc<Context>) {
     let Some(socket) = ctx.peers.socket.get() else {
         return;
@@ -151,7 +151,7 @@
             received = socket.recv_from(&mut buf) => received,
             () = ctx.stopped() => return,
         };
-        // An error tells of an earlier datagram that found no receiver.
+        // The error belongs to an earlier datagram whose recipient was not reachable.
         let Ok((len, addr)) = received else {
             continue;
         };
@@ -162,7 +162,7 @@
     }
 }
 
-/// Takes in a datagram.
+/// Decodes a datagram and applies it.
 fn handle_datagram(ctx: &Arc<Context>, addr: SocketAddr, bytes: &[u8]) {
     let Some((message, contention)) = messages::decode_with_contention(bytes) else {
         return ctx.metrics.count(Counted::Datagrams, "unreadable");
@@ -177,7 +177,7 @@
         PeerMessage::Preemption(preemption) => preempt_item(ctx, preemption),
         PeerMessage::Cell(reported) => cell::apply_status(ctx, addr, reported),
         PeerMessage::Suspects(reported) => suspects::apply_reports(ctx, &reported),
-        PeerMessage::SlotTransfer(hand) => ctx.waiting.handed(hand.target),
+        PeerMessage::SlotTransfer(transfer) => ctx.waiting.handed(transfer.target),
         PeerMessage::Limits(reported) => limits::take(ctx, addr, &reported),
         PeerMessage::Announcement(message) => ctx.distributor.receive(addr, message),
     }
@@ -190,7 +190,7 @@
     }
 }
 
-/// Takes in how a host is, from its own address or passed on by another.
+/// Applies a host's status, received from the host itself or relayed by another.
 fn apply_status(
     ctx: &Arc<Context>,
     addr: Option<SocketAddr>,
@@ -198,7 +198,7 @@
     contention: Option<messages::Contention>,
 ) {
     let host = status.host.clone();
-    // One of another cell divides the fleet differently for a moment.
+    // A host of another cell may send to this one while it uses another division.
     if host == ctx.host() || !is_own_cell_host(ctx, &host) {
         return;
     }
@@ -217,7 +217,7 @@
     if addr.is_some() && !update.is_local {
         ctx.peers.relay.enqueue(&host);
     }
-    // A target may fail callers of one data centre only.
+    // A target may fail for the callers of one data centre only.
     let failing = if update.is_local { failing } else { vec![] };
     let waits = ctx.items.peer_waits(&host, waiting);
     let runs = lock(&ctx.balancer).set_peer_loads(&host, loads, failing, Instant::now());
@@ -244,7 +244,8 @@
     }
 }
 
-/// Takes in what waits at a host. Those elsewhere tell too seldom for an order of requests.
+/// Applies the state of a host's wait queue. Remote hosts send it too rarely for ordering requests
+/// among hosts, so only its presence counts.
 fn apply_contention(
     ctx: &Context,
     host: &str,
@@ -261,7 +262,7 @@
     }
 }
 
-/// Returns whether a host is of this one's cell, as far as the list tells.
+/// Returns whether a host is in this one's cell, according to the host list.
 fn is_own_cell_host(ctx: &Context, host: &str) -> bool {
     let cells = ctx.peers.cell_state.cells();
     if !cells.is_divided() {
@@ -287,22 +288,22 @@
     }
 }
 
-/// What a status says of its sender.
+/// What a status says about its sender.
 struct StatusUpdate {
-    /// Where the host is.
+    /// The address of the host.
     addr: SocketAddr,
-    /// Whether the host was not alive before, or has started again since.
+    /// Whether the host was not alive before, or has restarted since.
     is_new: bool,
-    /// Whether it stands in this host's data centre.
+    /// Whether it is in this host's data centre.
     is_local: bool,
-    /// Where it stands, if that is known.
+    /// Its data centre, if known.
     data_centre: Option<DataCentreId>,
-    /// Whether it has been ahead of this host for long enough to be asked.
+    /// Whether it has been ahead of this host for long enough to request changes from it.
     is_request_due: bool,
 }
 
-/// Notes a status; returns nothing if a newer one came before, or if it was
-/// passed on and nobody knows yet where its host is.
+/// Records a status. Returns `None` if a newer one was received before, or if a relayed status is
+/// of a host whose address is unknown.
 fn record_status(
     ctx: &Context,
     addr: Option<SocketAddr>,
@@ -319,7 +320,7 @@
     };
     let order = (status.incarnation, status.number);
     let is_newer = order > (peer.status.incarnation, peer.status.number);
-    // A host whose clock was set back starts with a lower number than before.
+    // A host whose clock was set back restarts with a lower incarnation than before.
     let is_other_start = status.incarnation != peer.status.incarnation;
     let is_restarted = is_other_start && !peer.is_alive;
     if !is_newer && !is_restarted {
@@ -341,13 +342,13 @@
     };
     peer.ahead_since = ahead_since;
     peer.status = status;
-    let is_long = ahead_since.is_some_and(|since| now.duration_since(since) >= AHEAD_GRACE);
+    let is_overdue = ahead_since.is_some_and(|since| now.duration_since(since) >= AHEAD_GRACE);
     Some(StatusUpdate {
-        // One that is back before anybody missed it has forgotten all the same.
+        // A host that restarts before its failure is detected has lost its state as well.
         is_new: !std::mem::replace(&mut peer.is_alive, true) || is_other_start,
         addr: peer.addr,
         is_local: relay::is_local(ctx, peer),
         data_centre: peer.data_centre.clone(),
-        is_request_due: is_ahead && (is_long || !ctx.store.is_up()),
+        is_request_due: is_ahead && (is_overdue || !ctx.store.is_up()),
     })
 }
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -1,13 +1,13 @@
-//! What hosts tell one another of requests under which targets crash.
+//! Exchange of reports on requests under which targets crash.
 //!
-//! A change is told at once to all hosts, also of other cells: each may be the next to
-//! get the request. Datagrams get lost, so a crash is told twice. Hosts start anew or are
-//! cut off, so each host also tells two others drawn at random what is worth it, twice a
-//! second; hosts that were never reached by the first word have it within a second or
-//! two. A host that starts asks one that runs, since the next request may be one that is
-//! blamed, and the store, where these are written down, may be away. Nothing is sent
-//! while nothing is suspected. Passing each word on at once was
-//! rejected: it multiplies a message that nearly always arrives.
+//! Changes are sent immediately to all hosts, also of other cells, since any of them may receive
+//! the next such request. As datagrams get lost, a crash is sent twice. Hosts restart or are
+//! partitioned, so each host also sends its relevant reports to two random hosts twice a second,
+//! which reaches a host that missed the first message within a second or two. A starting host
+//! requests the reports from a running one, since the next request may be one that is blamed and
+//! the store, where blamed requests are recorded, may be unavailable. Nothing is sent while nothing
+//! is suspected. Relaying each message immediately was rejected: it multiplies a message that
+//! nearly always arrives.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,16 +34,16 @@
 use crate::quarantine;
 use crate::sync::lock;
 
-/// Time between two peers that a host asks when it starts, and before the first: the
-/// store answers sooner, if it does.
+/// Delay before a starting host's first request to a peer and between further ones: if the store is
+/// available, it responds sooner.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for a peer's answer: many times the way between data centres.
+/// Timeout of a request: many times the latency between data centres.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after its start for which a host holds requests back until it knows what was
-/// blamed: three beats of a peer, whose first one may be lost.
+/// Maximum time after its start for which a host holds back requests until it knows which ones are
+/// blamed: three heartbeats of a peer, the first of which may be lost.
 const CATCH_UP_MAX: Duration = Duration::from_millis(1_000);
 
-/// Tells all hosts what changes, until the host stops.
+/// Sends changes to all hosts, until the host stops.
 pub(crate) async fn broadcast_changes(ctx: Arc<Context>) {
     let gate = Arc::clone(&ctx.suspects.gate);
     send_changes(gate, move |reports| send_to_all(&ctx, reports)).await;
@@ -57,12 +57,12 @@
     send(ctx, std::slice::from_ref(reports), &addrs);
 }
 
-/// Tells a host that was not there before what is worth it.
+/// Sends the relevant reports to a host that was not alive before.
 pub(super) fn send_to_new_host(ctx: &Context, addr: SocketAddr) {
     send(ctx, &ctx.suspects.gate.periodic_reports(), &[addr]);
 }
 
-/// Tells others again until the host stops.
+/// Sends the relevant reports periodically to random hosts, until the host stops.
 pub(super) async fn send_periodic_reports(ctx: Arc<Context>) {
     let mut ticks = ctx.timer.subscribe(REPORT_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
@@ -92,15 +92,15 @@
             suspects,
         }));
         for addr in addrs {
-            // Lost, it is told again.
+            // If this is lost, a later report replaces it.
             let _ = socket.try_send_to(&bytes, *addr);
             ctx.metrics.count(Counted::Datagrams, "suspects");
         }
     }
 }
 
-/// Returns what is known here, for a host that starts; nothing if this one has just
-/// started itself.
+/// Returns the reports known to this host, for a starting host; `None` if this host has not yet
+/// received them itself.
 pub(super) fn snapshot(ctx: &Context) -> Option<Vec<u8>> {
     if !ctx.startup.is_ready(Dependency::Suspects) {
         return None;
@@ -110,16 +110,19 @@
     Some(postcard::to_stdvec(&suspects).expect("Suspects are representable."))
 }
 
-/// Asks peers until it is known, from them or from the store, what was blamed before this
-/// host started.
+/// Requests reports from peers until those from before this host's start are known, from a peer or
+/// from the store.
 pub(crate) async fn catch_up(ctx: Arc<Context>) {
     while !ctx.startup.is_ready(Dependency::Suspects) && ctx.phase() < Phase::Leaving {
         if ctx.startup.uptime() > CATCH_UP_MAX {
-            // Nobody is there to tell: holding all requests back would be worse.
-            slog::warn!(ctx.logger, "nobody could tell what was blamed");
+            // No peer responds; holding back all requests would be worse.
+            slog::warn!(
+                ctx.logger,
+                "no peer provided the blamed requests; starting without them"
+            );
             return ctx.startup.mark_ready(Dependency::Suspects, "nobody");
         }
-        // One without routes has just started itself.
+        // A peer without routes has just started itself.
         if let Some((host, addr)) = bootstrap::random_peer(&ctx, |p| p.status.config > 0) {
             request_reports(&ctx, &host, addr).await;
         }
@@ -129,7 +132,7 @@
 
 async fn request_reports(ctx: &Arc<Context>, host: &HostId, addr: SocketAddr) {
     let response = rpc::call(addr, rpc::SUSPECTS, Bytes::new(), REQUEST_TIMEOUT).await;
-    // One that has just started, or that is gone; another is asked next.
+    // The peer has just started or failed; another one is called next.
     let Ok(bytes) = response else {
         return ctx
             .metrics
@@ -142,12 +145,12 @@
             }
             ctx.startup.mark_ready(Dependency::Suspects, host);
         }
-        Err(err) => slog::error!(ctx.logger, "unreadable answer of a peer";
+        Err(err) => slog::error!(ctx.logger, "invalid response from peer";
             "addr" => addr.to_string(), "error" => err.to_string()),
     }
 }
 
-/// Takes in what a host tells.
+/// Applies reports received from a host.
 pub(super) fn apply_reports(ctx: &Arc<Context>, reports: &messages::Suspects) {
     for suspect in &reports.suspects {
         quarantine::take(ctx, &reports.host, &decode(suspect));
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -1,8 +1,8 @@
-//! What the gateway needs of an adapter.
+//! Interface between the gateway and an adapter.
 //!
-//! Each port is a plain struct of closures, so that an adapter and a test fill
-//! it alike. Requests and answers pass through as they are: the gateway reads
-//! neither their bodies nor headers of the adapter's protocol.
+//! Each port is a plain struct of closures, so that adapters and tests implement it in the same
+//! way. Requests and responses are passed through unchanged: the gateway reads neither their bodies
+//! nor the headers of the adapter's protocol.
 
 use std::fmt;
 use std::io;
@@ -25,23 +25,23 @@
 
 use crate::RequestId;
 
-/// The body of an answer; an error in it means that the answer is not whole.
+/// The body of a response. An error means that the response is incomplete.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A request as its caller sent it.
+/// A request as received from its caller.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
-    /// The request's name.
+    /// The ID of the request.
     pub id: RequestId,
     /// The method.
     pub method: Method,
     /// The path with its query.
     pub path: String,
-    /// Headers that concern the whole way to the target.
+    /// End-to-end headers, which are forwarded to the target.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// The workspace that sent it, where workspaces are told apart.
+    /// The workspace of the caller, if workspaces are configured.
     pub workspace: Option<WorkspaceName>,
 }
 
@@ -50,25 +50,25 @@
 pub struct Call {
     /// The request.
     pub request: Arc<ForwardedRequest>,
-    /// The target's incarnation; another one at the address must not run it.
+    /// The target's incarnation. Another incarnation at the address must not run the request.
     pub target: TargetId,
-    /// Where the target answers.
+    /// The address of the target.
     pub addr: SocketAddr,
-    /// Time that the caller still waits.
+    /// Time remaining until the caller's deadline.
     pub remaining: Duration,
-    /// The number of the last event that is here already.
+    /// The number of the last event that has been received already.
     pub resume_after: Option<u64>,
 }
 
-/// A target's answer.
+/// A target's response.
 pub struct Reply {
     /// Its status.
     pub status: StatusCode,
-    /// Its headers that concern the whole way to the caller.
+    /// Its end-to-end headers, which are forwarded to the caller.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Body,
-    /// Whether the target has signed it; only then a success is one.
+    /// Whether the target has signed it. An unsigned response does not count as success.
     pub is_signed: bool,
 }
 
@@ -81,20 +81,20 @@
     }
 }
 
-/// Why a target gave no answer.
+/// Why there is no response from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoReply {
-    /// No byte of the request can have reached it.
+    /// No byte of the request can have reached the target.
     NotSent(&'static str),
-    /// It says that it ran nothing of the request, since it is full or late.
+    /// The target reports that it ran nothing, since it is full or the deadline is too near.
     Full,
-    /// It says that it ran nothing of the request, for a fault of the request.
+    /// The target reports that it ran nothing, since the request is invalid.
     Rejected(StatusCode),
-    /// Another incarnation answers at the address; it ran nothing.
+    /// Another incarnation responded at the address; it ran nothing.
     OtherTarget,
-    /// Its connection broke before an answer; it may have run the request.
+    /// The connection broke before a response; the target may have run the request.
     Broken,
-    /// It may have run the request, or runs it still.
+    /// The target may have run the request, or may still be running it.
     Unknown(&'static str),
 }
 
@@ -104,7 +104,7 @@
         matches!(self, Self::Broken | Self::Unknown(_))
     }
 
-    /// Returns the reason in a word or two.
+    /// Returns a short description of the reason.
     pub fn reason(self) -> &'static str {
         match self {
             Self::NotSent(reason) | Self::Unknown(reason) => reason,
@@ -116,48 +116,48 @@
     }
 }
 
-/// Whether anybody listens at a target's address.
+/// Whether a process listens at a target's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
     /// Connections are accepted.
     Listening,
-    /// Connections are refused: its process has ended.
+    /// Connections are refused: the process has ended.
     Gone,
-    /// Nothing came back in time: the way there or its machine may be at fault.
+    /// There was no response in time: the network or the machine may have failed.
     Silent,
 }
 
-/// Targets.
+/// Operations on targets.
 #[derive(Clone)]
 pub struct Targets {
-    /// Looks whether anybody listens at an address.
+    /// Checks whether a process listens at an address.
     pub probe: Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Presence> + Send + Sync>,
-    /// Sends a request and returns the head of the answer. Dropping the future
-    /// or the body of the answer makes the target stop.
+    /// Sends a request and returns the head of the response. Dropping the future or the body of the
+    /// response cancels the request at the target.
     pub call: Arc<dyn Fn(Call) -> BoxFuture<'static, Result<Reply, NoReply>> + Send + Sync>,
 }
 
-/// A topic of the store. Records have keys, and the newest record of each key
-/// is kept for good.
+/// A topic of the store. Records have keys, and the newest record of each key is retained
+/// indefinitely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
     /// The configuration, written by operators.
     Config,
-    /// Targets, written by themselves.
+    /// Targets, written by the targets themselves.
     Targets,
-    /// Hosts of this system.
+    /// The list of the fleet's hosts.
     Hosts,
     /// Records of jobs.
     Jobs,
-    /// What items say.
+    /// The bodies of items.
     Payloads,
-    /// What items led to.
+    /// The results of items.
     Results,
-    /// How far unfinished items have got.
+    /// The progress of unfinished items.
     Progress,
     /// Requests that are blamed for crashes of targets.
     Blamed,
-    /// When holders of limits last began with the allowance.
+    /// When holders of rate limits last requested the initial allowance.
     Limits,
 }
 
@@ -166,12 +166,12 @@
 pub struct Entry {
     /// The key.
     pub key: String,
-    /// The value; nothing drops the key.
+    /// The value; `None` deletes the key.
     pub value: Option<Bytes>,
 }
 
 impl Entry {
-    /// Returns a record that drops a key.
+    /// Returns a record that deletes a key.
     pub fn tombstone(key: String) -> Self {
         Self { key, value: None }
     }
@@ -180,13 +180,13 @@
 /// A record that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// Its place in the partition.
+    /// Its offset in the partition.
     pub offset: u64,
     /// The record.
     pub entry: Entry,
 }
 
-/// Records read from a place on.
+/// Records read from an offset on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tail {
     /// The offset that follows the newest record of the partition.
@@ -195,7 +195,7 @@
     pub records: Vec<StoredRecord>,
 }
 
-/// Newest records of keys.
+/// A page of the newest records, ordered by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     /// The offset that follows the newest record of the partition.
@@ -206,7 +206,7 @@
     pub has_more: bool,
 }
 
-/// What to read.
+/// Arguments of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Read {
     /// The topic.
@@ -215,26 +215,26 @@
     pub part: u32,
     /// The first offset.
     pub from: u64,
-    /// Bytes to read at most; at least one record is read.
+    /// Maximum number of bytes to read; at least one record is returned.
     pub bytes_max: u64,
-    /// Time to wait if there is no record yet.
+    /// Maximum time to wait if there is no record yet.
     pub wait: Duration,
 }
 
-/// Why a call of the store failed.
+/// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// The store did nothing: it said so, or was not reached. The fault is no
-    /// older than the call.
+    /// The store did nothing: it refused the call or was not reached. The cause is not older than
+    /// the call.
     Refused(&'static str),
-    /// The store did nothing, since it is asked too often.
+    /// The store did nothing, since calls are too frequent.
     Throttled,
-    /// The store may have done it, or may do it yet. The call may have been
-    /// lost with a connection that had been silent for long.
+    /// The store may have executed the call, or may still execute it. The cause may be older than
+    /// the call, such as a connection that had failed unnoticed.
     Unknown(&'static str),
-    /// The records asked for are gone; later ones remain.
+    /// The requested records have expired; later ones are retained.
     Expired,
-    /// The store has no room.
+    /// The store is out of space.
     NoRoom,
 }
 
@@ -243,34 +243,34 @@
         match self {
             Self::Refused(why) => write!(f, "refused: {why}"),
             Self::Throttled => f.write_str("refused: too many calls"),
-            Self::Unknown(why) => write!(f, "no answer: {why}"),
-            Self::Expired => f.write_str("the records are gone"),
-            Self::NoRoom => f.write_str("the store is full"),
+            Self::Unknown(why) => write!(f, "no response: {why}"),
+            Self::Expired => f.write_str("the records have expired"),
+            Self::NoRoom => f.write_str("the store is out of space"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// What a call of the store leads to.
+/// The result of a call to the store.
 pub type StoreFuture<T> = BoxFuture<'static, Result<T, StoreError>>;
-/// Appends records to a partition, all or none; returns the first offset.
+/// Appends records to a partition atomically; returns the first offset.
 pub type Append = dyn Fn(Topic, u32, Vec<Entry>) -> StoreFuture<u64> + Send + Sync;
-/// Reads records in their order.
+/// Reads records in order of their offsets.
 pub type ReadRecords = dyn Fn(Read) -> StoreFuture<Tail> + Send + Sync;
-/// Reads the newest record of each key that follows another.
+/// Reads the newest record of each key after the given one, in order of keys.
 pub type ReadNewest = dyn Fn(Topic, u32, Option<String>) -> StoreFuture<Page> + Send + Sync;
 
 /// A store of ordered topics.
 ///
-/// An adapter that keeps connections gives up all idle ones when a call fails:
-/// how long a missing entry may be believed in rests on a call that follows a
-/// failure not using a connection that was idle before it.
+/// An adapter that pools connections closes all idle ones when a call fails: the time for which
+/// the gateway retains a target whose entry is missing assumes that a call after a failure does
+/// not use a connection that was idle before it.
 #[derive(Clone)]
 pub struct Store {
     /// Appends records.
     pub append: Arc<Append>,
-    /// Reads records in their order.
+    /// Reads records in order of their offsets.
     pub read: Arc<ReadRecords>,
     /// Reads newest records by key.
     pub newest: Arc<ReadNewest>,
@@ -278,55 +278,54 @@
 
 /// Returns the data centre that the record with this key evacuates; `None` for other records.
 pub type DecodeEvacuation = fn(&str) -> Option<&str>;
-/// Reads a configuration's record; nothing if the key is that of another.
+/// Decodes a configuration record; returns `None` if the key is not that of a configuration.
 pub type DecodeConfig = fn(key: &str, value: &[u8]) -> Option<Result<Table, DecodeError>>;
-/// Reads a target's record.
+/// Decodes a target's record.
 pub type DecodeTarget = fn(value: &[u8]) -> Result<Spec, DecodeError>;
 
-/// Reads what an item's headers tell of its size; what they do not tell, or not
-/// in a way that can be read, is zero.
+/// Reads an item's size from its headers. Values that are absent or invalid are zero.
 pub type DecodeSize = fn(headers: &HeaderMap) -> Size;
 
-/// Reads who calls from a request's headers; nothing where callers are not told
-/// apart.
+/// Reads the identity of the caller from a request's headers; empty if callers cannot be
+/// identified.
 pub type DecodeCaller = fn(headers: &HeaderMap) -> &[u8];
 
-/// Reads the key that a request presents.
+/// Reads the API key from a request's headers.
 pub type DecodeKey = fn(headers: &HeaderMap) -> Result<&str, KeyError>;
 
-/// Takes out of a request's headers whatever its caller said about itself, and tells
-/// the workspace, if there is one, in its place.
+/// Removes all headers by which the caller identifies itself, and adds the workspace, if there is
+/// one.
 pub type SetWorkspace = fn(headers: &mut HeaderMap, workspace: Option<&str>);
 
-/// What records, requests and items mean.
+/// Decoders of records and headers.
 #[derive(Clone, Copy)]
 pub struct Decode {
-    /// Reads a configuration.
+    /// Decodes a configuration.
     pub config: DecodeConfig,
     /// Returns the data centre that a record of the configuration topic evacuates.
     pub evacuation: DecodeEvacuation,
-    /// Reads a target's record.
+    /// Decodes a target's record.
     pub target: DecodeTarget,
     /// Reads an item's size.
     pub size: DecodeSize,
-    /// Reads who calls, where workspaces are not told.
+    /// Reads the identity of the caller if no workspaces are configured.
     pub caller: DecodeCaller,
-    /// Reads the key that a request presents.
+    /// Reads the API key of a request.
     pub key: DecodeKey,
-    /// Tells targets the workspace.
+    /// Sets the workspace in the headers of a request to a target.
     pub set_workspace: SetWorkspace,
 }
 
-/// A record that does not say what it should.
+/// A record could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodeError {
-    /// What is wrong, with the place in the record.
+    /// What is invalid, and where in the record.
     pub detail: String,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "unreadable record: {}", self.detail)
+        write!(f, "invalid record: {}", self.detail)
     }
 }
 
@@ -339,6 +338,6 @@
     pub store: Store,
     /// Targets.
     pub targets: Targets,
-    /// The meaning of records.
+    /// Decoders of records and headers.
     pub decode: Decode,
 }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -171,7 +171,7 @@
         let forward_to = std::mem::take(&mut message.forward_to);
         self.forward(links, &forward_to, &message);
         let now = Instant::now();
-        let read = self.record_announcement(&message, now);
+        let reading = self.record_announcement(&message, now);
         let announced = Missing {
             versions: Versions {
                 config: message.config,
@@ -184,11 +184,11 @@
         if self
             .deps
             .catalog
-            .apply_peer_targets(message.targets, read, now)
+            .apply_peer_targets(message.targets, reading, now)
         {
             (links.targets_changed)();
         }
-        if let Some(as_of) = read.config_as_of {
+        if let Some(as_of) = reading.config_as_of {
             self.deps
                 .catalog
                 .record_peer_confirmation(message.config, as_of);
@@ -207,9 +207,9 @@
             .delays
             .retain(|(host, start)| *host != sender.0 || *start == sender.1);
         let delay = state.delays.observe(sender, message.sent_ms, now_ms);
-        let read = PeerReading::from_peer(&message.reading, delay, now);
-        if !read.is_store_serving() || delay >= self.timeouts.takeover_after {
-            return read;
+        let reading = PeerReading::from_peer(&message.reading, delay, now);
+        if !reading.is_store_serving() || delay >= self.timeouts.takeover_after {
+            return reading;
         }
         let last_received = now - delay;
         state.last_received = state.last_received.max(last_received);
@@ -217,16 +217,16 @@
             state.last_received_ranked_before =
                 state.last_received_ranked_before.max(last_received);
         }
-        read
+        reading
     }
 
     fn forward(&self, links: &Links, addrs: &[SocketAddr], message: &Announcement) {
         for branch in tree::split(addrs, tree::FANOUT) {
-            let message = PeerMessage::Announcement(Announcement {
+            let datagram = PeerMessage::Announcement(Announcement {
                 forward_to: branch.forward_to,
                 ..message.clone()
             });
-            (links.send)(branch.receiver, &message);
+            (links.send)(branch.receiver, &datagram);
             self.deps.metrics.count(Counted::Datagrams, "told on");
         }
     }
--- a/crates/gateway/src/spread/catching_up.rs
+++ b/crates/gateway/src/spread/catching_up.rs
@@ -134,8 +134,8 @@
         };
         (links.apply)(operator_records, response.hosts).await;
         // Ages are relative to the time of the response, which is no earlier than the request.
-        let read = PeerReading::from_peer(&response.reading, Duration::ZERO, requested_at);
-        if catalog.apply_peer_targets(response.targets, read, Instant::now()) {
+        let reading = PeerReading::from_peer(&response.reading, Duration::ZERO, requested_at);
+        if catalog.apply_peer_targets(response.targets, reading, Instant::now()) {
             (links.targets_changed)();
         }
         is_config || catalog.targets_position() != targets || (links.hosts_end)() > hosts_from
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,7 +1,7 @@
-//! Calls of the store, counted, timed and watched.
+//! Calls to the store, with metrics and tracking of its availability.
 //!
-//! Whether the store answers is a belief of the host that others depend on:
-//! who takes over jobs, and whether a target's missing entry means anything.
+//! The availability of the store decides whether jobs are taken over, and whether a missing entry
+//! means that its target is gone.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,10 +26,10 @@
 use crate::sync::lock;
 use crate::time::millis;
 
-/// Failures in a row after which the store counts as lost.
+/// Consecutive failures after which the store counts as unavailable.
 const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
 
-/// The store, with what is known of its health.
+/// The store and its availability.
 #[derive(Clone)]
 pub(crate) struct Store {
     port: ports::Store,
@@ -43,24 +43,24 @@
     failures: u32,
     unavailable_since: Option<Instant>,
     recovered_at: Option<Instant>,
-    /// How all calls have gone.
+    /// Outcomes of all calls.
     calls: Availability,
-    /// How those have that read the entries of targets.
+    /// Outcomes of calls that read target entries.
     target_reads: Availability,
 }
 
 /// The newest record of each key.
 #[derive(Debug)]
 pub(crate) struct Listing {
-    /// The offset from which later records are to be read.
+    /// The offset from which to read later records.
     pub(crate) end: u64,
-    /// The records in their order; some may be newer than the end.
+    /// The records in order of their offsets; some may be newer than the end.
     pub(crate) records: Vec<StoredRecord>,
 }
 
 impl Listing {
-    /// Returns the records that stood before the end, for a reader that takes
-    /// in each record once and goes on from there.
+    /// Returns the records before the end, for a reader that continues from there and must apply
+    /// each record only once.
     pub(crate) fn before_end(mut self) -> Vec<StoredRecord> {
         self.records.retain(|r| r.offset < self.end);
         self.records
@@ -77,19 +77,19 @@
         }
     }
 
-    /// Returns whether the store answers, as far as known.
+    /// Returns whether the store is considered available.
     pub(crate) fn is_up(&self) -> bool {
         lock(&self.health).unavailable_since.is_none()
     }
 
-    /// Returns whether the store answers and has done so for a time.
+    /// Returns whether the store has been available for at least `time`.
     pub(crate) fn has_been_up_for(&self, time: Duration) -> bool {
         let health = lock(&self.health);
         let is_settled = health.recovered_at.is_none_or(|at| at.elapsed() >= time);
         health.unavailable_since.is_none() && is_settled
     }
 
-    /// Returns what is known for the judgement of targets' missing entries.
+    /// Returns the evidence for deciding whether a target with a missing entry is gone.
     pub(crate) fn evidence(&self) -> Evidence {
         let health = lock(&self.health);
         Evidence {
@@ -130,9 +130,9 @@
         res
     }
 
-    /// Returns the newest record of each key. Pages are no snapshot: a record
-    /// that was written while they were read has the listing's end as offset or
-    /// a later one, and whoever goes on reading from the end reads it again.
+    /// Returns the newest record of each key. The pages are not a consistent snapshot: a record
+    /// written while they are read has an offset at or after the listing's end, and is read again
+    /// by callers that continue from the end.
     pub(crate) async fn all_newest(&self, topic: Topic, part: u32) -> Result<Listing, StoreError> {
         let mut page = self.newest(topic, part, None).await?;
         let end = page.end;
@@ -175,7 +175,8 @@
             Some(StoreError::Unknown(_)) => Failure::Lost,
             Some(StoreError::Throttled | StoreError::NoRoom) => Failure::Throttled,
         };
-        // When a call was begun says what its failure is evidence of.
+        // `took_ms` shows when the call started: a failure is evidence only for the time since
+        // then.
         slog::warn!(self.logger, "store call failed"; "call" => call, "topic" => ?topic,
             "error" => err.map(ToString::to_string), "took_ms" => millis(duration));
         self.record_failure(topic, started_at, now, failure);
@@ -191,7 +192,7 @@
         if let Some(since) = health.unavailable_since.take() {
             health.recovered_at = Some(now);
             drop(health);
-            slog::info!(self.logger, "store regained"; "lost_ms" => millis(now - since));
+            slog::info!(self.logger, "store available again"; "lost_ms" => millis(now - since));
         }
     }
 
@@ -213,7 +214,7 @@
         health.unavailable_since = Some(now);
         drop(health);
         self.metrics.count(Counted::Changes, "store lost");
-        slog::warn!(self.logger, "store lost";
+        slog::warn!(self.logger, "store unavailable";
             "last_answer_ms_ago" => last_response.map(|at| millis(now - at)));
     }
 }
--- a/crates/gateway/src/time.rs
+++ b/crates/gateway/src/time.rs
@@ -1,4 +1,4 @@
-//! Times as settings, log lines and records have them, and random pauses.
+//! Conversion of times to and from milliseconds, and randomized delays.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 /// Returns the time of day in milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    // A clock before 1970 is wrong whatever is made of it; only order counts.
+    // With a clock before 1970, times are wrong anyway; only their order matters.
     since.map_or(0, millis)
 }
 
-/// Returns a time in whole milliseconds, as log lines have it.
+/// Returns a duration in whole milliseconds, saturating.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Sleeps for a random time, in milliseconds.
+/// Sleeps for a random time within a range in milliseconds.
 pub(crate) async fn sleep_random(range_ms: Range<u64>) {
-    let drawn = rand::rng().random_range(range_ms);
-    tokio::time::sleep(ms(drawn)).await;
+    let delay_ms = rand::rng().random_range(range_ms);
+    tokio::time::sleep(ms(delay_ms)).await;
 }
 
-/// Returns a setting as a time.
+/// Returns the duration of a setting in milliseconds.
 pub(crate) fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
-/// Pauses that double up to a maximum. Each is multiplied by a random factor around one, so
+/// Exponential backoff with a maximum. Each pause is multiplied by a random factor around one, so
 /// that hosts that failed together do not retry together.
 #[derive(Debug)]
 pub(crate) struct Backoff {
