--- a/crates/gateway/src/quarantine/look.rs
+++ b/crates/gateway/src/quarantine/look.rs
@@ -101,13 +101,13 @@
         return;
     }
     ctx.metrics.count(Counted::Changes, "target crashed");
-    let lifecycle = life_of(&ctx, &target);
+    let life = life_of(&ctx, &target);
     for broken in &broken {
-        note_crash(&ctx, broken, lifecycle);
+        note_crash(&ctx, broken, life);
     }
 }
 
-fn note_crash(ctx: &Arc<Context>, broken: &Broken, lifecycle: IncarnationId) {
+fn note_crash(ctx: &Arc<Context>, broken: &Broken, life: IncarnationId) {
     let Run {
         fingerprint,
         ran,
@@ -118,8 +118,8 @@
     let crash = Crash {
         // The list of targets may be old here: one that answered after the life that it
         // names had ended has started anew.
-        incarnation: answered_from.map_or(lifecycle, |from| {
-            gate.incarnation_of_run(fingerprint, lifecycle, from)
+        incarnation: answered_from.map_or(life, |from| {
+            gate.incarnation_of_run(fingerprint, life, from)
         }),
         run_time: ran,
         detected_at: broken.at,
--- a/crates/gateway/src/quarantine/saved.rs
+++ b/crates/gateway/src/quarantine/saved.rs
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Crash {
-    lifecycle: u64,
+    life: u64,
     ran_ms: u64,
     /// By the clock of the host that wrote it.
     at_unix_ms: u64,
@@ -62,7 +62,7 @@
     };
     let now_unix_ms = unix_ms();
     let crashes = told.crashes.iter().map(|crash| Crash {
-        lifecycle: crash.incarnation,
+        life: crash.incarnation,
         ran_ms: millis(crash.run_time),
         at_unix_ms: now_unix_ms.saturating_sub(millis(crash.age)),
     });
@@ -126,7 +126,7 @@
     };
     let now_unix_ms = unix_ms();
     let crashes = saved.crashes.iter().map(|crash| CrashReport {
-        incarnation: crash.lifecycle,
+        incarnation: crash.life,
         run_time: ms(crash.ran_ms),
         age: ms(now_unix_ms.saturating_sub(crash.at_unix_ms)),
     });
