--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -1,7 +1,6 @@
-//! A fleet in cells: who hears whom, and who looks after whose jobs.
+//! A fleet divided into cells: which hosts exchange messages, and which take over jobs.
 //!
-//! Data centres of three hosts stand for some of sixty: the settings say how many
-//! hosts make a cell.
+//! Data centres have three hosts instead of some sixty; the settings limit the size of a cell.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod world;
@@ -14,19 +13,19 @@
 use world::until;
 
 const DATA_CENTRES: usize = 4;
-/// Hosts of a data centre, and of a cell at most.
+/// Hosts per data centre, and maximum number per cell.
 const HOSTS: usize = 3;
 
-/// Starts a fleet whose data centres reach the store through doors of their own.
-async fn start_apart(world: &World, doors: &[ScriptedStore]) -> Vec<Running> {
+/// Starts a fleet with a separate store connection per data centre.
+async fn start_with_doors(world: &World, doors: &[ScriptedStore]) -> Vec<Running> {
     let mut hosts = Vec::new();
     for number in 0..DATA_CENTRES * HOSTS {
-        let place = number / HOSTS;
-        let name = format!("h{place}-{number}");
-        let started = world.start_apart(&name, doors[place].clone(), |settings| {
-            settings.host.data_centre = format!("d{place}");
+        let data_centre = number / HOSTS;
+        let name = format!("h{data_centre}-{number}");
+        let started = world.start_apart(&name, doors[data_centre].clone(), |settings| {
+            settings.host.data_centre = format!("d{data_centre}");
             settings.peers.cell_hosts_max = u32::try_from(HOSTS).unwrap();
-            // Items are held until all hosts have heard of them.
+            // Items must not time out before all hosts know of them.
             settings.batch.stall_ms = 10_000;
         });
         hosts.push(started.await);
@@ -34,7 +33,7 @@
     for host in &hosts {
         host.until_ready().await;
     }
-    until("hosts hear those of their cells, and no others", || {
+    until("hosts are connected to those of their cells only", || {
         hosts
             .iter()
             .all(|host| host.ctx().peers_alive() == HOSTS - 1)
@@ -48,15 +47,15 @@
 }
 
 async fn start(world: &World) -> Vec<Running> {
-    start_apart(world, &doors(world)).await
+    start_with_doors(world, &doors(world)).await
 }
 
 fn cell_of(host: &Running) -> &str {
     &host.ctx().settings.host.data_centre
 }
 
-/// Waits until another host than the one that took the job in owns it, as the first of
-/// the hosts knows: one that has no part in a job reads its records every two seconds.
+/// Waits until a host other than the one that accepted the job owns it. All hosts are checked,
+/// since one that is not involved in a job reads its records only every two seconds.
 async fn next_owner(hosts: &[Running]) -> String {
     let owner = || {
         hosts.iter().find_map(|host| {
@@ -69,19 +68,19 @@
     owner().unwrap()
 }
 
-fn assert_whole(results: &[ItemResult]) {
+fn assert_complete(results: &[ItemResult]) {
     for result in results {
         assert_eq!(result.text.as_ref().unwrap(), &item_text(&result.item));
     }
 }
 
 #[tokio::test]
-async fn a_job_is_done_once_and_read_at_every_cell() {
+async fn job_runs_once_and_is_readable_in_every_cell() {
     let world = World::new(&["t1", "t2"]);
     let hosts = start(&world).await;
     hosts[0].submit("j1", 4, 10).await.unwrap();
     for host in &hosts {
-        assert_whole(&host.results("j1", 4).await);
+        assert_complete(&host.results("j1", 4).await);
     }
     for item in 0..4 {
         assert_eq!(world.engines.runs(&format!("j1-{item}")).len(), 1);
@@ -89,8 +88,8 @@
 }
 
 #[tokio::test]
-async fn what_a_cell_runs_is_known_in_all_others() {
-    // Two places each, one of all of which stays free for online requests.
+async fn load_of_a_cell_is_known_in_all_others() {
+    // Two slots each, one of which in total is reserved for online requests.
     let targets = ["t1", "t2"];
     let world = World::new(&targets);
     let hosts = start(&world).await;
@@ -106,11 +105,14 @@
     })
     .await;
     world.engines.go();
-    until("and their ends", || hosts.iter().all(|h| items(h) == 0)).await;
+    until("every host knows that both ended", || {
+        hosts.iter().all(|h| items(h) == 0)
+    })
+    .await;
 }
 
 #[tokio::test]
-async fn a_dead_host_s_job_is_taken_over_in_its_cell() {
+async fn job_of_a_failed_host_is_taken_over_in_its_cell() {
     let world = World::new(&["t1"]);
     let mut hosts = start(&world).await;
     world.engines.hold();
@@ -121,45 +123,45 @@
     assert!(owner.starts_with("h0-"), "{owner}");
     world.engines.go();
     let reader = hosts.last().unwrap();
-    assert_whole(&reader.results("j1", 1).await);
+    assert_complete(&reader.results("j1", 1).await);
 }
 
 #[tokio::test]
-async fn the_jobs_of_a_cell_that_is_gone_are_taken_over_by_another() {
+async fn jobs_of_a_failed_cell_are_taken_over_by_another() {
     let world = World::new(&["t1"]);
     let hosts = start(&world).await;
     world.engines.hold();
     hosts[0].submit("j1", 1, 10).await.unwrap();
     until("it runs", || world.engines.active() == 1).await;
-    let (gone, left): (Vec<_>, Vec<_>) = hosts.into_iter().partition(|h| cell_of(h) == "d0");
-    gone.into_iter().for_each(Running::kill);
-    let owner = next_owner(&left).await;
+    let (failed, remaining): (Vec<_>, Vec<_>) = hosts.into_iter().partition(|h| cell_of(h) == "d0");
+    failed.into_iter().for_each(Running::kill);
+    let owner = next_owner(&remaining).await;
     assert!(!owner.starts_with("h0-"), "{owner}");
     world.engines.go();
-    assert_whole(&left[0].results("j1", 1).await);
+    assert_complete(&remaining[0].results("j1", 1).await);
 }
 
 #[tokio::test]
-async fn a_data_centre_that_the_store_turns_away_is_helped_by_others() {
+async fn data_centre_refused_by_the_store_is_served_by_others() {
     let world = World::new(&["t1"]);
     let doors = doors(&world);
-    let hosts = start_apart(&world, &doors).await;
-    until("hosts have heard those of other cells", || {
-        let heard = hosts.iter().map(|h| h.ctx().peers_with_store());
-        heard.min() >= Some(2 * HOSTS)
+    let hosts = start_with_doors(&world, &doors).await;
+    until("hosts know those of other cells", || {
+        let with_store = hosts.iter().map(|h| h.ctx().peers_with_store());
+        with_store.min() >= Some(2 * HOSTS)
     })
     .await;
     doors[0].close(true);
-    until("the store is lost", || {
+    until("the store is unavailable", || {
         hosts[..HOSTS].iter().all(|h| !h.ctx().is_store_up())
     })
     .await;
     world.configure(5, true);
-    until("the routes came from another cell", || {
+    until("the routes are received from another cell", || {
         let tables = hosts[..HOSTS].iter().map(|h| h.ctx().table().unwrap());
         tables.into_iter().all(|table| table.version() == 5)
     })
     .await;
     hosts[0].submit("j1", 2, 10).await.unwrap();
-    assert_whole(&hosts[1].results("j1", 2).await);
+    assert_complete(&hosts[1].results("j1", 2).await);
 }
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -1,7 +1,7 @@
 //! Hosts that cannot read the host list discover one another through seeds.
 //!
 //! Guards against hosts that do not know one another when the store becomes unavailable at
-//! a fleet's first start: each of three hosts then found out for itself which request
+//! a fleet's first start: each of three hosts then determined by itself which request
 //! crashes targets, and nine targets crashed where six may.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
@@ -35,9 +35,9 @@
 }
 
 async fn until_all_connected(hosts: &[Running]) {
-    until("each host hears all others", || {
-        let mut hosts_heard = hosts.iter().map(|host| host.ctx().peers_alive());
-        hosts_heard.all(|heard| heard == hosts.len() - 1)
+    until("each host is connected to all others", || {
+        let mut peers_alive = hosts.iter().map(|host| host.ctx().peers_alive());
+        peers_alive.all(|alive| alive == hosts.len() - 1)
     })
     .await;
 }
@@ -80,7 +80,7 @@
     })
     .await;
     hosts.pop().unwrap().kill();
-    until("the other's end is noticed", || {
+    until("the other's failure is detected", || {
         hosts[0].ctx().peers_alive() == 0
     })
     .await;
@@ -103,8 +103,8 @@
     );
     socket.write_all(head.as_bytes()).await.unwrap();
     socket.write_all(body).await.unwrap();
-    let mut answer = Vec::new();
-    socket.read_to_end(&mut answer).await.unwrap();
-    assert!(answer.starts_with(b"HTTP/1.1 400 "), "{answer:?}");
+    let mut response = Vec::new();
+    socket.read_to_end(&mut response).await.unwrap();
+    assert!(response.starts_with(b"HTTP/1.1 400 "), "{response:?}");
     assert_eq!(host.ctx().peers_listed(), 0);
 }
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -34,11 +34,11 @@
 
 /// Sends ten requests and returns the distinct targets that ran them.
 async fn targets_used(world: &World, host: &Running, name: &str) -> Vec<String> {
-    let mut ran = Vec::new();
+    let mut targets = Vec::new();
     for number in 0..10 {
         let id = format!("{name}-{number}");
         host.ask(world::ONCE, &id).await.unwrap();
-        ran.extend(
+        targets.extend(
             world
                 .engines
                 .runs(&id)
@@ -46,9 +46,9 @@
                 .map(|(target, _)| target),
         );
     }
-    ran.sort();
-    ran.dedup();
-    ran
+    targets.sort();
+    targets.dedup();
+    targets
 }
 
 #[tokio::test]
@@ -123,12 +123,12 @@
 #[tokio::test]
 async fn host_without_store_access_learns_of_evacuation_from_peer() {
     let world = world();
-    let (cut, door, _open) = start_with_a_door(&world).await;
-    close(&cut, &door).await;
+    let (partitioned, door, _connected) = start_with_a_door(&world).await;
+    close(&partitioned, &door).await;
     world.store.set_evacuated("d", true);
-    until_evacuated(&cut, 1).await;
+    until_evacuated(&partitioned, 1).await;
     world.store.set_evacuated("d", false);
-    until_evacuated(&cut, 0).await;
+    until_evacuated(&partitioned, 0).await;
 }
 
 #[tokio::test]
@@ -144,16 +144,16 @@
         world.engines.go();
         refused
     };
-    let (answered, refused) = futures_util::future::join(running, refused).await;
+    let (response, refused) = futures_util::future::join(running, refused).await;
     assert!(matches!(refused, Failure::NotRun { .. }), "{refused:?}");
-    answered.unwrap();
+    response.unwrap();
     world.store.put_target("t1", "up");
     until("the target is no longer cold", || {
         host.ctx().targets_read_to() == 2
     })
     .await;
     let requests = [host.ask(world::ONCE, "r3"), host.ask(world::ONCE, "r4")];
-    for answered in futures_util::future::join_all(requests).await {
-        answered.unwrap();
+    for response in futures_util::future::join_all(requests).await {
+        response.unwrap();
     }
 }
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -1,15 +1,11 @@
-//! Reading jobs whose records are older than the store's history.
+//! Reading jobs after the store has expired all but the newest record of each key.
 //!
-//! What users saw: on a fleet of 295 hosts, jobs that had been accepted and done could
-//! not be read at the end of the day. Order of events: some 300 jobs were accepted and
-//! their items done within half a minute; twenty seconds later the store dropped its
-//! history, which leaves the newest record of each key; callers then read all jobs from
-//! the start. Cause: a result that is not found at its place any more is found by its
-//! key, and the store answers with that key and all that follow it in the partition, up
-//! to 500 records or 1 MB. Each result cost such a page of its own, so reading a job of
-//! ten took ten, and the pages grew with all that the fleet had ever done: some 3,300
-//! pages of up to 1 MB against 80 MB a second that the store reads for all, and 700 ms
-//! that a call may take. Evidence: the calls and records that the tests count.
+//! Guards against completed jobs that cannot be read: a result that has expired at its offset
+//! is looked up by its key, and the store responds with a page of that key and all later ones,
+//! up to 500 records or 1 MB. With one page per result, reading a job of ten items took ten
+//! pages, which grew with all results of the fleet. After 300 jobs on 295 hosts that made some
+//! 3,300 pages of up to 1 MB, where the store reads 80 MB per second in total and a call times
+//! out after 700 ms. The tests count the calls and the records read.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod world;
@@ -23,16 +19,16 @@
 
 const JOBS: usize = 24;
 const ITEMS: u32 = 5;
-/// Keys of a page of the platform's store.
+/// Number of keys per page of the platform's store.
 const PAGE: usize = 500;
 
 fn name(job: usize) -> String {
     format!("job-{job}")
 }
 
-/// Returns a world in which jobs were done before the store dropped its history, and a
-/// host that started after that.
-async fn after_the_history(page: usize) -> (World, Running) {
+/// Returns a world in which jobs completed before older records expired, and a host that
+/// started after that.
+async fn world_with_expired_records(page: usize) -> (World, Running) {
     let world = World::new(&["t1", "t2", "t3"]);
     world.store.set_page(page);
     let first = world.start_ready("a1").await;
@@ -59,25 +55,25 @@
 }
 
 #[rstest]
-#[case::a_page_holds_all(PAGE)]
-#[case::pages_are_turned(2)]
+#[case::single_page(PAGE)]
+#[case::several_pages(2)]
 #[tokio::test]
-async fn jobs_are_read_whole_after_the_history(#[case] page: usize) {
-    let (_world, host) = after_the_history(page).await;
+async fn jobs_are_readable_after_records_expired(#[case] page: usize) {
+    let (_world, host) = world_with_expired_records(page).await;
     read_all(&host).await;
 }
 
 #[tokio::test]
-async fn a_job_s_results_are_read_together_after_the_history() {
-    let (world, host) = after_the_history(PAGE).await;
+async fn results_of_a_job_share_pages_after_records_expired() {
+    let (world, host) = world_with_expired_records(PAGE).await;
     read_all(&host).await;
     let pages = world.store.listings(Topic::Results);
     assert!(pages <= JOBS, "{pages} pages for {JOBS} jobs");
 }
 
 #[tokio::test]
-async fn reading_a_job_after_the_history_does_not_grow_with_all_other_jobs() {
-    let (world, host) = after_the_history(PAGE).await;
+async fn cost_of_reading_a_job_does_not_depend_on_other_jobs() {
+    let (world, host) = world_with_expired_records(PAGE).await;
     read_all(&host).await;
     let wanted = JOBS * ITEMS as usize;
     let listed = world.store.listed(Topic::Results);
@@ -85,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn bodies_are_read_after_the_history_for_what_they_hold() {
+async fn cost_of_reading_bodies_does_not_depend_on_other_bodies() {
     let world = World::new(&["t1"]);
     world.store.set_page(PAGE);
     let first = world.start_ready("a1").await;
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What a host makes of datagrams from peers, sent by hand.
+//! Handling of peers' datagrams, sent by the tests.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod world;
@@ -21,28 +21,28 @@
 use world::World;
 use world::until;
 
-/// Time between two words of a host without news.
-const BEAT: Duration = Duration::from_millis(20);
+/// Heartbeat interval of a host.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A peer that is nothing but its datagrams.
+/// A simulated peer that only sends datagrams.
 struct Peer {
     socket: UdpSocket,
     host: SocketAddr,
 }
 
 impl Peer {
-    async fn of(host: SocketAddr) -> Self {
+    async fn connect(host: SocketAddr) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         Self { socket, host }
     }
 
-    async fn says(&self, name: &str, incarnation: u64, number: u64, loads: &[(&str, u32)]) {
+    async fn send_status(&self, name: &str, incarnation: u64, number: u64, loads: &[(&str, u32)]) {
         let status = status(name, incarnation, number, loads);
-        self.sends(&PeerMessage::Status(status)).await;
+        self.send(&PeerMessage::Status(status)).await;
     }
 
-    async fn sends(&self, news: &PeerMessage) {
-        let bytes = messages::encode(news);
+    async fn send(&self, message: &PeerMessage) {
+        let bytes = messages::encode(message);
         self.socket.send_to(&bytes, self.host).await.unwrap();
     }
 }
@@ -64,75 +64,79 @@
 }
 
 #[tokio::test]
-async fn a_peer_whose_clock_was_set_back_before_it_started_again_is_heard() {
+async fn peer_that_restarts_after_its_clock_was_set_back_is_detected() {
     let world = World::new(&["t1"]);
     let host = world.start_ready("a1").await;
-    let peer = Peer::of(host.ctx().settings.host.peer_listen).await;
-    peer.says("b1", 1_000, 50, &[]).await;
-    until("the peer is heard", || host.ctx().peers_alive() == 1).await;
-    until("its silence is noticed", || host.ctx().peers_alive() == 0).await;
-    // It starts again, two seconds earlier by its clock.
-    peer.says("b1", 500, 1, &[("t1", 2)]).await;
-    until("the peer is heard again", || host.ctx().peers_alive() == 1).await;
+    let peer = Peer::connect(host.ctx().settings.host.peer_listen).await;
+    peer.send_status("b1", 1_000, 50, &[]).await;
+    until("the peer is alive", || host.ctx().peers_alive() == 1).await;
+    until("its failure is detected", || host.ctx().peers_alive() == 0).await;
+    // It restarts with an earlier time of day.
+    peer.send_status("b1", 500, 1, &[("t1", 2)]).await;
+    until("the peer is alive again", || host.ctx().peers_alive() == 1).await;
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
 #[tokio::test]
-async fn old_news_of_a_peer_that_is_alive_does_not_count() {
+async fn outdated_status_of_a_live_peer_is_ignored() {
     let world = World::new(&["t1", "t2"]);
     let host = world
         .start_with("a1", |settings| settings.peers.down_ms = 60_000)
         .await;
     host.until_ready().await;
-    let peer = Peer::of(host.ctx().settings.host.peer_listen).await;
-    peer.says("b1", 1_000, 2, &[("t1", 2)]).await;
+    let peer = Peer::connect(host.ctx().settings.host.peer_listen).await;
+    peer.send_status("b1", 1_000, 2, &[("t1", 2)]).await;
     for (incarnation, number) in [(500, 9), (1_000, 1), (1_000, 2)] {
-        peer.says("b1", incarnation, number, &[("t1", 7)]).await;
+        peer.send_status("b1", incarnation, number, &[("t1", 7)])
+            .await;
     }
-    // What another says is read after all of that.
-    peer.says("c1", 1, 1, &[("t2", 1)]).await;
+    // A status of another peer is handled after all of these.
+    peer.send_status("c1", 1, 1, &[("t2", 1)]).await;
     until("all is read", || host.ctx().load_of("t2").online == 1).await;
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
-/// Returns hosts of one data centre that know where a host in another or the
-/// same one was, which has just fallen silent.
-async fn hosts_and_a_silent_one(
+/// Returns hosts of one data centre that know the address of a host in `data_centre` that has
+/// just failed.
+async fn hosts_with_failed_peer(
     world: &World,
-    near: usize,
+    count: usize,
     data_centre: &'static str,
 ) -> Vec<Running> {
-    let place = |settings: &mut Settings| settings.host.data_centre = data_centre.into();
-    let far = world.start_with("x1", place).await;
+    let configure = |settings: &mut Settings| settings.host.data_centre = data_centre.into();
+    let failed = world.start_with("x1", configure).await;
     let mut hosts = Vec::new();
-    for number in 0..near {
+    for number in 0..count {
         hosts.push(world.start_ready(&format!("a{number}")).await);
     }
     until("all know each other", || {
-        let knows = |h: &Running| h.ctx().peers_alive() == near && h.ctx().peers_listed() == near;
+        let knows = |h: &Running| h.ctx().peers_alive() == count && h.ctx().peers_listed() == count;
         hosts.iter().all(knows)
     })
     .await;
-    far.kill();
-    until("the silence is noticed", || {
-        hosts.iter().all(|h| h.ctx().peers_alive() == near - 1)
+    failed.kill();
+    until("the failure is detected", || {
+        hosts.iter().all(|h| h.ctx().peers_alive() == count - 1)
     })
     .await;
     hosts
 }
 
 #[tokio::test]
-async fn news_that_another_host_passes_on_counts() {
+async fn relayed_status_is_applied() {
     let world = World::new(&["t1"]);
-    let hosts = hosts_and_a_silent_one(&world, 1, "e").await;
+    let hosts = hosts_with_failed_peer(&world, 1, "e").await;
     let host = &hosts[0];
-    let peer = Peer::of(host.ctx().settings.host.peer_listen).await;
+    let peer = Peer::connect(host.ctx().settings.host.peer_listen).await;
     let unknown = status("y1", u64::MAX, 1, &[("t1", 5)]);
     let known = status("x1", u64::MAX, 1, &[("t1", 2)]);
-    peer.sends(&PeerMessage::PassedOn(vec![unknown, known]))
+    peer.send(&PeerMessage::PassedOn(vec![unknown, known]))
         .await;
-    until("it is heard", || host.ctx().peers_alive() == 1).await;
-    // Where the other host is nobody knows yet, so it does not count.
+    until("the relayed peer is alive", || {
+        host.ctx().peers_alive() == 1
+    })
+    .await;
+    // The address of the other host is unknown, so its status is ignored.
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
@@ -140,48 +144,48 @@
 #[case::of_another_data_centre("e", true)]
 #[case::of_the_same("d", false)]
 #[tokio::test]
-async fn news_of_a_host_far_away_reaches_all_near_the_one_that_was_told(
+async fn status_of_a_remote_host_is_relayed_to_all_local_ones(
     #[case] data_centre: &'static str,
-    #[case] is_passed_on: bool,
+    #[case] is_relayed: bool,
 ) {
     let world = World::new(&["t1"]);
-    let hosts = hosts_and_a_silent_one(&world, 5, data_centre).await;
-    let told = Peer::of(hosts[0].ctx().settings.host.peer_listen).await;
+    let hosts = hosts_with_failed_peer(&world, 5, data_centre).await;
+    let peer = Peer::connect(hosts[0].ctx().settings.host.peer_listen).await;
     let metrics = &hosts[0].ctx().metrics;
-    let passed_on = || metrics.counted(Counted::Datagrams, "passed on");
-    // Until the list is read nobody knows who is near.
-    let passed_on_before = passed_on();
-    told.says("x1", u64::MAX, 1, &[("t1", 2)]).await;
-    until("the one that was told knows", || {
+    let relayed = || metrics.counted(Counted::Datagrams, "passed on");
+    // Until the list is read, hosts do not know which ones are local.
+    let relayed_before = relayed();
+    peer.send_status("x1", u64::MAX, 1, &[("t1", 2)]).await;
+    until("the recipient has applied the status", || {
         hosts[0].ctx().load_of("t1").online == 2
     })
     .await;
-    if !is_passed_on {
-        assert_eq!(passed_on(), passed_on_before);
+    if !is_relayed {
+        assert_eq!(relayed(), relayed_before);
         return;
     }
-    // It is said again in each beat: a host that does not know yet who is near it from
-    // the list passes nothing on.
-    let begun = Instant::now();
+    // Repeated at each heartbeat, since a host relays nothing until it knows from the list which
+    // hosts are local.
+    let started_at = Instant::now();
     let is_known = || hosts.iter().all(|h| h.ctx().load_of("t1").online == 2);
     for number in 2.. {
-        told.says("x1", u64::MAX, number, &[("t1", 2)]).await;
+        peer.send_status("x1", u64::MAX, number, &[("t1", 2)]).await;
         if is_known() {
             break;
         }
-        assert!(begun.elapsed() < WAIT_MAX, "the others do not know");
-        tokio::time::sleep(BEAT).await;
+        assert!(started_at.elapsed() < WAIT_MAX, "the status is not relayed");
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
 #[tokio::test]
-async fn many_hosts_in_two_data_centres_know_what_each_runs() {
+async fn hosts_of_two_data_centres_know_the_load_of_each() {
     let world = World::new(&["t1", "t2"]);
     let mut hosts = Vec::new();
     for number in 0..20 {
         let data_centre = if number % 2 == 0 { "d" } else { "e" };
-        let place = |settings: &mut Settings| settings.host.data_centre = data_centre.into();
-        hosts.push(world.start_with(&format!("a{number}"), place).await);
+        let configure = |settings: &mut Settings| settings.host.data_centre = data_centre.into();
+        hosts.push(world.start_with(&format!("a{number}"), configure).await);
     }
     for host in &hosts {
         host.until_ready().await;
@@ -191,12 +195,12 @@
     })
     .await;
     world.engines.hold();
-    let asked = hosts[0].ctx().clone();
-    let asked = tokio::spawn(async move {
+    let ctx = hosts[0].ctx().clone();
+    let serving = tokio::spawn(async move {
         let request = world::request(world::RESUMABLE, "r1");
-        notchwharf_gateway::online::serve(&asked, request, Instant::now()).await
+        notchwharf_gateway::online::serve(&ctx, request, Instant::now()).await
     });
-    let answer = asked.await.unwrap().unwrap();
+    let response = serving.await.unwrap().unwrap();
     until("all know of the request", || {
         hosts.iter().all(|h| {
             let loads = ["t1", "t2"].map(|target| h.ctx().load_of(target).online);
@@ -204,8 +208,8 @@
         })
     })
     .await;
-    drop(answer);
-    until("all know of its end", || {
+    drop(response);
+    until("all know that it ended", || {
         hosts.iter().all(|h| {
             ["t1", "t2"]
                 .iter()
@@ -215,13 +219,13 @@
     .await;
 }
 
-/// A host leaves places to a peer's items that are due first, and takes them
-/// when the peer, which may be frozen, does not.
+/// A host leaves slots to a peer's items with earlier due times, and uses them itself if the
+/// peer, which may be stalled, does not.
 #[tokio::test]
-async fn items_wait_for_a_peer_s_that_are_due_first_and_not_for_ever() {
+async fn items_wait_a_limited_time_for_a_peer_s_items_due_first() {
     let world = World::new(&["t1"]);
     let a1 = world.start_ready("a1").await;
-    let peer = Peer::of(a1.ctx().settings.host.peer_listen).await;
+    let peer = Peer::connect(a1.ctx().settings.host.peer_listen).await;
     let first = PeerMessage::Status(Status {
         waiting: vec![messages::WaitingItems {
             due_unix_ms: 1,
@@ -230,11 +234,11 @@
         ..status("a2", 1, 1, &[])
     });
     while a1.ctx().peers_alive() == 0 {
-        peer.sends(&first).await;
+        peer.send(&first).await;
         tokio::task::yield_now().await;
     }
     a1.submit("j1", 1, 10).await.unwrap();
-    until("it sees what comes first", || {
+    until("it knows of the items due first", || {
         a1.ctx().metrics.text().contains("items_ahead\"} 7")
     })
     .await;
--- a/crates/gateway/tests/spread.rs
+++ b/crates/gateway/tests/spread.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against each host reading the log itself: with 985 hosts the calls exceeded the
 //! capacity of the store, which refused all hosts from the third second on, and the fleet
-//! never came to serve.
+//! never became ready.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod world;
@@ -39,11 +39,11 @@
         let world = World::new(targets);
         let (mut hosts, mut doors) = (Vec::new(), Vec::new());
         for number in 0..DATA_CENTRES * HOSTS {
-            let place = number / HOSTS;
+            let data_centre = number / HOSTS;
             let door = world.store.door();
-            let name = format!("h{place}-{number}");
+            let name = format!("h{data_centre}-{number}");
             let started = world.start_apart(&name, door.clone(), |settings| {
-                settings.host.data_centre = format!("d{place}");
+                settings.host.data_centre = format!("d{data_centre}");
                 settings.peers.cell_hosts_max = u32::try_from(HOSTS).unwrap();
             });
             hosts.push(started.await);
@@ -104,13 +104,13 @@
     })
     .await;
     store.drop_target("t2");
-    until("all know that it is gone", || {
+    until("all know that it is removed", || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| !host.ctx().is_target_known("t2"))
     })
     .await;
     fleet.world.configure(5, true);
-    until("the configuration is in force at all", || {
+    until("all have applied the configuration", || {
         let mut tables = fleet.hosts.iter().map(|host| host.ctx().table().unwrap());
         tables.all(|table| table.version() == 5)
     })
@@ -142,22 +142,22 @@
     } else {
         other
     };
-    let asked = || {
+    let requests = || {
         let text = fleet.hosts[other].ctx().metrics.text();
         let line = text.lines().find(|line| line.contains("\"peer asked\""));
         line.map(ToOwned::to_owned)
     };
-    let before = asked();
+    let before = requests();
     for _ in 0..20 {
         fleet.world.store.put_target("t1", "up");
         fleet.world.store.put_target("t2", "up");
     }
     let ctx = fleet.hosts[other].ctx();
-    until("the host knows how far the log goes", || {
+    until("the host knows the end of the log", || {
         ctx.targets_read_to() >= 42
     })
     .await;
-    assert_eq!(asked(), before);
+    assert_eq!(requests(), before);
 }
 
 #[tokio::test]
@@ -185,7 +185,7 @@
     fleet.world.store.put_target("t2", "up");
     fleet.until_all_know("t2").await;
     fleet.world.store.drop_target("t2");
-    until("all know that it is gone", || {
+    until("all know that it is removed", || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| !host.ctx().is_target_known("t2"))
     })
@@ -201,7 +201,7 @@
     let fleet = Fleet::start(&["t1"]).await;
     let reader = fleet.readers()[0];
     fleet.doors[reader].close(true);
-    until("the store is lost", || {
+    until("the store is unavailable", || {
         !fleet.hosts[reader].ctx().is_store_up()
     })
     .await;
@@ -210,7 +210,7 @@
     fleet.world.store.expire();
     fleet.doors[reader].close(false);
     fleet.until_all_know("t2").await;
-    until("what went meanwhile is gone", || {
+    until("the target deleted meanwhile is removed", || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| !host.ctx().is_target_known("t1"))
     })
@@ -244,7 +244,7 @@
 #[rstest]
 #[case::of_another_log(1_000_000, 2_000_000, 1_500_000)]
 #[case::long_past(0, 1, 0)]
-#[case::upside_down(9, 3, 5)]
+#[case::reversed_range(9, 3, 5)]
 #[tokio::test]
 async fn inconsistent_announcements_change_nothing(
     #[case] from: u64,
