--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 struct State {
     config: Option<Config>,
-    /// The time for which the configuration was last confirmed to be the newest.
+    /// When the configuration was last known to be the newest.
     config_as_of: Option<Instant>,
     removed: RemovedKeys,
     evacuated: Evacuated,
--- a/crates/gateway/src/catalog/follow.rs
+++ b/crates/gateway/src/catalog/follow.rs
@@ -76,12 +76,12 @@
         let _ = readings.send(reading);
     };
     let following = follower.follow(Topic::Config, pace, source, sink);
-    let taking = async {
+    let applying = async {
         while let Some(reading) = read.recv().await {
             config::apply_reading(&ctx, reading).await;
         }
     };
-    tokio::join!(following, taking);
+    tokio::join!(following, applying);
 }
 
 async fn follow_targets(ctx: Arc<Context>) {
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -25,9 +25,9 @@
 use crate::work;
 use notchwharf_listen::Phase;
 
-const DRAIN_PERIOD: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout for deleting the host's entry from the host list at shutdown.
-const LEAVE_LIST_TIMEOUT: Duration = Duration::from_millis(200);
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A running host.
 #[derive(Debug)]
@@ -101,13 +101,13 @@
 
     async fn drain(&self) {
         let ctx = &self.ctx;
-        let mut ticks = ctx.timer.subscribe(DRAIN_PERIOD);
+        let mut ticks = ctx.timer.subscribe(DRAIN_CHECK_INTERVAL);
         // Hosts that start meanwhile query the listed hosts for the leases on limits that they
         // hold.
         limits::stop_holding(ctx);
         // If the entry cannot be deleted, other hosts detect the shutdown by the missing
         // heartbeats.
-        let _ = tokio::time::timeout(LEAVE_LIST_TIMEOUT, peers::deregister(ctx)).await;
+        let _ = tokio::time::timeout(DEREGISTER_TIMEOUT, peers::deregister(ctx)).await;
         tokio::time::sleep(ms(ctx.settings.shutdown.notice_ms)).await;
         while ctx.in_flight.count() + ctx.items.unsettled.count() > 0 {
             if ticks.recv().await.is_none() {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -76,17 +76,17 @@
 pub(crate) const STORE_OUTAGE_MAX: Duration = Duration::from_millis(1_500);
 
 /// Interval between checks for failed hosts.
-const SWEEP: Duration = Duration::from_millis(100);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The other hosts known to this one.
 #[derive(Debug)]
 pub(crate) struct Peers {
     known: Mutex<HashMap<HostId, Peer>>,
-    dirty: Arc<Notify>,
+    changed: Arc<Notify>,
     /// The loads of this host by remote data centre, as last sent there.
     last_sent_remote: Mutex<BTreeMap<DataCentreId, Vec<(TargetKey, Load)>>>,
     /// When a peer last failed or announced its shutdown.
-    lost_at: Mutex<Option<Instant>>,
+    peer_lost_at: Mutex<Option<Instant>>,
     socket: OnceLock<UdpSocket>,
     relay: Relay,
     cell_state: CellState,
@@ -154,9 +154,9 @@
         let cell_hosts_max = usize::try_from(settings.cell_hosts_max).unwrap_or(usize::MAX);
         Self {
             known: Mutex::default(),
-            dirty: Arc::default(),
+            changed: Arc::default(),
             last_sent_remote: Mutex::default(),
-            lost_at: Mutex::default(),
+            peer_lost_at: Mutex::default(),
             socket: OnceLock::new(),
             relay: Relay::default(),
             cell_state: CellState::new(cell_hosts_max),
@@ -182,12 +182,12 @@
 
     /// Returns the handle that triggers a notification of peers.
     pub(crate) fn change_notifier(&self) -> Arc<Notify> {
-        Arc::clone(&self.dirty)
+        Arc::clone(&self.changed)
     }
 
     /// Notifies peers of a change soon.
     pub(crate) fn notify(&self) {
-        self.dirty.notify_one();
+        self.changed.notify_one();
     }
 
     /// Sends this host's load to peers immediately, or with the next heartbeat if the fleet is
@@ -257,12 +257,12 @@
 
     /// Returns the other hosts of this cell that can run items: those that are alive, not shutting
     /// down, and able to reach the store.
-    fn can_run_items(&self) -> Vec<HostId> {
+    fn item_hosts(&self) -> Vec<HostId> {
         let known = lock(&self.known);
-        let can_run_items = known
+        let hosts = known
             .iter()
             .filter(|(_, peer)| peer.is_alive && !peer.status.leaving && peer.status.store_up);
-        can_run_items.map(|(host, _)| host.clone()).collect()
+        hosts.map(|(host, _)| host.clone()).collect()
     }
 
     /// Returns whether a peer continues to run the items of its jobs. A short outage of the store
@@ -278,34 +278,34 @@
 
     /// Returns whether a peer has failed or left within a time before now.
     pub(crate) fn has_lost_peer_within(&self, time: Duration) -> bool {
-        lock(&self.lost_at).is_some_and(|at| at.elapsed() < time)
+        lock(&self.peer_lost_at).is_some_and(|at| at.elapsed() < time)
     }
 
     /// Returns the hosts of other cells that have recently reported access to the store, which may
     /// refuse all hosts of a data centre.
-    fn remote_with_store(&self) -> Vec<HostId> {
+    fn remote_hosts_with_store(&self) -> Vec<HostId> {
         let known = lock(&self.known);
-        let can_run_items = known.iter().filter(|(_, peer)| {
+        let hosts = known.iter().filter(|(_, peer)| {
             let report = peer.cell_report;
             report.is_some_and(|(at, store_up)| store_up && at.elapsed() < CELL_REPORT_TTL)
         });
-        can_run_items.map(|(host, _)| host.clone()).collect()
+        hosts.map(|(host, _)| host.clone()).collect()
     }
 
     /// Returns the number of peers that can reach the store.
     pub(crate) fn with_store(&self) -> usize {
-        self.can_run_items().len() + self.remote_with_store().len()
+        self.item_hosts().len() + self.remote_hosts_with_store().len()
     }
 
     /// Returns the addresses of random peers that can reach the store, in the order in which to
     /// call them: up to `most` of this host's cell, then up to `most` of others. The store may have
     /// refused the whole cell a moment ago without its hosts having reported it.
     pub(crate) fn sample_with_store(&self, most: usize) -> Vec<SocketAddr> {
-        let (can_run_items, remote_with_store) = (self.can_run_items(), self.remote_with_store());
+        let (item_hosts, remote_hosts) = (self.item_hosts(), self.remote_hosts_with_store());
         let known = lock(&self.known);
         let mut rng = rand::rng();
-        let local = can_run_items.sample(&mut rng, most);
-        let remote = remote_with_store.sample(&mut rng, most);
+        let local = item_hosts.sample(&mut rng, most);
+        let remote = remote_hosts.sample(&mut rng, most);
         local
             .chain(remote)
             .filter_map(|host| known.get(host).map(|peer| peer.addr))
@@ -328,8 +328,8 @@
 
     /// Returns whether this host is the one of its cell that should take over a job.
     pub(crate) fn is_successor(&self, own: &str, job: &str) -> bool {
-        let can_run_items = self.can_run_items();
-        let mut hosts: Vec<&str> = can_run_items.iter().map(String::as_str).collect();
+        let item_hosts = self.item_hosts();
+        let mut hosts: Vec<&str> = item_hosts.iter().map(String::as_str).collect();
         hosts.push(own);
         rendezvous::top_ranked(job, &hosts, 1) == [own]
     }
@@ -390,8 +390,8 @@
 /// Detects peers that have failed.
 async fn sweep(ctx: Arc<Context>) {
     let down = ms(ctx.settings.peers.down_ms);
-    let mut ticks = ctx.timer.subscribe(SWEEP);
-    let mut lateness = Lateness::new(SWEEP, Instant::now());
+    let mut ticks = ctx.timer.subscribe(SWEEP_INTERVAL);
+    let mut lateness = Lateness::new(SWEEP_INTERVAL, Instant::now());
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         let now = Instant::now();
         let late = lateness.tick(now);
@@ -409,7 +409,7 @@
             slog::warn!(ctx.logger, "host down"; "peer" => host.as_str(),
                 "silent_ms" => silence.map(|s| s.as_millis()));
             ctx.metrics.count(Counted::Changes, "host down");
-            *lock(&ctx.peers.lost_at) = Some(Instant::now());
+            *lock(&ctx.peers.peer_lost_at) = Some(Instant::now());
             lock(&ctx.balancer).remove_peer(&host);
             ctx.items.peer_down(&host);
             ctx.waiting.peer_down(&host);
--- a/crates/gateway/src/peers/bootstrap.rs
+++ b/crates/gateway/src/peers/bootstrap.rs
@@ -194,10 +194,10 @@
         return true;
     }
     let known = lock(&ctx.peers.known);
-    let local = known
+    let own_cell = known
         .iter()
         .filter(|(host, peer)| cell::is_in_own_cell(ctx, cells, host, peer));
-    let hosts = local.map(|(host, _)| host.as_str()).chain([ctx.host()]);
+    let hosts = own_cell.map(|(host, _)| host.as_str()).chain([ctx.host()]);
     let hosts: Vec<&str> = hosts.collect();
     rendezvous::top_ranked(LISTING_TASK, &hosts, LISTING_HOSTS).contains(&ctx.host())
 }
@@ -210,10 +210,10 @@
 /// Returns a random live peer that satisfies a condition.
 pub(super) fn random_peer(
     ctx: &Context,
-    has: impl Fn(&Peer) -> bool,
+    condition: impl Fn(&Peer) -> bool,
 ) -> Option<(HostId, SocketAddr)> {
     let known = lock(&ctx.peers.known);
-    let candidates = known.iter().filter(|(_, p)| p.is_alive && has(p));
+    let candidates = known.iter().filter(|(_, p)| p.is_alive && condition(p));
     let (host, peer) = candidates.choose(&mut rand::rng())?;
     Some((host.clone(), peer.addr))
 }
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -90,8 +90,8 @@
     }
     while ctx.phase() != Phase::Stopped {
         let wait = schedule.wait(Instant::now());
-        let message = tokio::time::timeout(wait, ctx.peers.dirty.notified()).await;
-        let due = schedule.due(message.is_ok(), Instant::now());
+        let notified = tokio::time::timeout(wait, ctx.peers.changed.notified()).await;
+        let due = schedule.due(notified.is_ok(), Instant::now());
         number += 1;
         let Some(socket) = ctx.peers.socket.get() else {
             return;
@@ -169,16 +169,16 @@
     };
     match message {
         PeerMessage::Status(status) => apply_status(ctx, Some(addr), status, contention),
-        PeerMessage::PassedOn(message) => {
-            for status in message {
+        PeerMessage::PassedOn(statuses) => {
+            for status in statuses {
                 apply_status(ctx, None, status, None);
             }
         }
         PeerMessage::Preemption(preemption) => preempt_item(ctx, preemption),
-        PeerMessage::Cell(reported) => cell::apply_status(ctx, addr, reported),
-        PeerMessage::Suspects(reported) => suspects::apply_reports(ctx, &reported),
+        PeerMessage::Cell(status) => cell::apply_status(ctx, addr, status),
+        PeerMessage::Suspects(reports) => suspects::apply_reports(ctx, &reports),
         PeerMessage::SlotTransfer(transfer) => ctx.waiting.handed(transfer.target),
-        PeerMessage::Limits(reported) => limits::take(ctx, addr, &reported),
+        PeerMessage::Limits(message) => limits::take(ctx, addr, &message),
         PeerMessage::Announcement(message) => ctx.distributor.receive(addr, message),
     }
 }
@@ -219,16 +219,17 @@
     }
     // A target may fail for the callers of one data centre only.
     let failing = if update.is_local { failing } else { vec![] };
-    let waits = ctx.items.peer_waits(&host, waiting);
-    let runs = lock(&ctx.balancer).set_peer_loads(&host, loads, failing, Instant::now());
+    let has_queue_changed = ctx.items.peer_waits(&host, waiting);
+    let has_load_changed =
+        lock(&ctx.balancer).set_peer_loads(&host, loads, failing, Instant::now());
     ctx.journal.told(jobs);
-    if waits || runs {
+    if has_queue_changed || has_load_changed {
         ctx.items.wake();
     }
     if addr.is_some() {
         apply_contention(ctx, &host, &update, contention);
     }
-    if runs {
+    if has_load_changed {
         ctx.waiting.wake();
     }
     if update.is_new {
@@ -256,8 +257,8 @@
     if update.is_local {
         return ctx.waiting.peer_tells(host, contention, now);
     }
-    let is_short = contention.is_some_and(|reported| !reported.waiting.is_empty());
-    if let (true, Some(data_centre)) = (is_short, &update.data_centre) {
+    let has_waiting = contention.is_some_and(|reported| !reported.waiting.is_empty());
+    if let (true, Some(data_centre)) = (has_waiting, &update.data_centre) {
         ctx.waiting.note_short(data_centre, now);
     }
 }
@@ -321,15 +322,15 @@
     let order = (status.incarnation, status.number);
     let is_newer = order > (peer.status.incarnation, peer.status.number);
     // A host whose clock was set back restarts with a lower incarnation than before.
-    let is_other_start = status.incarnation != peer.status.incarnation;
-    let is_restarted = is_other_start && !peer.is_alive;
-    if !is_newer && !is_restarted {
+    let is_other_incarnation = status.incarnation != peer.status.incarnation;
+    let has_restarted = is_other_incarnation && !peer.is_alive;
+    if !is_newer && !has_restarted {
         return None;
     }
     peer.addr = addr.unwrap_or(peer.addr);
     peer.last_received = Some(now);
     if status.leaving && !peer.status.leaving {
-        *lock(&ctx.peers.lost_at) = Some(now);
+        *lock(&ctx.peers.peer_lost_at) = Some(now);
     }
     peer.store_unavailable_since = match status.store_up {
         true => None,
@@ -345,7 +346,7 @@
     let is_overdue = ahead_since.is_some_and(|since| now.duration_since(since) >= AHEAD_GRACE);
     Some(StatusUpdate {
         // A host that restarts before its failure is detected has lost its state as well.
-        is_new: !std::mem::replace(&mut peer.is_alive, true) || is_other_start,
+        is_new: !std::mem::replace(&mut peer.is_alive, true) || is_other_incarnation,
         addr: peer.addr,
         is_local: relay::is_local(ctx, peer),
         data_centre: peer.data_centre.clone(),
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -46,15 +46,15 @@
 /// Sends changes to all hosts, until the host stops.
 pub(crate) async fn broadcast_changes(ctx: Arc<Context>) {
     let gate = Arc::clone(&ctx.suspects.gate);
-    send_changes(gate, move |reports| send_to_all(&ctx, reports)).await;
+    send_changes(gate, move |report| send_to_all(&ctx, report)).await;
 }
 
-fn send_to_all(ctx: &Context, reports: &Report) {
+fn send_to_all(ctx: &Context, report: &Report) {
     let addrs: Vec<SocketAddr> = {
         let known = lock(&ctx.peers.known);
         known.values().map(|peer| peer.addr).collect()
     };
-    send(ctx, std::slice::from_ref(reports), &addrs);
+    send(ctx, std::slice::from_ref(report), &addrs);
 }
 
 /// Sends the relevant reports to a host that was not alive before.
