--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -1,9 +1,9 @@
-//! Routes and targets as the store or a peer tells them.
+//! Catalog of routes and targets, read from the store or received from peers.
 //!
-//! Every record has an offset, and nothing older than what is known counts,
-//! whoever tells it. Which targets exist is [`discovery`]'s to decide; here
-//! it is read, logged and put to use, one reading after the other: targets in
-//! use and what peers are told never tell of different readings.
+//! Records are ordered by offset; a record older than the known state is ignored, whatever its
+//! source. [`discovery`] decides which targets exist. This module feeds it with readings, logs the
+//! changes and applies them to the balancer. Readings are applied one after another under one lock,
+//! so that the balancer and the records sent to peers reflect the same reading.
 
 mod config;
 mod evacuation;
@@ -36,33 +36,32 @@
 use crate::metrics::Counted;
 use crate::metrics::Metrics;
 use crate::ports::Decode;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::store::Store;
 use crate::sync::lock;
 use crate::time::millis;
 use crate::time::ms;
 
-use self::config::Removed;
+use self::config::RemovedKeys;
+pub(crate) use self::config::apply_from_peer as apply_peer_config;
 pub(crate) use self::config::confirm;
-pub(crate) use self::config::take_from_peer;
 use self::evacuation::Evacuated;
-pub(crate) use self::evacuation::take_from_peer as take_evacuated;
-use self::follow::SWEEP;
-use self::follow::TARGETS_GAP;
+pub(crate) use self::evacuation::apply_from_peer as apply_peer_evacuation;
+use self::follow::SWEEP_INTERVAL;
+use self::follow::TARGETS_READ_INTERVAL;
 pub(crate) use self::follow::start;
 pub(crate) use self::records::Config;
 pub(crate) use self::records::PeerReading;
 pub(crate) use self::records::Versions;
 
-/// Time after the store's return within which it has the entries of living
-/// targets again, as the platform names it.
-const LAPSE: Duration = Duration::from_secs(2);
-/// Time for news of an entry beside the pause between two readings: an answer
+/// Time after an outage of the store within which running targets write their entries again, as
+/// specified by the platform.
+const REREGISTER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay until an update of an entry is received, besides the interval between readings: a response
 /// of the store takes some milliseconds.
-const NEWS: Duration = Duration::from_millis(50);
-/// Time for which a host that has used up its share of a processor may stand
-/// still in the middle of sending a request.
-const STANDSTILL: Duration = Duration::from_millis(100);
+const UPDATE_LATENCY: Duration = Duration::from_millis(50);
+/// Time for which a host that has exhausted its CPU quota may be paused while it sends a request.
+const STALL_MAX: Duration = Duration::from_millis(100);
 
 /// Maximum number of simultaneous changes that are logged individually.
 const LOGGED_CHANGES_MAX: usize = 8;
@@ -72,194 +71,194 @@
 struct ChangeCounts {
     added: usize,
     updated: usize,
-    gone: usize,
-    kept: usize,
+    removed: usize,
+    retained: usize,
 }
 
-/// What is known, in the form in which it came.
+/// The known records and state derived from them.
 #[derive(Debug)]
-struct Known {
+struct State {
     config: Option<Config>,
-    /// When the configuration was known to be the newest.
+    /// When the configuration was last known to be the newest.
     config_as_of: Option<Instant>,
-    removed: Removed,
+    removed: RemovedKeys,
     evacuated: Evacuated,
     targets: TargetView,
     /// The evidence reported by the last reader followed, unless this host has read since.
     peer_evidence: Option<Evidence>,
 }
 
-/// Routes and targets that a host knows, and where they are put to use.
+/// Routes and targets known to a host, and the components that use them.
 pub(crate) struct Catalog {
-    known: Mutex<Known>,
-    /// When the store was last asked whether the configuration is the newest.
-    look: tokio::sync::Mutex<Option<Instant>>,
-    uses: Uses,
+    state: Mutex<State>,
+    /// When the store was last queried for a newer configuration.
+    last_check: tokio::sync::Mutex<Option<Instant>>,
+    deps: Dependencies,
 }
 
-/// Where routes and targets are put to use.
-pub(crate) struct Uses {
+/// Dependencies of the catalog on this host.
+pub(crate) struct Dependencies {
     pub(crate) store: Store,
     pub(crate) decode: Decode,
-    pub(crate) places: Arc<Mutex<Balancer>>,
+    pub(crate) balancer: Arc<Mutex<Balancer>>,
     pub(crate) routes: watch::Sender<Option<Arc<Table>>>,
     pub(crate) startup: Arc<Startup>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) logger: slog::Logger,
 }
 
-/// What changed.
+/// Which parts of the catalog have changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct News {
-    /// Whether other routes are in force.
+pub(crate) struct Updated {
+    /// Whether the routes have changed.
     pub(crate) routes: bool,
-    /// Whether targets came, changed or went.
+    /// Whether targets were added, updated or removed.
     pub(crate) targets: bool,
 }
 
-/// Returns the times on which [`TargetView`] depends.
-fn bounds(settings: &Settings) -> Timeouts {
+/// Returns the timeouts of [`TargetView`].
+fn timeouts(settings: &Settings) -> Timeouts {
     Timeouts {
         drain: ms(settings.targets.drain_ms),
         settle: ms(settings.targets.settle_ms),
-        reregister: LAPSE + TARGETS_GAP + NEWS,
-        dispatch: ms(settings.online.connect_timeout_ms) + SWEEP + STANDSTILL,
+        reregister: REREGISTER_TIMEOUT + TARGETS_READ_INTERVAL + UPDATE_LATENCY,
+        dispatch: ms(settings.online.connect_timeout_ms) + SWEEP_INTERVAL + STALL_MAX,
     }
 }
 
 impl Catalog {
-    /// Returns a catalog that knows nothing yet.
-    pub(crate) fn new(settings: &Settings, uses: Uses) -> Self {
-        let known = Known {
+    /// Returns an empty catalog.
+    pub(crate) fn new(settings: &Settings, deps: Dependencies) -> Self {
+        let state = State {
             config: None,
             config_as_of: None,
-            removed: Removed::default(),
+            removed: RemovedKeys::default(),
             evacuated: Evacuated::default(),
-            targets: TargetView::new(bounds(settings)),
+            targets: TargetView::new(timeouts(settings)),
             peer_evidence: None,
         };
         Self {
-            known: Mutex::new(known),
-            look: tokio::sync::Mutex::default(),
-            uses,
+            state: Mutex::new(state),
+            last_check: tokio::sync::Mutex::default(),
+            deps,
         }
     }
 
-    /// Takes in a reading of targets.
-    fn read_targets(&self, reading: Reading, now: Instant) -> News {
+    /// Applies a reading of targets.
+    fn apply_targets(&self, reading: Reading, now: Instant) -> Updated {
         let Reading { asked, seen } = reading;
-        let decode = |value: &Bytes| (self.uses.decode.target)(value);
-        let evidence = self.uses.store.evidence();
-        let mut known = lock(&self.known);
-        // As of before this reading: what it tells is newer than that.
-        let none_before = known.targets.complete_as_of();
+        let decode = |value: &Bytes| (self.deps.decode.target)(value);
+        let evidence = self.deps.store.evidence();
+        let mut state = lock(&self.state);
+        // Taken before this reading is applied, whose changes are newer.
+        let complete_as_of = state.targets.complete_as_of();
         let changes = match seen {
             Ok(Seen::All { end, records }) => {
-                slog::info!(self.uses.logger, "targets listed"; "targets" => records.len(),
+                slog::info!(self.deps.logger, "targets listed"; "targets" => records.len(),
                     "offset" => end, "source" => "store");
                 let records = records.into_iter().map(record).collect();
-                let answered = ReadInfo::at_end(asked, now);
-                known
+                let read_info = ReadInfo::at_end(asked, now);
+                state
                     .targets
-                    .apply_listing(&answered, &evidence, end, records, decode)
+                    .apply_listing(&read_info, &evidence, end, records, decode)
             }
             Ok(Seen::More { records, is_whole }) => {
                 let records = records.into_iter().map(record).collect();
-                let answered = ReadInfo {
+                let read_info = ReadInfo {
                     requested_at: asked,
                     answered_at: now,
                     is_at_end: is_whole,
                 };
-                known
+                state
                     .targets
-                    .apply_records(&answered, &evidence, records, decode)
+                    .apply_records(&read_info, &evidence, records, decode)
             }
-            // The reader tries again; the store's wrapper knows of the failure.
-            Err(_) => return News::default(),
+            // The follower retries; `Store` has logged the failure.
+            Err(_) => return Updated::default(),
         };
-        known.peer_evidence = None;
-        let targets = self.put_to_use(none_before, &evidence, changes, now);
-        self.uses.startup.mark_ready(Dependency::Targets, "store");
-        News {
+        state.peer_evidence = None;
+        let targets = self.apply_changes(complete_as_of, &evidence, changes, now);
+        self.deps.startup.mark_ready(Dependency::Targets, "store");
+        Updated {
             targets,
-            ..News::default()
+            ..Updated::default()
         }
     }
 
     /// Removes targets whose entries have not reappeared in time, and lifts the limits of
     /// targets that are no longer cold.
     fn sweep(&self, now: Instant) {
-        lock(&self.uses.places).end_cold(now);
-        let mut known = lock(&self.known);
-        if !known.targets.has_missing_entries() {
+        lock(&self.deps.balancer).end_cold(now);
+        let mut state = lock(&self.state);
+        if !state.targets.has_missing_entries() {
             return;
         }
-        let evidence = self.evidence(&known);
-        let expired = known.targets.expire(now, &evidence);
+        let evidence = self.evidence(&state);
+        let expired = state.targets.expire(now, &evidence);
         for id in &expired {
             if expired.len() <= LOGGED_CHANGES_MAX {
-                slog::info!(self.uses.logger, "target's entry did not come back";
+                slog::info!(self.deps.logger, "target removed; its entry was not restored in time";
                     "target" => id.as_str());
             }
-            self.take_out(id);
+            self.remove_target(id);
         }
         if expired.len() > LOGGED_CHANGES_MAX {
-            slog::info!(self.uses.logger, "targets' entries did not come back";
+            slog::info!(self.deps.logger, "targets removed; their entries were not restored in time";
                 "targets" => expired.len());
         }
     }
 
-    /// Returns how the log was read, by this host or by the reader it follows.
-    fn evidence(&self, known: &Known) -> Evidence {
-        let followed = known.peer_evidence;
-        followed.unwrap_or_else(|| self.uses.store.evidence())
+    /// Returns the evidence from reading the log, by this host or by the reader it follows.
+    fn evidence(&self, state: &State) -> Evidence {
+        let followed = state.peer_evidence;
+        followed.unwrap_or_else(|| self.deps.store.evidence())
     }
 
-    /// Puts changes to use while what is believed is held, so that no other
-    /// reading comes in between; returns whether there were any.
-    fn put_to_use<E: fmt::Display>(
+    /// Applies changes of targets and returns whether there were any. The caller holds the lock on
+    /// the state, so that no other reading is applied in between.
+    fn apply_changes<E: fmt::Display>(
         &self,
-        none_before: Option<Instant>,
+        complete_as_of: Option<Instant>,
         evidence: &Evidence,
         changes: Vec<Change<E>>,
         now: Instant,
     ) -> bool {
-        let is_any = !changes.is_empty();
+        let has_changes = !changes.is_empty();
         // Individual lines would exceed the logger's capacity when a fleet starts.
         let is_each_logged = changes.len() <= LOGGED_CHANGES_MAX;
         let mut counts = ChangeCounts::default();
         for change in changes {
             match change {
                 Change::Put { id, offset, spec } => {
-                    self.put((&id, offset, spec), is_each_logged, &mut counts, now);
+                    self.upsert_target((&id, offset, spec), is_each_logged, &mut counts, now);
                 }
                 Change::Unreadable { id, offset, error } => {
-                    self.uses
+                    self.deps
                         .metrics
                         .count(Counted::Changes, "target unreadable");
-                    slog::error!(self.uses.logger, "target not taken"; "target" => id.as_str(),
+                    slog::error!(self.deps.logger, "invalid target record"; "target" => id.as_str(),
                         "offset" => offset, "error" => error.to_string(),
-                        "was_known" => lock(&self.uses.places).spec(&id).is_some());
-                    lock(&self.uses.places).remove(&id);
+                        "was_known" => lock(&self.deps.balancer).spec(&id).is_some());
+                    lock(&self.deps.balancer).remove(&id);
                 }
                 Change::Removed { id, offset } => {
-                    counts.gone += 1;
+                    counts.removed += 1;
                     if is_each_logged {
-                        slog::info!(self.uses.logger, "target's entry is gone";
+                        slog::info!(self.deps.logger, "target entry deleted";
                             "target" => id.as_str(), "offset" => offset,
                             "kept_for_now" => false);
                     }
-                    self.take_out(&id);
+                    self.remove_target(&id);
                 }
                 Change::Retained { id, offset, until } => {
-                    counts.kept += 1;
-                    self.uses.metrics.count(Counted::Changes, "target kept");
+                    counts.retained += 1;
+                    self.deps.metrics.count(Counted::Changes, "target kept");
                     let ago = |at: Option<Instant>| at.map(|at| millis(now - at));
-                    if is_each_logged || counts.kept == 1 {
-                        slog::info!(self.uses.logger, "target's entry is gone"; "target" => id,
+                    if is_each_logged || counts.retained == 1 {
+                        slog::info!(self.deps.logger, "target entry deleted"; "target" => id,
                             "offset" => offset, "kept_for_now" => true,
                             "kept_ms" => millis(until.saturating_duration_since(now)),
-                            "none_before_ms_ago" => ago(none_before),
+                            "none_before_ms_ago" => ago(complete_as_of),
                             "away_ms_ago" => ago(evidence.reads.outage_at()),
                             "back_ms_ago" => ago(evidence.reads.recovered_at()));
                     }
@@ -267,46 +266,47 @@
             }
         }
         if !is_each_logged {
-            slog::info!(self.uses.logger, "targets changed"; "added" => counts.added,
-                "updated" => counts.updated, "gone" => counts.gone, "kept_for_now" => counts.kept);
+            slog::info!(self.deps.logger, "targets changed"; "added" => counts.added,
+                "updated" => counts.updated, "gone" => counts.removed, "kept_for_now" => counts.retained);
         }
-        is_any
+        has_changes
     }
 
-    fn put(
+    fn upsert_target(
         &self,
         (id, offset, spec): (&str, u64, Spec),
         is_logged: bool,
         counts: &mut ChangeCounts,
         now: Instant,
     ) {
-        let mut places = lock(&self.uses.places);
-        let before = places.spec(id);
+        let mut balancer = lock(&self.deps.balancer);
+        let before = balancer.spec(id);
         if before != Some(&spec) {
             match before {
                 Some(_) => counts.updated += 1,
                 None => counts.added += 1,
             }
             if is_logged {
-                let is_anew = before.is_some_and(|b| b.started_unix_ms != spec.started_unix_ms);
-                slog::info!(self.uses.logger, "target"; "target" => id,
+                let has_restarted =
+                    before.is_some_and(|b| b.started_unix_ms != spec.started_unix_ms);
+                slog::info!(self.deps.logger, "target"; "target" => id,
                     "addr" => spec.addr.to_string(), "service" => spec.service.as_str(),
-                    "leaving" => spec.is_leaving, "started_anew" => is_anew, "offset" => offset);
+                    "leaving" => spec.is_leaving, "started_anew" => has_restarted, "offset" => offset);
             }
-            self.uses.metrics.count(Counted::Changes, "target");
+            self.deps.metrics.count(Counted::Changes, "target");
         }
         let cold_left = spec.cold_left;
-        places.upsert(id, spec);
-        places.set_cold(id, cold_left, now);
+        balancer.upsert(id, spec);
+        balancer.set_cold(id, cold_left, now);
     }
 
-    fn take_out(&self, id: &str) {
-        lock(&self.uses.places).remove(id);
-        self.uses.metrics.count(Counted::Changes, "target gone");
+    fn remove_target(&self, id: &str) {
+        lock(&self.deps.balancer).remove(id);
+        self.deps.metrics.count(Counted::Changes, "target gone");
     }
 }
 
-fn record(stored: Stored) -> discovery::Record<Bytes> {
+fn record(stored: StoredRecord) -> discovery::Record<Bytes> {
     discovery::Record {
         id: stored.entry.key,
         offset: stored.offset,
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: taken in, put in force, and confirmed to be the newest.
+//! The configuration: decoding, applying, and confirming that it is the newest.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -15,41 +15,42 @@
 
 use super::Catalog;
 use super::Config;
-use super::News;
+use super::Updated;
 use super::evacuation;
-use super::follow::tell;
+use super::follow::notify;
 use crate::context::Context;
 use crate::follow::Reading;
 use crate::follow::Seen;
 use crate::metrics::Counted;
+use crate::ports::DecodeError;
 use crate::ports::Entry;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Topic;
-use crate::ports::Unreadable;
 use crate::sync::lock;
 
-/// Bytes from which on a configuration is read on a thread of its own. One of 16,000
-/// workspaces takes some 20 ms, for which every request of the host would wait.
-const APART_BYTES_MIN: usize = 64 << 10;
-/// Time between two looks whether a configuration is the newest. Requests with unknown
-/// keys share them: 300 hosts that are flooded with such make 3,000 calls a second.
-const LOOK_GAP: Duration = Duration::from_millis(100);
-/// Longest wait for a peer's word while the store is away: a beat tells of a newer
-/// configuration, and a call fetches it.
+/// Minimum size of a configuration that is decoded on a blocking thread. Decoding 16,000 workspaces
+/// takes some 20 ms, which would delay every request of the host.
+const BLOCKING_DECODE_BYTES_MIN: usize = 64 << 10;
+/// Minimum time between two checks for a newer configuration. Requests with unknown keys share a
+/// check: 300 hosts flooded with such requests make 3,000 calls per second.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time to wait for a peer's configuration while the store is unavailable: one heartbeat
+/// announces a newer version, and one call fetches it.
 const PEER_WAIT: Duration = Duration::from_millis(150);
-/// Keys that were taken away and are remembered as such; beyond, the oldest count as
-/// ones that nobody ever held, which is refused alike.
+/// Maximum number of removed keys to remember. Older ones count as unknown, which is refused in the
+/// same way.
 const REMOVED_MAX: usize = 4_096;
 
-/// Keys that were taken away, so that logs tell them from those that never were.
+/// Keys that were removed from the configuration, which logs distinguish from keys that never
+/// existed.
 #[derive(Debug, Default)]
-pub(super) struct Removed {
+pub(super) struct RemovedKeys {
     digests: HashSet<Digest>,
     order: VecDeque<Digest>,
 }
 
-impl Removed {
-    fn note(&mut self, before: Option<&Workspaces>, now: Option<&Workspaces>) {
+impl RemovedKeys {
+    fn update(&mut self, before: Option<&Workspaces>, now: Option<&Workspaces>) {
         let Some(now) = now else {
             return;
         };
@@ -71,9 +72,9 @@
     }
 }
 
-/// Takes in a reading of the configuration.
-pub(super) async fn read(ctx: &Context, reading: Reading) {
-    // The reader tries again, and the store's wrapper has logged why.
+/// Applies a reading of the configuration topic.
+pub(super) async fn apply_reading(ctx: &Context, reading: Reading) {
+    // The follower retries; `Store` has logged the failure.
     let Ok(seen) = reading.seen else {
         return;
     };
@@ -84,30 +85,30 @@
     let listing_end = seen.listing_end();
     let records = seen.records();
     for record in records.clone() {
-        take(ctx, record, "store").await;
+        apply_record(ctx, record, "store").await;
     }
-    // Not before the configuration, since peers compare the version of both.
+    // Applied after the configuration, since peers compare a version that covers both.
     evacuation::apply_records(ctx, listing_end, &records);
-    // Not before its records are in force, or they would count as confirmed.
+    // Recorded after the records are applied; otherwise outdated routes would count as confirmed.
     if is_whole {
-        ctx.catalog.confirmed(reading.asked);
+        ctx.catalog.record_confirmation(reading.asked);
     }
 }
 
 /// Applies a configuration received from a peer.
-pub(crate) async fn take_from_peer(ctx: &Context, config: Config) {
-    let record = Stored {
+pub(crate) async fn apply_from_peer(ctx: &Context, config: Config) {
+    let record = StoredRecord {
         offset: config.offset,
         entry: Entry {
             key: config.key,
             value: Some(config.value.into()),
         },
     };
-    take(ctx, record, "peer").await;
+    apply_record(ctx, record, "peer").await;
 }
 
-/// Takes in a configuration, and lets those know who act on it.
-async fn take(ctx: &Context, record: Stored, source: &'static str) {
+/// Applies a configuration record and notifies its users.
+async fn apply_record(ctx: &Context, record: StoredRecord, source: &'static str) {
     let Some(value) = record.entry.value else {
         return;
     };
@@ -120,37 +121,37 @@
         key: record.entry.key,
         value: value.to_vec(),
     };
-    let routes = ctx.catalog.put_config(config, decoded, source);
-    tell(
+    let routes = ctx.catalog.apply_config(config, decoded, source);
+    notify(
         ctx,
-        News {
+        Updated {
             routes,
-            ..News::default()
+            ..Updated::default()
         },
     );
 }
 
-async fn decode(ctx: &Context, key: &str, value: Bytes) -> Option<Result<Table, Unreadable>> {
+async fn decode(ctx: &Context, key: &str, value: Bytes) -> Option<Result<Table, DecodeError>> {
     let decode = ctx.decode.config;
-    if value.len() < APART_BYTES_MIN {
+    if value.len() < BLOCKING_DECODE_BYTES_MIN {
         return decode(key, &value);
     }
     let key = key.to_owned();
     let decoded = tokio::task::spawn_blocking(move || decode(&key, &value)).await;
     decoded.unwrap_or_else(|err| {
         let detail = err.to_string();
-        Some(Err(Unreadable { detail }))
+        Some(Err(DecodeError { detail }))
     })
 }
 
-/// Makes sure that the configuration in force was the newest at some time or later;
-/// returns whether it was. What is read meanwhile is in force then.
+/// Ensures that the current configuration was the newest at `since` or later, by reading the store
+/// if necessary; returns whether it was. Records read meanwhile have been applied on return.
 pub(crate) async fn confirm(ctx: &Context, since: Instant, until: Instant) -> bool {
     if ctx.catalog.is_confirmed(since) {
         return true;
     }
     if !ctx.store.is_up() {
-        // A peer may reach the store and tell of a newer one; whether it is the
+        // A peer with access to the store may provide a newer version; whether that is the
         // newest cannot be known.
         let mut routes = ctx.routes.subscribe();
         let wait = PEER_WAIT.min(until.saturating_duration_since(Instant::now()));
@@ -160,98 +161,98 @@
         ) && ctx.catalog.is_confirmed(since);
     }
     let until = tokio::time::Instant::from_std(until);
-    let looked = tokio::time::timeout_at(until, look(ctx, since)).await;
-    looked.is_ok() && ctx.catalog.is_confirmed(since)
+    let checked = tokio::time::timeout_at(until, check_newest(ctx, since)).await;
+    checked.is_ok() && ctx.catalog.is_confirmed(since)
 }
 
-async fn look(ctx: &Context, since: Instant) {
-    let mut last = ctx.catalog.look.lock().await;
+async fn check_newest(ctx: &Context, since: Instant) {
+    let mut last = ctx.catalog.last_check.lock().await;
     if ctx.catalog.is_confirmed(since) {
         return;
     }
     if let Some(last) = *last {
-        tokio::time::sleep_until((last + LOOK_GAP).into()).await;
+        tokio::time::sleep_until((last + CHECK_INTERVAL).into()).await;
     }
     *last = Some(Instant::now());
     let from = Some(ctx.catalog.versions().config).filter(|end| *end > 0);
     let reading = ctx.follower().once(Topic::Config, from).await;
     ctx.metrics
         .count(Counted::Changes, "configuration looked for");
-    read(ctx, reading).await;
+    apply_reading(ctx, reading).await;
 }
 
 impl Catalog {
-    /// Puts a configuration in force, unless a newer one is; returns whether it is now.
-    fn put_config(
+    /// Applies a configuration unless a newer one is known; returns whether it was applied.
+    fn apply_config(
         &self,
         config: Config,
-        decoded: Result<Table, Unreadable>,
+        decoded: Result<Table, DecodeError>,
         source: &'static str,
     ) -> bool {
-        let logger = &self.uses.logger;
+        let logger = &self.deps.logger;
         let offset = config.offset;
         let table = match decoded {
             Ok(table) => table,
             Err(err) => {
-                slog::error!(logger, "configuration not taken"; "offset" => offset,
+                slog::error!(logger, "invalid configuration"; "offset" => offset,
                     "source" => source, "error" => err.to_string());
                 return false;
             }
         };
-        // Held until the routes are in force: an older one must not overtake.
-        let mut known = lock(&self.known);
-        if known.config.as_ref().is_some_and(|c| c.offset >= offset) {
+        // Held until the routes are replaced, so that an older version cannot replace a newer one.
+        let mut state = lock(&self.state);
+        if state.config.as_ref().is_some_and(|c| c.offset >= offset) {
             return false;
         }
-        known.config = Some(config);
+        state.config = Some(config);
         let (version, workspaces) = (table.version(), table.workspaces().map(Workspaces::len));
-        for fault in table.entry_errors() {
-            slog::error!(logger, "entry of the configuration at fault"; "version" => version,
-                "error" => fault.to_string());
+        for error in table.entry_errors() {
+            slog::error!(logger, "invalid configuration entry"; "version" => version,
+                "error" => error.to_string());
         }
         let rates = table.services();
         let rates = rates.filter_map(|s| Some((s.name.clone(), s.cold_per_s?)));
-        lock(&self.uses.places).set_cold_rates(rates.collect());
+        lock(&self.deps.balancer).set_cold_rates(rates.collect());
         let table = Arc::new(table);
-        let before = self.uses.routes.send_replace(Some(Arc::clone(&table)));
+        let before = self.deps.routes.send_replace(Some(Arc::clone(&table)));
         let workspaces_before = before.as_ref().and_then(|t| t.workspaces());
-        known.removed.note(workspaces_before, table.workspaces());
-        drop(known);
-        self.uses.startup.mark_ready(Dependency::Routes, source);
-        self.uses.metrics.count(Counted::Changes, "configuration");
-        slog::info!(logger, "configuration in force"; "version" => version,
+        state.removed.update(workspaces_before, table.workspaces());
+        drop(state);
+        self.deps.startup.mark_ready(Dependency::Routes, source);
+        self.deps.metrics.count(Counted::Changes, "configuration");
+        slog::info!(logger, "configuration applied"; "version" => version,
             "before" => before.map(|t| t.version()), "offset" => offset, "source" => source,
             "workspaces" => workspaces);
         true
     }
 
-    /// Records when a peer confirmed a version as the newest, if that version is in force.
-    pub(crate) fn confirmed_by_peer(&self, version: u64, asked: Instant) {
-        let mut known = lock(&self.known);
-        let own = known.config_version();
+    /// Records that a peer confirmed a version as the newest, if it is the current version.
+    pub(crate) fn record_peer_confirmation(&self, version: u64, requested_at: Instant) {
+        let mut state = lock(&self.state);
+        let own = state.config_version();
         if own == version && own > 0 {
-            known.config_as_of = known.config_as_of.max(Some(asked));
+            state.config_as_of = state.config_as_of.max(Some(requested_at));
         }
     }
 
-    /// Notes that the configuration in force was the newest at some time.
-    fn confirmed(&self, asked: Instant) {
-        let mut known = lock(&self.known);
-        known.config_as_of = known.config_as_of.max(Some(asked));
+    /// Records that the current configuration was the newest at the given time.
+    fn record_confirmation(&self, requested_at: Instant) {
+        let mut state = lock(&self.state);
+        state.config_as_of = state.config_as_of.max(Some(requested_at));
     }
 
-    /// Returns whether the configuration in force was the newest at some time or later.
+    /// Returns whether the current configuration was the newest at `since` or later.
     pub(crate) fn is_confirmed(&self, since: Instant) -> bool {
-        lock(&self.known).config_as_of >= Some(since)
+        lock(&self.state).config_as_of >= Some(since)
     }
 
-    /// Returns the time since the configuration in force was known to be the newest.
+    /// Returns the time since the current configuration was last confirmed to be the newest.
     pub(crate) fn config_age(&self) -> Option<Duration> {
-        lock(&self.known).config_as_of.map(|at| at.elapsed())
+        lock(&self.state).config_as_of.map(|at| at.elapsed())
     }
 
-    /// Returns whether a key was taken away from the workspace that held it.
+    /// Returns whether a key was removed from the workspace that used it.
     pub(crate) fn was_removed(&self, key: &str) -> bool {
-        lock(&self.known).removed.contains(&access::digest(key))
+        lock(&self.state).removed.contains(&access::digest(key))
     }
 }
--- a/crates/gateway/src/catalog/follow.rs
+++ b/crates/gateway/src/catalog/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps the catalog up to date, and lets those know who act on it.
+//! Follows the configuration and target topics, and notifies the users of changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use notchwharf_listen::Phase;
 use tokio::sync::mpsc;
 
-use super::News;
+use super::Updated;
 use super::config;
 use crate::context::Context;
 use crate::follow::Pace;
@@ -17,41 +17,41 @@
 use crate::ports::Topic;
 use crate::time::ms;
 
-/// Part of the time to settle after a fault that a reading's wait leaves: a
-/// connection that falls silent is noticed after the wait and the store's timeout,
-/// and a new one has to bring the news, 1,550 ms in all with the default settings.
-/// The rest is a host that stands still for a moment.
-const SETTLE_REST: Duration = Duration::from_secs(2);
-/// Shortest wait of a reading: below, hosts would ask the store all the time.
+/// Part of the settle time after a fault that remains after a read's wait. A connection that fails
+/// silently is detected after the wait and the store's timeout, and the update has to be read over
+/// a new one: 1,550 ms in total with the default settings. The rest allows for a short stall of the
+/// host.
+const SETTLE_MARGIN: Duration = Duration::from_secs(2);
+/// Minimum wait of a read; with less, hosts would poll the store continuously.
 const WAIT_MIN: Duration = Duration::from_millis(500);
-/// Longest wait of a reading: half of what the store allows.
+/// Maximum wait of a read: half of what the store allows.
 const WAIT_MAX: Duration = Duration::from_secs(15);
-/// Time between two readings of the configuration that find one: it must be in
-/// force within two seconds.
-const CONFIG_GAP: Duration = Duration::from_millis(150);
-/// Time between two readings of targets that find some. A target that leaves must
-/// get nothing new two seconds later; when a fleet starts, its targets' entries
-/// come by the dozen.
-pub(super) const TARGETS_GAP: Duration = Duration::from_millis(300);
-/// Longest pause after a reading of either failed.
-const PAUSE_MAX: Duration = Duration::from_millis(200);
+/// Minimum time between two reads of the configuration that return records. A configuration must be
+/// applied within two seconds.
+const CONFIG_READ_INTERVAL: Duration = Duration::from_millis(150);
+/// Minimum time between two reads of targets that return records. A leaving target must not receive
+/// new requests after two seconds; when a fleet starts, dozens of entries are written at a time.
+pub(super) const TARGETS_READ_INTERVAL: Duration = Duration::from_millis(300);
+/// Maximum pause after a failed read of either topic.
+const RETRY_PAUSE_MAX: Duration = Duration::from_millis(200);
 
-/// Returns how the configuration or targets are read. A reading that waits costs no
-/// call, so it waits as long as the time to settle allows: 3 s where that is 5 s,
-/// a third of the calls that a wait of 1 s takes.
+/// Returns how a topic is read. A waiting read costs no call, so it waits as long as the settle
+/// time allows: 3 s with a settle time of 5 s, which takes a third of the calls of a wait of 1 s.
 fn pace(settings: &Settings, gap: Duration) -> Pace {
     let settle = ms(settings.targets.settle_ms);
     Pace {
-        wait: settle.saturating_sub(SETTLE_REST).clamp(WAIT_MIN, WAIT_MAX),
+        wait: settle
+            .saturating_sub(SETTLE_MARGIN)
+            .clamp(WAIT_MIN, WAIT_MAX),
         gap,
-        pause_max: PAUSE_MAX,
+        pause_max: RETRY_PAUSE_MAX,
     }
 }
 
-/// Time between two looks at targets whose entries are missing.
-pub(super) const SWEEP: Duration = Duration::from_millis(50);
+/// Interval between checks of targets whose entries are missing.
+pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Starts to follow routes and targets.
+/// Starts to follow the configuration and target topics.
 pub(crate) fn start(ctx: &Arc<Context>) {
     tokio::spawn(follow_config(Arc::clone(ctx)));
     tokio::spawn(follow_targets(Arc::clone(ctx)));
@@ -59,9 +59,9 @@
 }
 
 async fn follow_config(ctx: Arc<Context>) {
-    let pace = pace(&ctx.settings, CONFIG_GAP);
-    peers::catalog(&ctx).await;
-    // What a peer told need not be listed again.
+    let pace = pace(&ctx.settings, CONFIG_READ_INTERVAL);
+    peers::wait_for_role(&ctx).await;
+    // Records received from a peer need not be listed again.
     let catalog = Arc::clone(&ctx.catalog);
     let source = Source {
         from: Box::new(move || Some(catalog.versions().config).filter(|end| *end > 0)),
@@ -69,24 +69,24 @@
         reads_first: false,
     };
     let follower = ctx.follower();
-    // A large configuration takes a while to read; what is read later waits.
+    // Decoding a large configuration takes time, during which later readings are queued.
     let (readings, mut read) = mpsc::unbounded_channel();
     let sink = move |reading| {
         // The receiver lives until the follower has ended.
         let _ = readings.send(reading);
     };
     let following = follower.follow(Topic::Config, pace, source, sink);
-    let taking = async {
+    let applying = async {
         while let Some(reading) = read.recv().await {
-            config::read(&ctx, reading).await;
+            config::apply_reading(&ctx, reading).await;
         }
     };
-    tokio::join!(following, taking);
+    tokio::join!(following, applying);
 }
 
 async fn follow_targets(ctx: Arc<Context>) {
-    let pace = pace(&ctx.settings, TARGETS_GAP);
-    peers::catalog(&ctx).await;
+    let pace = pace(&ctx.settings, TARGETS_READ_INTERVAL);
+    peers::wait_for_role(&ctx).await;
     let catalog = Arc::clone(&ctx.catalog);
     let source = Source {
         from: Box::new(move || Some(catalog.targets_end()).filter(|end| *end > 0)),
@@ -95,25 +95,25 @@
     };
     let follower = ctx.follower();
     let sink = |reading| {
-        let news = ctx.catalog.read_targets(reading, Instant::now());
-        tell(&ctx, news);
+        let updated = ctx.catalog.apply_targets(reading, Instant::now());
+        notify(&ctx, updated);
     };
     follower.follow(Topic::Targets, pace, source, sink).await;
 }
 
-/// Lets those know who act on routes and targets.
-pub(super) fn tell(ctx: &Context, news: News) {
-    if news.routes {
-        ctx.enter(Phase::Ready);
-        ctx.peers.tell();
+/// Notifies the users of routes and targets of changes.
+pub(super) fn notify(ctx: &Context, updated: Updated) {
+    if updated.routes {
+        ctx.advance_phase(Phase::Ready);
+        ctx.peers.notify();
     }
-    if news.targets {
+    if updated.targets {
         ctx.items.wake();
     }
 }
 
 async fn sweep(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(SWEEP);
+    let mut ticks = ctx.timer.subscribe(SWEEP_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         ctx.catalog.sweep(Instant::now());
     }
--- a/crates/gateway/src/catalog/records.rs
+++ b/crates/gateway/src/catalog/records.rs
@@ -34,8 +34,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerReading {
     /// When its newest complete reading of targets was requested.
-    pub(crate) asked: Option<Instant>,
-    /// When its configuration was last known to be the newest.
+    pub(crate) requested_at: Option<Instant>,
+    /// When its configuration was last confirmed to be the newest.
     pub(crate) config_as_of: Option<Instant>,
     evidence: Evidence,
 }
@@ -44,64 +44,64 @@
     /// Converts a reported state to this host's clock, given the delay of the message.
     pub(crate) fn from_peer(message: &records::Reading, delay: Duration, now: Instant) -> Self {
         let at = |ago: Option<u64>| ago.and_then(|ago| now.checked_sub(ms(ago) + delay));
-        let contact = |message: &records::Contact| {
+        let availability = |message: &records::Contact| {
             CallHistory::from_peer(at(message.away_ms_ago), at(message.back_ms_ago))
         };
         Self {
-            asked: at(message.age_ms),
+            requested_at: at(message.age_ms),
             config_as_of: at(message.config_age_ms),
             evidence: Evidence {
-                reads: contact(&message.targets),
-                calls: contact(&message.calls),
+                reads: availability(&message.targets),
+                calls: availability(&message.calls),
             },
         }
     }
 
-    /// Returns whether the store answers readings, according to the reader.
-    pub(crate) fn is_served(&self) -> bool {
-        let readings = &self.evidence.reads;
-        readings.outage_at().is_none() || readings.recovered_at().is_some()
+    /// Returns whether reads of the store succeed, according to the reader.
+    pub(crate) fn is_store_serving(&self) -> bool {
+        let reads = &self.evidence.reads;
+        reads.outage_at().is_none() || reads.recovered_at().is_some()
     }
 }
 
 impl Catalog {
     pub(crate) fn versions(&self) -> Versions {
-        let known = lock(&self.known);
+        let state = lock(&self.state);
         // A log without targets also counts as read.
-        let is_read = u64::from(known.targets.end() > 0);
+        let is_read = u64::from(state.targets.end() > 0);
         Versions {
-            config: known.config_version(),
-            targets: known.targets.changes_end().max(is_read),
+            config: state.config_version(),
+            targets: state.targets.changes_end().max(is_read),
         }
     }
 
     /// Returns whether versions of another host are newer than this host's.
-    pub(crate) fn is_behind(&self, theirs: Versions) -> bool {
-        let known = lock(&self.known);
-        theirs.config > known.config_version() || theirs.targets > known.targets.end()
+    pub(crate) fn is_behind(&self, versions: Versions) -> bool {
+        let state = lock(&self.state);
+        versions.config > state.config_version() || versions.targets > state.targets.end()
     }
 
     /// Returns the offset from which to read the log of targets.
     pub(crate) fn targets_end(&self) -> u64 {
-        lock(&self.known).targets.end()
+        lock(&self.state).targets.end()
     }
 
     /// Returns the position from which to request targets of another host.
     pub(crate) fn targets_position(&self) -> Position {
-        lock(&self.known).targets.position()
+        lock(&self.state).targets.position()
     }
 
     /// Returns the configuration if it is newer than a version.
     pub(crate) fn config_after(&self, version: u64) -> Option<Config> {
-        let known = lock(&self.known);
-        let config = known.config.as_ref();
+        let state = lock(&self.state);
+        let config = state.config.as_ref();
         config.filter(|c| c.offset >= version).cloned()
     }
 
     /// Returns the evacuated data centres if they have changed since `version`.
     pub(crate) fn evacuated_after(&self, version: u64) -> Option<records::Evacuated> {
-        let known = lock(&self.known);
-        let evacuated = Some(&known.evacuated).filter(|e| e.version > version)?;
+        let state = lock(&self.state);
+        let evacuated = Some(&state.evacuated).filter(|e| e.version > version)?;
         Some(records::Evacuated {
             version: evacuated.version,
             data_centres: evacuated.data_centres.iter().cloned().collect(),
@@ -111,7 +111,7 @@
     /// Returns the target records that another host is missing, up to `limit` where the
     /// transfer can be continued.
     pub(crate) fn targets_since(&self, position: &Position, limit: usize) -> records::Targets {
-        let difference = lock(&self.known).targets.since(position, limit);
+        let difference = lock(&self.state).targets.since(position, limit);
         let changes = difference.records.into_iter().map(|record| {
             let target = record.value.map(target);
             records::TargetChange {
@@ -135,18 +135,18 @@
 
     /// Returns the state of reading the log, by this host or by the reader it follows.
     pub(crate) fn reading(&self, now: Instant) -> records::Reading {
-        let known = lock(&self.known);
-        let evidence = self.evidence(&known);
+        let state = lock(&self.state);
+        let evidence = self.evidence(&state);
         let ago = |at: Option<Instant>| at.map(|at| millis(now.saturating_duration_since(at)));
-        let contact = |contact: &CallHistory| records::Contact {
-            away_ms_ago: ago(contact.outage_at()),
-            back_ms_ago: ago(contact.recovered_at()),
+        let availability = |of: &CallHistory| records::Contact {
+            away_ms_ago: ago(of.outage_at()),
+            back_ms_ago: ago(of.recovered_at()),
         };
         records::Reading {
-            age_ms: ago(known.targets.complete_as_of()),
-            config_age_ms: ago(known.config_as_of),
-            targets: contact(&evidence.reads),
-            calls: contact(&evidence.calls),
+            age_ms: ago(state.targets.complete_as_of()),
+            config_age_ms: ago(state.config_as_of),
+            targets: availability(&evidence.reads),
+            calls: availability(&evidence.calls),
         }
     }
 
@@ -154,32 +154,32 @@
     pub(crate) fn apply_peer_targets(
         &self,
         message: records::Targets,
-        read: PeerReading,
+        reading: PeerReading,
         now: Instant,
     ) -> bool {
-        let mut known = lock(&self.known);
+        let mut state = lock(&self.state);
         let to = message.to;
-        if known.targets.end() > to {
+        if state.targets.end() > to {
             return false;
         }
-        let none_before = known.targets.complete_as_of();
-        let answered = ReadInfo {
-            requested_at: read.asked.unwrap_or(now),
+        let complete_as_of = state.targets.complete_as_of();
+        let read_info = ReadInfo {
+            requested_at: reading.requested_at.unwrap_or(now),
             answered_at: now,
-            is_at_end: read.asked.is_some(),
+            is_at_end: reading.requested_at.is_some(),
         };
         let difference = difference(message);
-        let changes = known
+        let changes = state
             .targets
-            .apply_difference(&answered, &read.evidence, difference);
-        if known.targets.end() == to {
-            known.peer_evidence = Some(read.evidence);
+            .apply_difference(&read_info, &reading.evidence, difference);
+        if state.targets.end() == to {
+            state.peer_evidence = Some(reading.evidence);
         }
-        let is_any = self.put_to_use(none_before, &read.evidence, changes, now);
-        if is_any || known.targets.end() > 0 {
-            self.uses.startup.mark_ready(Dependency::Targets, "peer");
+        let has_changes = self.apply_changes(complete_as_of, &reading.evidence, changes, now);
+        if has_changes || state.targets.end() > 0 {
+            self.deps.startup.mark_ready(Dependency::Targets, "peer");
         }
-        is_any
+        has_changes
     }
 }
 
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a host: start, leave, stop.
+//! The lifecycle of a host: start, graceful shutdown, stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,9 +25,9 @@
 use crate::work;
 use notchwharf_listen::Phase;
 
-const DRAIN_PERIOD: Duration = Duration::from_millis(20);
-/// Time for the host's entry to be dropped when it leaves.
-const LEAVE_LIST_TIMEOUT: Duration = Duration::from_millis(200);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout for deleting the host's entry from the host list at shutdown.
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A running host.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
 }
 
 impl Host {
-    /// Starts a host; the adapter starts to listen for callers itself.
+    /// Starts a host. The adapter starts to listen for callers itself.
     ///
     /// # Errors
     ///
@@ -77,42 +77,44 @@
         Ok(Self { ctx })
     }
 
-    /// Returns what all parts of the host share.
+    /// Returns the state shared by all modules of the host.
     pub fn context(&self) -> &Arc<Context> {
         &self.ctx
     }
 
-    /// Leaves: turns not ready, finishes what it has, stops.
+    /// Shuts down gracefully: reports not ready, finishes requests in progress and stops.
     ///
-    /// Returns whether everything was finished within the settings' time.
+    /// Returns whether everything was finished within the configured time.
     pub async fn leave(self) -> bool {
         let ctx = &self.ctx;
-        ctx.enter(Phase::Leaving);
-        ctx.peers.tell();
+        ctx.advance_phase(Phase::Leaving);
+        ctx.peers.notify();
         slog::info!(ctx.logger, "leaving"; "in_flight" => ctx.in_flight.count(),
             "connections" => ctx.connections.count());
         let timeout = ms(ctx.settings.shutdown.drain_timeout_ms);
         let drained = tokio::time::timeout(timeout, self.drain()).await;
         let in_flight = ctx.in_flight.count();
-        ctx.enter(Phase::Stopped);
+        ctx.advance_phase(Phase::Stopped);
         slog::info!(ctx.logger, "stopped"; "clean" => drained.is_ok(), "in_flight" => in_flight);
         drained.is_ok()
     }
 
     async fn drain(&self) {
         let ctx = &self.ctx;
-        let mut ticks = ctx.timer.subscribe(DRAIN_PERIOD);
-        // One that starts meanwhile asks those in the list who holds its parts.
+        let mut ticks = ctx.timer.subscribe(DRAIN_CHECK_INTERVAL);
+        // Hosts that start meanwhile query the listed hosts for the leases on limits that they
+        // hold.
         limits::stop_holding(ctx);
-        // A host that could not drop its entry is found out by its silence.
-        let _ = tokio::time::timeout(LEAVE_LIST_TIMEOUT, peers::leave(ctx)).await;
+        // If the entry cannot be deleted, other hosts detect the shutdown by the missing
+        // heartbeats.
+        let _ = tokio::time::timeout(DEREGISTER_TIMEOUT, peers::deregister(ctx)).await;
         tokio::time::sleep(ms(ctx.settings.shutdown.notice_ms)).await;
         while ctx.in_flight.count() + ctx.items.unsettled.count() > 0 {
             if ticks.recv().await.is_none() {
                 return;
             }
         }
-        ctx.enter(Phase::Closing);
+        ctx.advance_phase(Phase::Closing);
         while ctx.connections.count() > 0 && ticks.recv().await.is_some() {}
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,21 +1,20 @@
-//! Other hosts: who they are, what they run, and what they know.
+//! Other hosts: failure detection, their load, and calls to them.
 //!
-//! Hosts find one another in the store and then speak by datagram: each tells
-//! all others of its cell what it runs as soon as that changes. A host that is cut from the
-//! store takes routes and targets from a peer that knows newer ones.
+//! Hosts find one another by the host list in the store and then exchange datagrams: each notifies
+//! all others of its cell as soon as its load changes. A host that cannot reach the store receives
+//! routes and targets from a peer with newer ones.
 //!
-//! The gossip of the membership package was rejected here: it spreads news in
-//! rounds, and a place that was taken must be known within milliseconds. Calls
-//! between hosts use plain HTTP and not JSON-RPC, since the one there is hands
-//! over bytes as they came.
+//! The gossip of the membership package was rejected here: it disseminates in rounds, but the start
+//! of a request must be known within milliseconds. Calls between hosts use plain HTTP rather than
+//! JSON-RPC, since their bodies are raw bytes.
 
+mod bootstrap;
 mod cell;
 mod contact;
+mod host_list;
 mod host_log;
 mod links;
-mod list;
-mod loading;
-mod receivers;
+mod recipients;
 mod relay;
 mod rpc;
 mod status;
@@ -62,51 +61,51 @@
 use crate::sync::lock;
 use crate::time::ms;
 
-use self::cell::FAR_WORD_MAX;
-use self::cell::Neighbours;
+use self::bootstrap::Bootstrap;
+pub(crate) use self::bootstrap::fetch_job_records;
+pub(crate) use self::bootstrap::wait_for_role;
+use self::cell::CELL_REPORT_TTL;
+use self::cell::CellState;
+pub(crate) use self::host_list::deregister;
 use self::host_log::HostLog;
-pub(crate) use self::list::leave;
-use self::loading::Loading;
-pub(crate) use self::loading::catalog;
-pub(crate) use self::loading::records;
 use self::relay::Relay;
-pub(crate) use self::rpc::NotAnswered;
+pub(crate) use self::rpc::CallError;
 
-/// Time without the store after which a host's jobs are taken over: most
-/// outages of one host are shorter, and items take some seconds.
-pub(crate) const STORELESS_MAX: Duration = Duration::from_millis(1_500);
+/// Time without access to the store after which a host's jobs are taken over: most outages of a
+/// single host are shorter, and items take some seconds.
+pub(crate) const STORE_OUTAGE_MAX: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at who is down.
-const SWEEP: Duration = Duration::from_millis(100);
+/// Interval between checks for failed hosts.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Other hosts.
+/// The other hosts known to this one.
 #[derive(Debug)]
 pub(crate) struct Peers {
     known: Mutex<HashMap<HostId, Peer>>,
-    dirty: Arc<Notify>,
-    /// What hosts elsewhere were last told that this one runs at their targets.
-    told_elsewhere: Mutex<BTreeMap<DataCentreId, Vec<(TargetKey, Load)>>>,
-    /// When a peer was last lost or said that it leaves.
-    lost_at: Mutex<Option<Instant>>,
+    changed: Arc<Notify>,
+    /// The loads of this host by remote data centre, as last sent there.
+    last_sent_remote: Mutex<BTreeMap<DataCentreId, Vec<(TargetKey, Load)>>>,
+    /// When a peer last failed or announced its shutdown.
+    peer_lost_at: Mutex<Option<Instant>>,
     socket: OnceLock<UdpSocket>,
     relay: Relay,
-    neighbours: Neighbours,
+    cell_state: CellState,
     host_log: Mutex<HostLog>,
-    loading: Loading,
-    /// Since when the list has this host's own entry.
-    entered_at: Mutex<Option<Instant>>,
-    /// Whether it had it when this host started.
+    bootstrap: Bootstrap,
+    /// Since when the host list has contained this host's entry.
+    registered_at: Mutex<Option<Instant>>,
+    /// Whether the list contained it when this host started.
     was_listed: AtomicBool,
 }
 
-/// Another host, as limits know it.
+/// Another host, as needed by the rate limits.
 #[derive(Clone, Debug)]
-pub(crate) struct ForLimits {
+pub(crate) struct QuotaPeer {
     pub(crate) key: HostKey,
     pub(crate) addr: SocketAddr,
-    /// Whether it could hold limits.
+    /// Whether it may hold leases on limits.
     pub(crate) could_hold: bool,
-    /// Whether it has been silent for so long that it holds none.
+    /// Whether it has been silent for so long that its leases have expired.
     pub(crate) is_silent: bool,
 }
 
@@ -114,56 +113,56 @@
 struct Peer {
     addr: SocketAddr,
     /// Since when it has been known.
-    since: Instant,
-    /// Whether the list says that it has long been silent, or is being told.
+    known_since: Instant,
+    /// Whether its entry in the host list is marked as silent, or is being marked.
     is_marked_silent: bool,
-    /// Where it stands, once its entry in the store is known.
+    /// Its data centre, once its entry in the host list is known.
     data_centre: Option<DataCentreId>,
-    heard: Option<Instant>,
+    last_received: Option<Instant>,
     is_alive: bool,
-    told: Option<Instant>,
+    last_sent: Option<Instant>,
     ahead_since: Option<Instant>,
-    /// Since when it does not reach the store.
-    storeless_since: Option<Instant>,
+    /// Since when it has reported that it cannot reach the store.
+    store_unavailable_since: Option<Instant>,
     status: Status,
-    /// When it last told of its cell, being in another one, and whether it reached
-    /// the store.
-    far_word: Option<(Instant, bool)>,
+    /// For a host of another cell: when it last sent a summary of its cell, and whether it could
+    /// reach the store.
+    cell_report: Option<(Instant, bool)>,
 }
 
 impl Peer {
     fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
-            since: Instant::now(),
+            known_since: Instant::now(),
             is_marked_silent: false,
             data_centre: None,
-            heard: None,
+            last_received: None,
             is_alive: false,
-            told: None,
+            last_sent: None,
             ahead_since: None,
-            storeless_since: None,
+            store_unavailable_since: None,
             status: Status::default(),
-            far_word: None,
+            cell_report: None,
         }
     }
 }
 
 impl Peers {
-    /// Returns that no other host is known yet.
+    /// Returns a state without known hosts.
     pub(crate) fn new(settings: &Settings) -> Self {
         let cell_hosts_max = usize::try_from(settings.cell_hosts_max).unwrap_or(usize::MAX);
         Self {
             known: Mutex::default(),
-            dirty: Arc::default(),
-            told_elsewhere: Mutex::default(),
-            lost_at: Mutex::default(),
+            changed: Arc::default(),
+            last_sent_remote: Mutex::default(),
+            peer_lost_at: Mutex::default(),
             socket: OnceLock::new(),
             relay: Relay::default(),
-            neighbours: Neighbours::new(cell_hosts_max),
+            cell_state: CellState::new(cell_hosts_max),
             host_log: Mutex::default(),
-            loading: Loading::default(),
-            entered_at: Mutex::default(),
+            bootstrap: Bootstrap::default(),
+            registered_at: Mutex::default(),
             was_listed: AtomicBool::new(false),
         }
     }
@@ -174,44 +173,44 @@
         known.values().filter(|peer| peer.is_alive).count()
     }
 
-    /// Returns the number of other hosts of which it is known where they stand.
+    /// Returns the number of other hosts whose data centre is known.
     pub(crate) fn listed(&self) -> usize {
         let known = lock(&self.known);
         let listed = known.values().filter(|peer| peer.data_centre.is_some());
         listed.count()
     }
 
-    /// Returns what lets peers know soon that something has changed.
-    pub(crate) fn dirty(&self) -> Arc<Notify> {
-        Arc::clone(&self.dirty)
+    /// Returns the handle that triggers a notification of peers.
+    pub(crate) fn change_notifier(&self) -> Arc<Notify> {
+        Arc::clone(&self.changed)
     }
 
-    /// Lets peers know soon that something has changed.
-    pub(crate) fn tell(&self) {
-        self.dirty.notify_one();
+    /// Notifies peers of a change soon.
+    pub(crate) fn notify(&self) {
+        self.changed.notify_one();
     }
 
-    /// Sends this host's load to peers immediately, or with the next heartbeat if the fleet
-    /// is divided into cells and the target's places are not scarce.
-    pub(crate) fn tell_load(&self, is_scarce: bool) {
-        if is_scarce || !self.neighbours.cells().is_divided() {
-            self.tell();
+    /// Sends this host's load to peers immediately, or with the next heartbeat if the fleet is
+    /// divided into cells and the target has enough free slots.
+    pub(crate) fn notify_load(&self, is_scarce: bool) {
+        if is_scarce || !self.cell_state.cells().is_divided() {
+            self.notify();
         }
     }
 
-    /// Returns whether no host can be missing from those that are known. One that is new
-    /// to the list waits until those that are new as well have written their entries.
+    /// Returns whether all hosts of the fleet are known. A host that is new to the list waits until
+    /// others that started with it have written their entries.
     pub(crate) fn is_fleet_known(&self) -> bool {
-        let entered_at = *lock(&self.entered_at);
-        let is_settled = entered_at.is_some_and(|at| at.elapsed() >= list::SETTLED_AFTER);
+        let registered_at = *lock(&self.registered_at);
+        let is_settled = registered_at.is_some_and(|at| at.elapsed() >= host_list::SETTLED_AFTER);
         let was_listed = self.was_listed.load(Ordering::Relaxed);
-        self.loading.is_list_read() && (was_listed || is_settled)
+        self.bootstrap.is_list_read() && (was_listed || is_settled)
     }
 
-    /// Returns all other hosts that are known, for whoever shares limits with them.
-    pub(crate) fn for_limits(&self) -> Vec<ForLimits> {
+    /// Returns all other known hosts, as needed by the rate limits.
+    pub(crate) fn quota_peers(&self) -> Vec<QuotaPeer> {
         let known = lock(&self.known);
-        let all = known.iter().map(|(host, peer)| ForLimits {
+        let all = known.iter().map(|(host, peer)| QuotaPeer {
             key: host_key(host),
             addr: peer.addr,
             could_hold: peer.is_alive && !peer.status.leaving,
@@ -220,27 +219,27 @@
         all.collect()
     }
 
-    /// Sends a datagram; lost, whoever sent it makes up for it.
-    pub(crate) fn send_to(&self, addr: SocketAddr, news: &PeerMessage) {
+    /// Sends a datagram. Senders must compensate for lost ones.
+    pub(crate) fn send_to(&self, addr: SocketAddr, message: &PeerMessage) {
         if let Some(socket) = self.socket.get() {
-            let _ = socket.try_send_to(&messages::encode(news), addr);
+            let _ = socket.try_send_to(&messages::encode(message), addr);
         }
     }
 
-    fn send_to_host(&self, host: &str, news: &PeerMessage) {
+    fn send_to_host(&self, host: &str, message: &PeerMessage) {
         let addr = lock(&self.known).get(host).map(|p| p.addr);
         if let Some(addr) = addr {
-            self.send_to(addr, news);
+            self.send_to(addr, message);
         }
     }
 
-    /// Asks a peer to cut an item at a target.
-    pub(crate) fn ask_cut(&self, host: &str, target: TargetKey) {
-        // Lost, the target is overfull and its hosts notice that too.
+    /// Requests a peer to preempt an item at a target.
+    pub(crate) fn request_preemption(&self, host: &str, target: TargetKey) {
+        // If this is lost, the target stays overcommitted, which its hosts detect.
         self.send_to_host(host, &PeerMessage::Preemption(Preemption { target }));
     }
 
-    /// Returns the addresses of the hosts of some data centres that live.
+    /// Returns the addresses of the live hosts of some data centres.
     fn alive_in(&self, data_centres: &BTreeSet<&DataCentreId>) -> Vec<SocketAddr> {
         let known = lock(&self.known);
         let alive = known.values().filter(|peer| {
@@ -250,64 +249,65 @@
         alive.map(|peer| peer.addr).collect()
     }
 
-    /// Hands a place that has fallen free to a request that waits at a peer.
-    pub(crate) fn hand(&self, host: &str, target: TargetKey) {
-        // Lost, all see soon that the place is free.
+    /// Transfers a freed slot to a request that waits at a peer.
+    pub(crate) fn transfer_slot(&self, host: &str, target: TargetKey) {
+        // If this is lost, all hosts soon see the free slot.
         self.send_to_host(host, &PeerMessage::SlotTransfer(SlotTransfer { target }));
     }
 
-    /// Returns the hosts that can run jobs' items, without this one: they are
-    /// alive, stay, and reach the store.
-    fn able(&self) -> Vec<HostId> {
+    /// Returns the other hosts of this cell that can run items: those that are alive, not shutting
+    /// down, and able to reach the store.
+    fn item_hosts(&self) -> Vec<HostId> {
         let known = lock(&self.known);
-        let able = known
+        let hosts = known
             .iter()
             .filter(|(_, peer)| peer.is_alive && !peer.status.leaving && peer.status.store_up);
-        able.map(|(host, _)| host.clone()).collect()
+        hosts.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Returns whether a peer goes on running the items of its jobs. Without
-    /// the store it does for a moment: taken over, its items would run again.
-    pub(crate) fn keeps_jobs(&self, host: &str) -> bool {
+    /// Returns whether a peer continues to run the items of its jobs. A short outage of the store
+    /// does not change this, since items of a job that is taken over run again.
+    pub(crate) fn retains_jobs(&self, host: &str) -> bool {
         let known = lock(&self.known);
         known.get(host).is_some_and(|peer| {
-            let storeless = peer.storeless_since.map(|at| at.elapsed());
-            let reaches_store = storeless.is_none_or(|time| time < STORELESS_MAX);
+            let outage = peer.store_unavailable_since.map(|at| at.elapsed());
+            let reaches_store = outage.is_none_or(|time| time < STORE_OUTAGE_MAX);
             peer.is_alive && !peer.status.leaving && reaches_store
         })
     }
 
-    /// Returns whether a peer was lost or left within a time before now.
-    pub(crate) fn lost_within(&self, time: Duration) -> bool {
-        lock(&self.lost_at).is_some_and(|at| at.elapsed() < time)
+    /// Returns whether a peer has failed or left within a time before now.
+    pub(crate) fn has_lost_peer_within(&self, time: Duration) -> bool {
+        lock(&self.peer_lost_at).is_some_and(|at| at.elapsed() < time)
     }
 
-    /// Returns the hosts of other cells that have just said that they reach the
-    /// store: the store may turn away a whole data centre.
-    fn able_far(&self) -> Vec<HostId> {
+    /// Returns the hosts of other cells that have recently reported access to the store, which may
+    /// refuse all hosts of a data centre.
+    fn remote_hosts_with_store(&self) -> Vec<HostId> {
         let known = lock(&self.known);
-        let able = known.iter().filter(|(_, peer)| {
-            let word = peer.far_word;
-            word.is_some_and(|(at, store_up)| store_up && at.elapsed() < FAR_WORD_MAX)
+        let hosts = known.iter().filter(|(_, peer)| {
+            let report = peer.cell_report;
+            report.is_some_and(|(at, store_up)| store_up && at.elapsed() < CELL_REPORT_TTL)
         });
-        able.map(|(host, _)| host.clone()).collect()
+        hosts.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Returns the number of peers that reach the store.
+    /// Returns the number of peers that can reach the store.
     pub(crate) fn with_store(&self) -> usize {
-        self.able().len() + self.able_far().len()
+        self.item_hosts().len() + self.remote_hosts_with_store().len()
     }
 
-    /// Returns the addresses of some peers that reach the store, in the order in which to
-    /// ask them: some of this host's cell, then some of others. The store may have turned
-    /// away the whole cell a moment ago, and its hosts have not said so yet.
-    pub(crate) fn with_store_addrs(&self, most: usize) -> Vec<SocketAddr> {
-        let (able, able_far) = (self.able(), self.able_far());
+    /// Returns the addresses of random peers that can reach the store, in the order in which to
+    /// call them: up to `most` of this host's cell, then up to `most` of others. The store may have
+    /// refused the whole cell a moment ago without its hosts having reported it.
+    pub(crate) fn sample_with_store(&self, most: usize) -> Vec<SocketAddr> {
+        let (item_hosts, remote_hosts) = (self.item_hosts(), self.remote_hosts_with_store());
         let known = lock(&self.known);
         let mut rng = rand::rng();
-        let near = able.sample(&mut rng, most);
-        let far = able_far.sample(&mut rng, most);
-        near.chain(far)
+        let local = item_hosts.sample(&mut rng, most);
+        let remote = remote_hosts.sample(&mut rng, most);
+        local
+            .chain(remote)
             .filter_map(|host| known.get(host).map(|peer| peer.addr))
             .collect()
     }
@@ -316,91 +316,90 @@
     ///
     /// # Errors
     ///
-    /// Returns whether the peer may have done what it was asked for.
+    /// The error says whether the peer may have executed the call.
     pub(crate) async fn call(
         &self,
         addr: SocketAddr,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Bytes, NotAnswered> {
+    ) -> Result<Bytes, CallError> {
         rpc::call(addr, rpc::JOBS, body, timeout).await
     }
 
-    /// Returns whether this host is the one of its cell that should take a job
-    /// over.
+    /// Returns whether this host is the one of its cell that should take over a job.
     pub(crate) fn is_successor(&self, own: &str, job: &str) -> bool {
-        let able = self.able();
-        let mut hosts: Vec<&str> = able.iter().map(String::as_str).collect();
+        let item_hosts = self.item_hosts();
+        let mut hosts: Vec<&str> = item_hosts.iter().map(String::as_str).collect();
         hosts.push(own);
         rendezvous::top_ranked(job, &hosts, 1) == [own]
     }
 }
 
-/// Returns whether this host looks after the jobs of another that may be gone.
-pub(crate) fn looks_after(ctx: &Context, host: &str) -> bool {
-    cell::looks_after(ctx, host)
+/// Returns whether this host may take over the jobs of another one that has possibly failed.
+pub(crate) fn is_responsible_for(ctx: &Context, host: &str) -> bool {
+    cell::is_responsible_for(ctx, host)
 }
 
-/// Returns whether a task of the whole fleet is for a host of this one's cell.
-pub(crate) fn is_for_cell(ctx: &Context, task: &str) -> bool {
-    cell::is_for_cell(ctx, task)
+/// Returns whether a task of the whole fleet is assigned to this host's cell.
+pub(crate) fn is_assigned_to_own_cell(ctx: &Context, task: &str) -> bool {
+    cell::is_assigned_to_own_cell(ctx, task)
 }
 
-/// Starts to speak with other hosts.
+/// Starts to communicate with other hosts.
 pub(crate) fn start(ctx: &Arc<Context>, socket: UdpSocket, listeners: Vec<TcpListener>) {
-    // The context is new, so nothing was set in it before.
+    // The context is new, so the socket was not set before.
     let _ = ctx.peers.socket.set(socket);
-    tokio::spawn(list::enter(Arc::clone(ctx)));
+    tokio::spawn(host_list::register(Arc::clone(ctx)));
     let (shared, list_ctx) = (Arc::clone(ctx), Arc::clone(ctx));
     let source = Source {
-        from: Box::new(move || Some(list::end(&list_ctx)).filter(|end| *end > 0)),
+        from: Box::new(move || Some(host_list::end(&list_ctx)).filter(|end| *end > 0)),
         is_reader: ctx.distributor.is_reader(),
         reads_first: true,
     };
     tokio::spawn(
         ctx.follower()
-            .follow(Topic::Hosts, list::PACE, source, move |reading| {
-                list::take(&shared, reading);
+            .follow(Topic::Hosts, host_list::PACE, source, move |reading| {
+                host_list::apply_reading(&shared, reading);
             }),
     );
     let ticks = ctx.timer.subscribe(spread::TICK);
     let links = links::new(ctx);
     spread::start(&ctx.distributor, links, ticks, ctx.phase.subscribe());
     tokio::spawn(contact::run(Arc::clone(ctx)));
-    tokio::spawn(status::send(Arc::clone(ctx)));
-    tokio::spawn(status::receive(Arc::clone(ctx)));
+    tokio::spawn(status::run_sender(Arc::clone(ctx)));
+    tokio::spawn(status::run_receiver(Arc::clone(ctx)));
     tokio::spawn(relay::run(Arc::clone(ctx)));
     tokio::spawn(cell::run(Arc::clone(ctx)));
-    tokio::spawn(loading::run(Arc::clone(ctx)));
-    tokio::spawn(suspects::retell(Arc::clone(ctx)));
+    tokio::spawn(bootstrap::run(Arc::clone(ctx)));
+    tokio::spawn(suspects::send_periodic_reports(Arc::clone(ctx)));
     tokio::spawn(sweep(Arc::clone(ctx)));
     for listener in listeners {
         tokio::spawn(rpc::serve(Arc::clone(ctx), listener));
     }
 }
 
-/// Returns the number of hosts that tell one another at each change, with this one.
-fn near_hosts(ctx: &Context) -> u32 {
+/// Returns the number of hosts that notify one another of each change, including this one.
+fn local_host_count(ctx: &Context) -> u32 {
     let known = lock(&ctx.peers.known);
-    let near = known
+    let local = known
         .values()
-        .filter(|peer| peer.is_alive && relay::is_near(ctx, peer));
-    u32::try_from(near.count() + 1).unwrap_or(u32::MAX)
+        .filter(|peer| peer.is_alive && relay::is_local(ctx, peer));
+    u32::try_from(local.count() + 1).unwrap_or(u32::MAX)
 }
 
-/// Notes peers that have fallen silent.
+/// Detects peers that have failed.
 async fn sweep(ctx: Arc<Context>) {
     let down = ms(ctx.settings.peers.down_ms);
-    let mut ticks = ctx.timer.subscribe(SWEEP);
-    let mut lateness = Lateness::new(SWEEP, Instant::now());
+    let mut ticks = ctx.timer.subscribe(SWEEP_INTERVAL);
+    let mut lateness = Lateness::new(SWEEP_INTERVAL, Instant::now());
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         let now = Instant::now();
         let late = lateness.tick(now);
         let mut lost = Vec::new();
         for (host, peer) in lock(&ctx.peers.known).iter_mut() {
             // Messages that arrived while this process was stalled have not been read yet.
-            peer.heard = peer.heard.map(|at| (at + late).min(now));
-            let silence = peer.heard.map(|at| at.elapsed());
+            peer.last_received = peer.last_received.map(|at| (at + late).min(now));
+            let silence = peer.last_received.map(|at| at.elapsed());
             if peer.is_alive && silence.is_some_and(|s| s >= down) {
                 peer.is_alive = false;
                 lost.push((host.clone(), silence));
@@ -410,13 +409,13 @@
             slog::warn!(ctx.logger, "host down"; "peer" => host.as_str(),
                 "silent_ms" => silence.map(|s| s.as_millis()));
             ctx.metrics.count(Counted::Changes, "host down");
-            *lock(&ctx.peers.lost_at) = Some(Instant::now());
-            lock(&ctx.places).remove_peer(&host);
+            *lock(&ctx.peers.peer_lost_at) = Some(Instant::now());
+            lock(&ctx.balancer).remove_peer(&host);
             ctx.items.peer_down(&host);
             ctx.waiting.peer_down(&host);
             ctx.items.wake();
         }
-        list::mark_silent(&ctx);
-        ctx.waiting.set_hosts(near_hosts(&ctx));
+        host_list::mark_silent(&ctx);
+        ctx.waiting.set_hosts(local_host_count(&ctx));
     }
 }
--- /dev/null
+++ b/crates/gateway/src/peers/host_list.rs
@@ -0,0 +1,338 @@
+//! The host list in the store: this host's entry and those of others.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use std::time::Instant;
+
+use bytes::Bytes;
+use notchwharf_listen::Phase;
+use notchwharf_proto::records::Hosts;
+use notchwharf_routing::balancer::HostId;
+use serde::Deserialize;
+use serde::Serialize;
+
+use super::Peer;
+use super::cell;
+use crate::context::Context;
+use crate::follow::Pace;
+use crate::follow::Reading;
+use crate::metrics::Counted;
+use crate::ports::Entry;
+use crate::ports::StoredRecord;
+use crate::ports::Topic;
+use crate::sync::lock;
+use crate::time::Backoff;
+
+/// How the list is read. It changes rarely, and a host known to any other soon becomes known to all
+/// by its own datagrams.
+pub(super) const PACE: Pace = Pace {
+    wait: Duration::from_secs(10),
+    gap: Duration::from_millis(700),
+    pause_max: Duration::from_millis(400),
+};
+
+/// Maximum time to wait for the list before writing this host's entry: two timeouts of a slow
+/// store.
+const REGISTER_WAIT: Duration = Duration::from_millis(1_500);
+/// Initial pause between attempts to write this host's entry, doubled after each.
+const REGISTER_PAUSE_MIN: Duration = Duration::from_millis(300);
+/// Maximum such pause. Other hosts discover this one by its datagrams meanwhile.
+const REGISTER_PAUSE_MAX: Duration = Duration::from_millis(2_400);
+
+/// Silence after which a host is marked as silent in the list: four times the failure timeout, and
+/// longer than most outages. A host that recovers, or had not failed, writes its entry again.
+const MARK_SILENT_AFTER: Duration = Duration::from_secs(5);
+
+/// Maximum number of new hosts that are logged individually.
+const LOGGED_HOSTS_MAX: usize = 8;
+
+/// Time after writing a host's own entry within which all hosts that started with it have written
+/// theirs and it has received them: the interval between two reads, a call, and forwarding by the
+/// reader.
+pub(super) const SETTLED_AFTER: Duration = Duration::from_millis(1_500);
+
+/// The address and location of a host.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct HostInfo {
+    pub(super) addr: SocketAddr,
+    pub(super) data_centre: String,
+}
+
+/// A host's entry in the store. Entries written by older versions contain only the listing.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+struct HostEntry {
+    listing: HostInfo,
+    /// Whether other hosts have marked the host as silent.
+    is_silent: bool,
+}
+
+impl HostEntry {
+    fn decode(value: &[u8]) -> Result<Self, postcard::Error> {
+        postcard::from_bytes(value).or_else(|_| {
+            let listing = postcard::from_bytes(value)?;
+            Ok(Self {
+                listing,
+                is_silent: false,
+            })
+        })
+    }
+}
+
+/// Returns the record of a host's entry.
+fn entry(host: &str, listing: HostInfo, is_silent: bool) -> Entry {
+    let entry = HostEntry { listing, is_silent };
+    let value = postcard::to_stdvec(&entry).expect("Host entries are representable.");
+    Entry {
+        key: host.to_owned(),
+        value: Some(value.into()),
+    }
+}
+
+pub(super) fn own_info(ctx: &Context) -> HostInfo {
+    HostInfo {
+        addr: ctx.settings.host.peer_listen,
+        data_centre: ctx.settings.host.data_centre.clone(),
+    }
+}
+
+/// Writes this host's entry unless the list contains it. After an outage of all hosts the list
+/// contains them all, and writing the entries again would delay every reader: the store executes
+/// appends one at a time and does not serve reads of the list meanwhile.
+pub(super) async fn register(ctx: Arc<Context>) {
+    let entry = entry(ctx.host(), own_info(&ctx), false);
+    ctx.peers.bootstrap.wait_list_attempt(REGISTER_WAIT).await;
+    let mut backoff = Backoff::new(REGISTER_PAUSE_MIN, REGISTER_PAUSE_MAX);
+    while ctx.phase() < Phase::Leaving && lock(&ctx.peers.registered_at).is_none() {
+        let res = ctx.store.append(Topic::Hosts, 0, vec![entry.clone()]).await;
+        if res.is_ok() {
+            *lock(&ctx.peers.registered_at) = Some(Instant::now());
+            return;
+        }
+        // Randomized, so that hosts that start together do not retry together.
+        backoff.wait().await;
+    }
+}
+
+/// Checks whether the list contains this host's entry, and writes it again if it was changed or
+/// deleted.
+fn check_own_entry(
+    ctx: &Arc<Context>,
+    requested_at: Instant,
+    is_listing: bool,
+    records: &[StoredRecord],
+) {
+    let own = records.iter().rev().find(|r| r.entry.key == ctx.host());
+    let value = own.and_then(|own| own.entry.value.as_deref());
+    let is_listed = value.is_some_and(|value| {
+        let entry = HostEntry::decode(value);
+        entry.is_ok_and(|own| !own.is_silent && own.listing == own_info(ctx))
+    });
+    let mut registered_at = lock(&ctx.peers.registered_at);
+    if is_listed {
+        if registered_at.is_none() && is_listing {
+            ctx.peers.was_listed.store(true, Ordering::Relaxed);
+        }
+        registered_at.get_or_insert(requested_at);
+        return;
+    }
+    let is_missing = own.is_some() || is_listing;
+    let was_registered = registered_at.is_some_and(|at| at < requested_at);
+    if is_missing && was_registered && ctx.phase() < Phase::Leaving {
+        slog::info!(
+            ctx.logger,
+            "own host entry changed by another host; writing it again"
+        );
+        *registered_at = None;
+        tokio::spawn(register(Arc::clone(ctx)));
+    }
+}
+
+/// Deletes this host's entry. If that fails, others detect the shutdown by the missing heartbeats.
+pub(crate) async fn deregister(ctx: &Context) {
+    let entry = Entry::tombstone(ctx.host().to_owned());
+    if let Err(err) = ctx.store.append(Topic::Hosts, 0, vec![entry]).await {
+        slog::warn!(ctx.logger, "own host entry not deleted"; "error" => err.to_string());
+    }
+}
+
+/// Returns the offset up to which the host list is known.
+pub(super) fn end(ctx: &Context) -> u64 {
+    lock(&ctx.peers.host_log).end
+}
+
+/// Returns the changes of the list since an offset.
+pub(super) fn since(ctx: &Context, from: u64) -> Hosts {
+    lock(&ctx.peers.host_log).since(from)
+}
+
+/// Applies changes of the list received from a peer.
+pub(super) fn apply_changes(ctx: &Arc<Context>, received: Hosts) {
+    let known_to = end(ctx);
+    if received.from > known_to || received.to <= known_to {
+        return;
+    }
+    let changes = received.changes.into_iter();
+    let changes = changes.filter(|(_, offset, _)| received.is_complete || *offset >= known_to);
+    let records = changes.map(|(host, offset, value)| StoredRecord {
+        offset,
+        entry: Entry {
+            key: host,
+            value: value.map(Bytes::from),
+        },
+    });
+    apply(ctx, Instant::now(), false, received.to, records.collect());
+}
+
+/// Applies a reading of the list.
+pub(super) fn apply_reading(ctx: &Arc<Context>, reading: Reading) {
+    // The follower retries; `Store` has logged the failure.
+    let Ok(seen) = reading.seen else {
+        ctx.peers.bootstrap.mark_list_attempted();
+        return;
+    };
+    let listed_to = seen.listing_end();
+    let records = seen.records();
+    let read_to = records.last().map_or(0, |record| record.offset + 1);
+    let to = listed_to.unwrap_or(read_to);
+    apply(ctx, reading.asked, listed_to.is_some(), to, records);
+}
+
+fn apply(
+    ctx: &Arc<Context>,
+    requested_at: Instant,
+    is_listing: bool,
+    to: u64,
+    records: Vec<StoredRecord>,
+) {
+    check_own_entry(ctx, requested_at, is_listing, &records);
+    {
+        let mut host_log = lock(&ctx.peers.host_log);
+        records.iter().for_each(|record| host_log.apply(record));
+        if is_listing {
+            host_log.changes.skip_to(to);
+        }
+        host_log.end = host_log.end.max(to);
+    }
+    let mut added = Vec::new();
+    for record in records {
+        let host = record.entry.key;
+        if host == ctx.host() {
+            continue;
+        }
+        let Some(value) = record.entry.value else {
+            slog::info!(ctx.logger, "host removed from the list"; "peer" => host.as_str());
+            remove_host(ctx, &host);
+            continue;
+        };
+        match HostEntry::decode(&value) {
+            Ok(entry) if update_host(ctx, &host, &entry) => added.push((host, entry.listing.addr)),
+            Ok(_) => {}
+            Err(err) => slog::error!(ctx.logger, "invalid host entry";
+                "peer" => host, "error" => err.to_string()),
+        }
+    }
+    log_known(ctx, &added);
+    cell::update_division(ctx);
+    ctx.peers.bootstrap.record_list_read(requested_at);
+    ctx.peers.notify();
+}
+
+/// Logs newly known hosts.
+fn log_known(ctx: &Context, added: &[(HostId, SocketAddr)]) {
+    if added.len() > LOGGED_HOSTS_MAX {
+        slog::info!(ctx.logger, "hosts discovered"; "hosts" => added.len());
+        return;
+    }
+    for (host, addr) in added {
+        slog::info!(ctx.logger, "host discovered"; "peer" => host, "addr" => addr.to_string());
+    }
+}
+
+/// Adds a host learned from a peer rather than from the list.
+pub(super) fn add_contact(ctx: &Context, host: &str, listing: &HostInfo) {
+    let entry = HostEntry {
+        listing: listing.clone(),
+        is_silent: false,
+    };
+    update_host(ctx, host, &entry);
+}
+
+/// Applies a host's entry; returns whether the host was unknown.
+fn update_host(ctx: &Context, host: &str, entry: &HostEntry) -> bool {
+    let listing = &entry.listing;
+    let addr = listing.addr;
+    let mut known = lock(&ctx.peers.known);
+    let is_new = !known.contains_key(host);
+    let peer = known
+        .entry(host.to_owned())
+        .or_insert_with(|| Peer::new(addr));
+    peer.addr = addr;
+    peer.is_marked_silent = entry.is_silent;
+    peer.data_centre = Some(listing.data_centre.clone());
+    is_new
+}
+
+/// Marks hosts in the list that have been silent for long, if this host is responsible for it. A
+/// starting host queries all listed hosts for their leases on limits and would wait for failed ones
+/// in vain. Marked hosts still count as hosts of the fleet, since a host that is only partitioned
+/// keeps its share of each limit.
+pub(super) fn mark_silent(ctx: &Arc<Context>) {
+    if !ctx.store.is_up() || ctx.phase() != Phase::Ready {
+        return;
+    }
+    for (host, listing) in silent_hosts(ctx) {
+        if !ctx.peers.is_successor(ctx.host(), &host) {
+            continue;
+        }
+        set_marked(ctx, &host, true);
+        slog::info!(ctx.logger, "silent host marked in the list"; "peer" => host.as_str());
+        ctx.metrics.count(Counted::Changes, "silent host marked");
+        tokio::spawn(write_silent_mark(Arc::clone(ctx), host, listing));
+    }
+}
+
+/// Returns the hosts of this cell that have been silent for long. Hosts of other cells send nothing
+/// to this one.
+fn silent_hosts(ctx: &Context) -> Vec<(HostId, HostInfo)> {
+    let cells = ctx.peers.cell_state.cells();
+    let known = lock(&ctx.peers.known);
+    let silent_hosts = known.iter().filter_map(|(host, peer)| {
+        let silence = peer.last_received.unwrap_or(peer.known_since).elapsed();
+        let has_failed = !peer.is_alive && silence >= MARK_SILENT_AFTER && !peer.is_marked_silent;
+        if !has_failed || (cells.is_divided() && !cell::is_in_own_cell(ctx, cells, host, peer)) {
+            return None;
+        }
+        let listing = HostInfo {
+            addr: peer.addr,
+            data_centre: peer.data_centre.clone()?,
+        };
+        Some((host.clone(), listing))
+    });
+    silent_hosts.collect()
+}
+
+async fn write_silent_mark(ctx: Arc<Context>, host: HostId, listing: HostInfo) {
+    let entry = entry(&host, listing, true);
+    let res = ctx.store.append(Topic::Hosts, 0, vec![entry]).await;
+    if res.is_err() {
+        // `Store` has logged the failure; a later check retries.
+        set_marked(&ctx, &host, false);
+    }
+}
+
+fn set_marked(ctx: &Context, host: &str, is_marked: bool) {
+    if let Some(peer) = lock(&ctx.peers.known).get_mut(host) {
+        peer.is_marked_silent = is_marked;
+    }
+}
+
+fn remove_host(ctx: &Context, host: &str) {
+    let is_silent = lock(&ctx.peers.known)
+        .get(host)
+        .is_some_and(|p| !p.is_alive);
+    if is_silent {
+        lock(&ctx.peers.known).remove(host);
+    }
+}
--- a/crates/gateway/src/peers/rpc.rs
+++ b/crates/gateway/src/peers/rpc.rs
@@ -1,7 +1,7 @@
-//! Calls between hosts: a body there, a body back.
+//! Calls between hosts: an HTTP request and a response, each with a binary body.
 //!
-//! Each call has a connection of its own: there are few of them, and a kept one
-//! may have gone silent.
+//! Each call opens a new connection: calls are rare, and a pooled connection may have failed
+//! unnoticed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 use tokio::net::TcpStream;
 
 use super::contact;
-use super::list;
+use super::host_list;
 use super::suspects;
 use crate::context::Context;
 use crate::jobs;
@@ -35,30 +35,29 @@
 
 /// The path of requests for changes of routes, targets and hosts.
 pub(super) const CHANGES: &str = "/changes";
-/// The path of calls for the job records.
+/// The path of requests for the job records.
 pub(super) const RECORDS: &str = "/records";
-/// The path of calls for requests under which targets crashed.
+/// The path of requests for the requests under which targets have crashed.
 pub(super) const SUSPECTS: &str = "/suspects";
 /// The path of introductions by hosts that cannot read the host list.
 pub(super) const CONTACTS: &str = "/contacts";
 /// The path of calls about jobs.
 pub(super) const JOBS: &str = "/jobs";
 
-/// Time after which an attempt to connect to a peer has failed: many times the
-/// way between data centres.
+/// Timeout of connecting to a peer: many times the latency between data centres.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Why a peer gave no answer.
+/// Why there is no response from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NotAnswered {
-    /// It was not reached.
+pub(crate) enum CallError {
+    /// The peer was not reached.
     NotSent(&'static str),
-    /// It may have done what it was asked for.
+    /// The peer may have executed the call.
     Lost(&'static str),
 }
 
-impl NotAnswered {
-    /// Returns the reason in a word or two.
+impl CallError {
+    /// Returns a short description of the reason.
     pub(super) fn reason(self) -> &'static str {
         match self {
             Self::NotSent(reason) | Self::Lost(reason) => reason,
@@ -72,80 +71,81 @@
     path: &str,
     body: Bytes,
     timeout: Duration,
-) -> Result<Bytes, NotAnswered> {
+) -> Result<Bytes, CallError> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
     let socket = match connecting.await {
-        Err(_) => return Err(NotAnswered::NotSent("connecting timed out")),
-        Ok(Err(_)) => return Err(NotAnswered::NotSent("connection refused")),
+        Err(_) => return Err(CallError::NotSent("connecting timed out")),
+        Ok(Err(_)) => return Err(CallError::NotSent("connection refused")),
         Ok(Ok(socket)) => socket,
     };
     let called = tokio::time::timeout(timeout, exchange(socket, path, body));
     called
         .await
-        .unwrap_or(Err(NotAnswered::Lost("peer did not answer in time")))
+        .unwrap_or(Err(CallError::Lost("peer did not answer in time")))
 }
 
-async fn exchange(socket: TcpStream, path: &str, body: Bytes) -> Result<Bytes, NotAnswered> {
-    const BROKE: NotAnswered = NotAnswered::Lost("connection to peer broke");
+async fn exchange(socket: TcpStream, path: &str, body: Bytes) -> Result<Bytes, CallError> {
+    const BROKEN: CallError = CallError::Lost("connection to peer broke");
     let conn = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await;
-    let (mut sender, conn) = conn.map_err(|_| NotAnswered::NotSent("no handshake"))?;
+    let (mut sender, conn) = conn.map_err(|_| CallError::NotSent("no handshake"))?;
     tokio::spawn(conn);
     let req = Request::post(path).header("host", "peer");
     let req = req.body(Full::new(body));
-    let req = req.map_err(|_| NotAnswered::NotSent("malformed call"))?;
-    let resp = sender.send_request(req).await.map_err(|_| BROKE)?;
+    let req = req.map_err(|_| CallError::NotSent("malformed call"))?;
+    let resp = sender.send_request(req).await.map_err(|_| BROKEN)?;
     if resp.status() != StatusCode::OK {
-        return Err(NotAnswered::Lost("peer could not answer"));
+        return Err(CallError::Lost("peer could not answer"));
     }
-    let body = resp.into_body().collect().await.map_err(|_| BROKE)?;
+    let body = resp.into_body().collect().await.map_err(|_| BROKEN)?;
     Ok(body.to_bytes())
 }
 
-/// Answers peers until the host stops.
+/// Serves calls of peers until the host stops.
 pub(super) async fn serve(ctx: Arc<Context>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = ctx.stopped() => return,
         };
-        // Running out of descriptors must not end the service.
+        // An error such as a lack of file descriptors must not end the service.
         let Ok((socket, _)) = accepted else {
             tokio::task::yield_now().await;
             continue;
         };
         let shared = Arc::clone(&ctx);
-        // A hand-over lasts until the peer has it all and closes the connection.
-        let under_way: Arc<Mutex<Option<Gauge>>> = Arc::default();
+        // Kept until the connection is closed, so that a transfer counts until its last byte is
+        // sent.
+        let in_progress: Arc<Mutex<Option<Gauge>>> = Arc::default();
         let service = service_fn(move |req: Request<Incoming>| {
             let ctx = Arc::clone(&shared);
-            let under_way = Arc::clone(&under_way);
-            async move { Ok::<_, std::convert::Infallible>(answer(&ctx, req, &under_way).await) }
+            let in_progress = Arc::clone(&in_progress);
+            async move { Ok::<_, std::convert::Infallible>(respond(&ctx, req, &in_progress).await) }
         });
         tokio::spawn(async move {
             let conn = hyper::server::conn::http1::Builder::new();
-            // A peer that goes away in between asks again.
+            // If the connection breaks, the peer retries.
             let _ = conn.serve_connection(TokioIo::new(socket), service).await;
         });
     }
 }
 
-/// Returns what a peer asks for, unless too many others are being handed something.
-fn hand_over(
+/// Returns records for a peer, unless too many transfers are in progress.
+fn begin_transfer(
     ctx: &Context,
-    under_way: &Mutex<Option<Gauge>>,
+    in_progress: &Mutex<Option<Gauge>>,
     get: impl FnOnce(&Context) -> Vec<u8>,
 ) -> Option<Vec<u8>> {
-    *lock(under_way) = Some(ctx.peers.loading.hand_over()?);
+    *lock(in_progress) = Some(ctx.peers.bootstrap.begin_transfer()?);
     Some(get(ctx))
 }
 
 /// Returns the changes that a peer requests, unless too many responses are in progress.
-fn changes(ctx: &Context, body: &[u8], under_way: &Mutex<Option<Gauge>>) -> Option<Vec<u8>> {
+fn changes(ctx: &Context, body: &[u8], in_progress: &Mutex<Option<Gauge>>) -> Option<Vec<u8>> {
     let Ok(request) = postcard::from_bytes::<ChangesRequest>(body) else {
         slog::warn!(ctx.logger, "invalid request for changes from peer");
         return None;
     };
-    *lock(under_way) = Some(ctx.peers.loading.begin_response()?);
+    *lock(in_progress) = Some(ctx.peers.bootstrap.begin_response()?);
     let targets = discovery::Position {
         from: request.targets_from,
         after: request.targets_after,
@@ -154,7 +154,7 @@
         config: ctx.catalog.config_after(request.config),
         evacuated: ctx.catalog.evacuated_after(request.config),
         targets: ctx.catalog.targets_since(&targets, RESPONSE_TARGETS_MAX),
-        hosts: list::since(ctx, request.hosts_from),
+        hosts: host_list::since(ctx, request.hosts_from),
         reading: ctx.catalog.reading(Instant::now()),
     };
     Some(postcard::to_stdvec(&response).expect("Responses are representable."))
@@ -165,24 +165,24 @@
     postcard::to_stdvec(&snapshot).expect("Snapshots are representable.")
 }
 
-async fn answer(
+async fn respond(
     ctx: &Arc<Context>,
     req: Request<Incoming>,
-    under_way: &Mutex<Option<Gauge>>,
+    in_progress: &Mutex<Option<Gauge>>,
 ) -> Response<Full<Bytes>> {
     let path = req.uri().path().to_owned();
-    // A peer that breaks off in between gets no answer anyway.
+    // If the request is incomplete, the peer has closed the connection and needs no response.
     let body = req.into_body().collect().await.ok();
     let body = body.map(http_body_util::Collected::to_bytes);
-    let answered = match (path.as_str(), body) {
-        (CHANGES, Some(body)) => changes(ctx, &body, under_way),
-        (RECORDS, _) if ctx.journal.is_loaded() => hand_over(ctx, under_way, records),
-        (CONTACTS, Some(body)) => contact::answer(ctx, &body),
-        (SUSPECTS, _) => suspects::handed_over(ctx),
+    let response_body = match (path.as_str(), body) {
+        (CHANGES, Some(body)) => changes(ctx, &body, in_progress),
+        (RECORDS, _) if ctx.journal.is_loaded() => begin_transfer(ctx, in_progress, records),
+        (CONTACTS, Some(body)) => contact::respond(ctx, &body),
+        (SUSPECTS, _) => suspects::snapshot(ctx),
         (JOBS, Some(body)) => jobs::answer(ctx, &body).await,
         _ => None,
     };
-    let Some(bytes) = answered else {
+    let Some(bytes) = response_body else {
         let mut resp = Response::new(Full::default());
         *resp.status_mut() = StatusCode::BAD_REQUEST;
         return resp;
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -1,4 +1,4 @@
-//! What hosts tell one another by datagram.
+//! Datagrams between hosts: sending this host's status and handling those of others.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 
 use super::Peer;
 use super::cell;
-use super::receivers::receivers;
+use super::recipients::status_recipients;
 use super::relay;
 use super::suspects;
 use crate::catalog::Versions;
@@ -34,24 +34,24 @@
 use crate::work;
 use crate::work::Part;
 
-/// Time for which a peer may know newer routes or targets before they are requested from
-/// it. Exceeds the pause between two readings, 300 ms, so that hosts whose next reading is
-/// due do not send redundant requests.
-const AHEAD_MAX: Duration = Duration::from_millis(500);
+/// Time for which a peer may have newer routes or targets before they are requested from it.
+/// Exceeds the interval between two reads, 300 ms, so that hosts whose next read is due do not send
+/// redundant requests.
+const AHEAD_GRACE: Duration = Duration::from_millis(500);
 
-/// Bytes of a datagram at most: what UDP carries.
+/// Maximum size of a UDP datagram in bytes.
 const DATAGRAM_BYTES_MAX: usize = 65_536;
 
 fn own_status(ctx: &Context, number: u64) -> Status {
     let versions = ctx.catalog.versions();
     let (loads, failing) = {
-        let places = lock(&ctx.places);
-        let loads = places.own_loads().map(|(target, load)| messages::Load {
+        let balancer = lock(&ctx.balancer);
+        let loads = balancer.own_loads().map(|(target, load)| messages::Load {
             target,
             online: load.online,
             batch: load.batch,
         });
-        (loads.collect(), places.failing(Instant::now()))
+        (loads.collect(), balancer.failing(Instant::now()))
     };
     let waiting = ctx
         .items
@@ -76,72 +76,72 @@
     }
 }
 
-/// Tells peers what this host runs, when that changes and in each beat.
-pub(super) async fn send(ctx: Arc<Context>) {
+/// Sends this host's status to peers, when it changes and at each heartbeat.
+pub(super) async fn run_sender(ctx: Arc<Context>) {
     let settings = &ctx.settings.peers;
-    let gap = ms(settings.news_ms);
+    let interval = ms(settings.news_ms);
     let mut schedule = Schedule::new(ms(settings.beat_ms), Instant::now());
     let mut number = 0;
     if let Some(socket) = ctx.peers.socket.get() {
-        // Before the runtime has looked at it, a socket takes nothing, and a peer that
-        // missed the first word is told again only after a second. An error shows again
-        // when something is sent.
+        // The runtime reports a new socket as writable only after a first poll; sends before that
+        // fail, and a peer that misses the first status receives the next one a second later. An
+        // error recurs when sending.
         let _ = socket.writable().await;
     }
     while ctx.phase() != Phase::Stopped {
         let wait = schedule.wait(Instant::now());
-        let news = tokio::time::timeout(wait, ctx.peers.dirty.notified()).await;
-        let due = schedule.due(news.is_ok(), Instant::now());
+        let notified = tokio::time::timeout(wait, ctx.peers.changed.notified()).await;
+        let due = schedule.due(notified.is_ok(), Instant::now());
         number += 1;
         let Some(socket) = ctx.peers.socket.get() else {
             return;
         };
         let pace = work::timed(&ctx.metrics, Part::NewsTold, || {
-            tell(&ctx, number, due, socket)
+            send_status(&ctx, number, due, socket)
         });
         if let Some(pace) = pace {
             schedule.set_pace(pace);
         }
-        tokio::time::sleep(gap).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// Tells peers how this host is; returns how those far away were told, if they
-/// were.
-fn tell(ctx: &Context, number: u64, due: Due, socket: &UdpSocket) -> Option<Pace> {
-    let mut receivers = receivers(ctx, due);
-    receivers.addrs.extend(changed_elsewhere(ctx, due));
-    if !receivers.addrs.is_empty() {
+/// Sends this host's status to peers; returns the pace of sending to remote hosts, if that was due.
+fn send_status(ctx: &Context, number: u64, due: Due, socket: &UdpSocket) -> Option<Pace> {
+    let mut recipients = status_recipients(ctx, due);
+    recipients.addrs.extend(changed_remote_recipients(ctx, due));
+    if !recipients.addrs.is_empty() {
         let contention = ctx.waiting.told(Instant::now());
         let bytes = messages::encode_with_contention(own_status(ctx, number), contention.as_ref());
-        for addr in receivers.addrs {
-            // Lost, the next one makes up for it.
+        for addr in recipients.addrs {
+            // If this is lost, the next one replaces it.
             let _ = socket.try_send_to(&bytes, addr);
             ctx.metrics.count(Counted::Datagrams, "sent");
         }
     }
-    receivers.pace
+    recipients.pace
 }
 
-/// Returns the hosts of data centres at whose targets this host now runs something else
-/// than it last told them. Those whose places are shared by an order know of no others'
-/// requests there but by this: passed on, the news comes too late.
-fn changed_elsewhere(ctx: &Context, due: Due) -> Vec<SocketAddr> {
+/// Returns the hosts of remote data centres at whose targets this host's load has changed since the
+/// last status sent to them. Where requests wait in a queue, hosts learn of requests from elsewhere
+/// only by this: a relayed status arrives too late.
+fn changed_remote_recipients(ctx: &Context, due: Due) -> Vec<SocketAddr> {
     if !due.local || !ctx.waiting.is_on() {
         return Vec::new();
     }
-    let now = lock(&ctx.places).own_remote_loads(&ctx.settings.host.data_centre);
-    let mut told = lock(&ctx.peers.told_elsewhere);
-    let all = now.keys().chain(told.keys());
+    let now = lock(&ctx.balancer).own_remote_loads(&ctx.settings.host.data_centre);
+    let mut last_sent = lock(&ctx.peers.last_sent_remote);
+    let all = now.keys().chain(last_sent.keys());
     let changed: BTreeSet<&DataCentreId> = all
-        .filter(|data_centre| now.get(*data_centre) != told.get(*data_centre))
+        .filter(|data_centre| now.get(*data_centre) != last_sent.get(*data_centre))
         .collect();
     let addrs = ctx.peers.alive_in(&changed);
-    *told = now;
+    *last_sent = now;
     addrs
 }
 
-pub(super) async fn receive(ctx: Arc<Context>) {
+/// Handles datagrams until the host stops.
+pub(super) async fn run_receiver(ctx: Arc<Context>) {
     let Some(socket) = ctx.peers.socket.get() else {
         return;
     };
@@ -151,58 +151,58 @@
             received = socket.recv_from(&mut buf) => received,
             () = ctx.stopped() => return,
         };
-        // An error tells of an earlier datagram that found no receiver.
+        // The error belongs to an earlier datagram whose recipient was not reachable.
         let Ok((len, addr)) = received else {
             continue;
         };
         ctx.metrics.count(Counted::Datagrams, "received");
         work::timed(&ctx.metrics, Part::NewsTakenIn, || {
-            take(&ctx, addr, &buf[..len]);
+            handle_datagram(&ctx, addr, &buf[..len]);
         });
     }
 }
 
-/// Takes in a datagram.
-fn take(ctx: &Arc<Context>, addr: SocketAddr, bytes: &[u8]) {
-    let Some((news, contention)) = messages::decode_with_contention(bytes) else {
+/// Decodes a datagram and applies it.
+fn handle_datagram(ctx: &Arc<Context>, addr: SocketAddr, bytes: &[u8]) {
+    let Some((message, contention)) = messages::decode_with_contention(bytes) else {
         return ctx.metrics.count(Counted::Datagrams, "unreadable");
     };
-    match news {
-        PeerMessage::Status(status) => take_status(ctx, Some(addr), status, contention),
-        PeerMessage::PassedOn(news) => {
-            for status in news {
-                take_status(ctx, None, status, None);
+    match message {
+        PeerMessage::Status(status) => apply_status(ctx, Some(addr), status, contention),
+        PeerMessage::PassedOn(statuses) => {
+            for status in statuses {
+                apply_status(ctx, None, status, None);
             }
         }
-        PeerMessage::Preemption(cut) => take_cut(ctx, cut),
-        PeerMessage::Cell(told) => cell::take(ctx, addr, told),
-        PeerMessage::Suspects(told) => suspects::take(ctx, &told),
-        PeerMessage::SlotTransfer(hand) => ctx.waiting.handed(hand.target),
-        PeerMessage::Limits(told) => limits::take(ctx, addr, &told),
+        PeerMessage::Preemption(preemption) => preempt_item(ctx, preemption),
+        PeerMessage::Cell(status) => cell::apply_status(ctx, addr, status),
+        PeerMessage::Suspects(reports) => suspects::apply_reports(ctx, &reports),
+        PeerMessage::SlotTransfer(transfer) => ctx.waiting.handed(transfer.target),
+        PeerMessage::Limits(message) => limits::take(ctx, addr, &message),
         PeerMessage::Announcement(message) => ctx.distributor.receive(addr, message),
     }
 }
 
-fn take_cut(ctx: &Arc<Context>, cut: Preemption) {
-    let target = lock(&ctx.places).id_of(cut.target).cloned();
+fn preempt_item(ctx: &Arc<Context>, preemption: Preemption) {
+    let target = lock(&ctx.balancer).id_of(preemption.target).cloned();
     if let Some(target) = target {
         ctx.items.cut_one(&target);
     }
 }
 
-/// Takes in how a host is, from its own address or passed on by another.
-fn take_status(
+/// Applies a host's status, received from the host itself or relayed by another.
+fn apply_status(
     ctx: &Arc<Context>,
     addr: Option<SocketAddr>,
     status: Status,
     contention: Option<messages::Contention>,
 ) {
     let host = status.host.clone();
-    // One of another cell divides the fleet differently for a moment.
-    if host == ctx.host() || !is_of_cell(ctx, &host) {
+    // A host of another cell may send to this one while it uses another division.
+    if host == ctx.host() || !is_own_cell_host(ctx, &host) {
         return;
     }
-    let theirs = Versions {
+    let versions = Versions {
         config: status.config,
         targets: status.targets,
     };
@@ -211,104 +211,106 @@
     let loads: Vec<(TargetKey, Load)> = status.loads.iter().map(load).collect();
     let waiting: Vec<QueuedItems> = status.waiting.iter().map(waiting).collect();
     let failing = status.failing.clone();
-    let Some(heard) = note_status(ctx, addr, status, ctx.catalog.is_behind(theirs)) else {
+    let Some(update) = record_status(ctx, addr, status, ctx.catalog.is_behind(versions)) else {
         return;
     };
-    if addr.is_some() && !heard.is_near {
-        ctx.peers.relay.put(&host);
+    if addr.is_some() && !update.is_local {
+        ctx.peers.relay.enqueue(&host);
     }
-    // A target may fail callers of one data centre only.
-    let failing = if heard.is_near { failing } else { vec![] };
-    let waits = ctx.items.peer_waits(&host, waiting);
-    let runs = lock(&ctx.places).set_peer_loads(&host, loads, failing, Instant::now());
+    // A target may fail for the callers of one data centre only.
+    let failing = if update.is_local { failing } else { vec![] };
+    let has_queue_changed = ctx.items.peer_waits(&host, waiting);
+    let has_load_changed =
+        lock(&ctx.balancer).set_peer_loads(&host, loads, failing, Instant::now());
     ctx.journal.told(jobs);
-    if waits || runs {
+    if has_queue_changed || has_load_changed {
         ctx.items.wake();
     }
     if addr.is_some() {
-        take_contention(ctx, &host, &heard, contention);
+        apply_contention(ctx, &host, &update, contention);
     }
-    if runs {
+    if has_load_changed {
         ctx.waiting.wake();
     }
-    if heard.is_new {
+    if update.is_new {
         slog::info!(ctx.logger, "host up"; "peer" => host.as_str(),
-            "incarnation" => incarnation, "addr" => heard.addr.to_string(),
+            "incarnation" => incarnation, "addr" => update.addr.to_string(),
             "passed_on" => addr.is_none());
         ctx.metrics.count(Counted::Changes, "host up");
-        ctx.peers.tell();
-        suspects::tell_newcomer(ctx, heard.addr);
+        ctx.peers.notify();
+        suspects::send_to_new_host(ctx, update.addr);
     }
-    if heard.is_pull_due {
-        ctx.distributor.note_ahead(heard.addr, theirs);
+    if update.is_request_due {
+        ctx.distributor.record_newer_versions(update.addr, versions);
     }
 }
 
-/// Takes in what waits at a host. Those elsewhere tell too seldom for an order of requests.
-fn take_contention(
+/// Applies the state of a host's wait queue. Remote hosts send it too rarely for ordering requests
+/// among hosts, so only its presence counts.
+fn apply_contention(
     ctx: &Context,
     host: &str,
-    heard: &Heard,
+    update: &StatusUpdate,
     contention: Option<messages::Contention>,
 ) {
     let now = Instant::now();
-    if heard.is_near {
+    if update.is_local {
         return ctx.waiting.peer_tells(host, contention, now);
     }
-    let is_short = contention.is_some_and(|told| !told.waiting.is_empty());
-    if let (true, Some(data_centre)) = (is_short, &heard.data_centre) {
+    let has_waiting = contention.is_some_and(|reported| !reported.waiting.is_empty());
+    if let (true, Some(data_centre)) = (has_waiting, &update.data_centre) {
         ctx.waiting.note_short(data_centre, now);
     }
 }
 
-/// Returns whether a host is of this one's cell, as far as the list tells.
-fn is_of_cell(ctx: &Context, host: &str) -> bool {
-    let cells = ctx.peers.neighbours.cells();
+/// Returns whether a host is in this one's cell, according to the host list.
+fn is_own_cell_host(ctx: &Context, host: &str) -> bool {
+    let cells = ctx.peers.cell_state.cells();
     if !cells.is_divided() {
         return true;
     }
     let known = lock(&ctx.peers.known);
     let peer = known.get(host);
-    peer.is_some_and(|peer| cell::is_together(ctx, cells, host, peer))
+    peer.is_some_and(|peer| cell::is_in_own_cell(ctx, cells, host, peer))
 }
 
-pub(super) fn load(told: &messages::Load) -> (TargetKey, Load) {
+pub(super) fn load(reported: &messages::Load) -> (TargetKey, Load) {
     let load = Load {
-        online: told.online,
-        batch: told.batch,
+        online: reported.online,
+        batch: reported.batch,
     };
-    (told.target, load)
+    (reported.target, load)
 }
 
-fn waiting(told: &messages::WaitingItems) -> QueuedItems {
+fn waiting(reported: &messages::WaitingItems) -> QueuedItems {
     QueuedItems {
-        due_unix_ms: told.due_unix_ms,
-        items: told.items,
+        due_unix_ms: reported.due_unix_ms,
+        items: reported.items,
     }
 }
 
-/// What a status says of its sender.
-struct Heard {
-    /// Where the host is.
+/// What a status says about its sender.
+struct StatusUpdate {
+    /// The address of the host.
     addr: SocketAddr,
-    /// Whether the host was not alive before, or has started again since.
+    /// Whether the host was not alive before, or has restarted since.
     is_new: bool,
-    /// Whether it stands in this host's data centre.
-    is_near: bool,
-    /// Where it stands, if that is known.
+    /// Whether it is in this host's data centre.
+    is_local: bool,
+    /// Its data centre, if known.
     data_centre: Option<DataCentreId>,
-    /// Whether it has been ahead of this host for long enough to be asked.
-    is_pull_due: bool,
+    /// Whether it has been ahead of this host for long enough to request changes from it.
+    is_request_due: bool,
 }
 
-/// Notes a status; returns nothing if a newer one came before, or if it was
-/// passed on and nobody knows yet where its host is.
-fn note_status(
+/// Records a status. Returns `None` if a newer one was received before, or if a relayed status is
+/// of a host whose address is unknown.
+fn record_status(
     ctx: &Context,
     addr: Option<SocketAddr>,
     status: Status,
     is_ahead: bool,
-) -> Option<Heard> {
+) -> Option<StatusUpdate> {
     let now = Instant::now();
     let mut known = lock(&ctx.peers.known);
     let peer = match addr {
@@ -319,20 +321,20 @@
     };
     let order = (status.incarnation, status.number);
     let is_newer = order > (peer.status.incarnation, peer.status.number);
-    // A host whose clock was set back starts with a lower number than before.
-    let is_other_start = status.incarnation != peer.status.incarnation;
-    let is_restarted = is_other_start && !peer.is_alive;
-    if !is_newer && !is_restarted {
+    // A host whose clock was set back restarts with a lower incarnation than before.
+    let is_other_incarnation = status.incarnation != peer.status.incarnation;
+    let has_restarted = is_other_incarnation && !peer.is_alive;
+    if !is_newer && !has_restarted {
         return None;
     }
     peer.addr = addr.unwrap_or(peer.addr);
-    peer.heard = Some(now);
+    peer.last_received = Some(now);
     if status.leaving && !peer.status.leaving {
-        *lock(&ctx.peers.lost_at) = Some(now);
+        *lock(&ctx.peers.peer_lost_at) = Some(now);
     }
-    peer.storeless_since = match status.store_up {
+    peer.store_unavailable_since = match status.store_up {
         true => None,
-        false => Some(peer.storeless_since.unwrap_or(now)),
+        false => Some(peer.store_unavailable_since.unwrap_or(now)),
     };
     let ahead_since = if is_ahead {
         Some(peer.ahead_since.unwrap_or(now))
@@ -341,13 +343,13 @@
     };
     peer.ahead_since = ahead_since;
     peer.status = status;
-    let is_long = ahead_since.is_some_and(|since| now.duration_since(since) >= AHEAD_MAX);
-    Some(Heard {
-        // One that is back before anybody missed it has forgotten all the same.
-        is_new: !std::mem::replace(&mut peer.is_alive, true) || is_other_start,
+    let is_overdue = ahead_since.is_some_and(|since| now.duration_since(since) >= AHEAD_GRACE);
+    Some(StatusUpdate {
+        // A host that restarts before its failure is detected has lost its state as well.
+        is_new: !std::mem::replace(&mut peer.is_alive, true) || is_other_incarnation,
         addr: peer.addr,
-        is_near: relay::is_near(ctx, peer),
+        is_local: relay::is_local(ctx, peer),
         data_centre: peer.data_centre.clone(),
-        is_pull_due: is_ahead && (is_long || !ctx.store.is_up()),
+        is_request_due: is_ahead && (is_overdue || !ctx.store.is_up()),
     })
 }
--- a/crates/gateway/src/quarantine/look.rs
+++ b/crates/gateway/src/quarantine/look.rs
@@ -138,7 +138,7 @@
 /// Returns what names the present life of a target, to all hosts alike: a target may
 /// start again under its name.
 fn life_of(ctx: &Context, target: &str) -> IncarnationId {
-    let places = lock(&ctx.places);
+    let places = lock(&ctx.balancer);
     let born = places.spec(target).and_then(|spec| spec.started_unix_ms);
     xxh3_64(format!("{target}/{}", born.unwrap_or_default()).as_bytes())
 }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -51,7 +51,7 @@
 pub(crate) const RESPONSE_TARGETS_MAX: usize = 1_000;
 
 /// Dependencies of the distributor on this host.
-pub(crate) struct Uses {
+pub(crate) struct Dependencies {
     pub(crate) host: HostId,
     pub(crate) incarnation: u64,
     pub(crate) catalog: Arc<Catalog>,
@@ -66,7 +66,7 @@
 pub(crate) type Neighbour = (HostId, SocketAddr);
 
 /// Sends a datagram to an address.
-type SendNews = Box<dyn Fn(SocketAddr, &PeerMessage) + Send + Sync>;
+type SendMessage = Box<dyn Fn(SocketAddr, &PeerMessage) + Send + Sync>;
 
 /// Operations on the other hosts.
 pub(crate) struct Links {
@@ -75,7 +75,7 @@
     /// Returns a peer with newer versions than this host.
     pub(crate) newer_peer: Box<dyn Fn() -> Option<SocketAddr> + Send + Sync>,
     /// Sends a datagram.
-    pub(crate) send: SendNews,
+    pub(crate) send: SendMessage,
     /// Requests changes from a host.
     pub(crate) request: Box<
         dyn Fn(SocketAddr, records::ChangesRequest) -> BoxFuture<'static, ChangesResult>
@@ -102,7 +102,7 @@
 
 /// Follows the reader of the log, or reads and announces it.
 pub(crate) struct Distributor {
-    uses: Uses,
+    deps: Dependencies,
     timeouts: Timeouts,
     links: std::sync::OnceLock<Links>,
     started: Instant,
@@ -119,25 +119,25 @@
     rank: Option<usize>,
     /// When fresh state was last received from any reader, and from one ranked before this
     /// host.
-    heard: Instant,
-    heard_ranked_before: Instant,
+    last_received: Instant,
+    last_received_ranked_before: Instant,
     /// Keyed by incarnation as well, since a reader's clock restarts with it.
     delays: DelayEstimator<(HostId, u64)>,
     announced: Announced,
 }
 
 impl Distributor {
-    pub(crate) fn new(uses: Uses) -> Self {
+    pub(crate) fn new(deps: Dependencies) -> Self {
         let now = Instant::now();
         Self {
-            timeouts: Timeouts::for_deadline(uses.drain_time),
-            uses,
+            timeouts: Timeouts::for_deadline(deps.drain_time),
+            deps,
             links: std::sync::OnceLock::new(),
             started: now,
             state: Mutex::new(State {
                 rank: None,
-                heard: now,
-                heard_ranked_before: now,
+                last_received: now,
+                last_received_ranked_before: now,
                 delays: DelayEstimator::default(),
                 announced: Announced::default(),
             }),
@@ -153,9 +153,9 @@
     }
 
     /// Records that another host has newer versions.
-    pub(crate) fn note_ahead(&self, addr: SocketAddr, versions: Versions) {
-        if self.uses.catalog.is_behind(versions) {
-            self.note_missing(Missing {
+    pub(crate) fn record_newer_versions(&self, addr: SocketAddr, versions: Versions) {
+        if self.deps.catalog.is_behind(versions) {
+            self.add_missing(Missing {
                 versions,
                 source: Some(addr),
                 ..Missing::default()
@@ -171,7 +171,7 @@
         let forward_to = std::mem::take(&mut message.forward_to);
         self.forward(links, &forward_to, &message);
         let now = Instant::now();
-        let read = self.note_heard(&message, now);
+        let reading = self.record_announcement(&message, now);
         let announced = Missing {
             versions: Versions {
                 config: message.config,
@@ -182,22 +182,24 @@
             source: Some(addr),
         };
         if self
-            .uses
+            .deps
             .catalog
-            .apply_peer_targets(message.targets, read, now)
+            .apply_peer_targets(message.targets, reading, now)
         {
             (links.targets_changed)();
         }
-        if let Some(as_of) = read.config_as_of {
-            self.uses.catalog.confirmed_by_peer(message.config, as_of);
+        if let Some(as_of) = reading.config_as_of {
+            self.deps
+                .catalog
+                .record_peer_confirmation(message.config, as_of);
         }
         if self.lacks(links, &announced) {
-            self.note_missing(announced);
+            self.add_missing(announced);
         }
     }
 
     /// Records the announcement of a reader; returns its reading on this host's clock.
-    fn note_heard(&self, message: &Announcement, now: Instant) -> PeerReading {
+    fn record_announcement(&self, message: &Announcement, now: Instant) -> PeerReading {
         let mut state = lock(&self.state);
         let now_ms = millis(now - self.started);
         let sender = (message.reader.clone(), message.incarnation);
@@ -205,26 +207,27 @@
             .delays
             .retain(|(host, start)| *host != sender.0 || *start == sender.1);
         let delay = state.delays.observe(sender, message.sent_ms, now_ms);
-        let read = PeerReading::from_peer(&message.reading, delay, now);
-        if !read.is_served() || delay >= self.timeouts.takeover_after {
-            return read;
+        let reading = PeerReading::from_peer(&message.reading, delay, now);
+        if !reading.is_store_serving() || delay >= self.timeouts.takeover_after {
+            return reading;
         }
-        let heard = now - delay;
-        state.heard = state.heard.max(heard);
-        if readers::ranks_before(&message.reader, &self.uses.host) {
-            state.heard_ranked_before = state.heard_ranked_before.max(heard);
+        let last_received = now - delay;
+        state.last_received = state.last_received.max(last_received);
+        if readers::ranks_before(&message.reader, &self.deps.host) {
+            state.last_received_ranked_before =
+                state.last_received_ranked_before.max(last_received);
         }
-        read
+        reading
     }
 
     fn forward(&self, links: &Links, addrs: &[SocketAddr], message: &Announcement) {
         for branch in tree::split(addrs, tree::FANOUT) {
-            let news = PeerMessage::Announcement(Announcement {
+            let datagram = PeerMessage::Announcement(Announcement {
                 forward_to: branch.forward_to,
                 ..message.clone()
             });
-            (links.send)(branch.receiver, &news);
-            self.uses.metrics.count(Counted::Datagrams, "told on");
+            (links.send)(branch.receiver, &datagram);
+            self.deps.metrics.count(Counted::Datagrams, "told on");
         }
     }
 
@@ -232,12 +235,12 @@
     fn update_role(&self, now: Instant) {
         let state = lock(&self.state);
         let was_reader = *self.is_reader.borrow();
-        let heard = match was_reader {
-            true => state.heard_ranked_before,
-            false => state.heard,
+        let last_received = match was_reader {
+            true => state.last_received_ranked_before,
+            false => state.last_received,
         };
-        let silence = now.saturating_duration_since(heard);
-        let is_store_up = self.uses.store.is_up();
+        let silence = now.saturating_duration_since(last_received);
+        let is_store_up = self.deps.store.is_up();
         let rank = state.rank;
         drop(state);
         let is_reader = match rank {
@@ -249,8 +252,8 @@
             return;
         }
         self.is_reader.send_replace(is_reader);
-        self.uses.metrics.set("reads_log", usize::from(is_reader));
-        slog::info!(self.uses.logger, "log reader role changed"; "is_reader" => is_reader,
+        self.deps.metrics.set("reads_log", usize::from(is_reader));
+        slog::info!(self.deps.logger, "log reader role changed"; "is_reader" => is_reader,
             "rank" => rank, "silence_ms" => millis(silence));
     }
 }
@@ -277,24 +280,24 @@
     let Some(links) = distributor.links.get() else {
         return;
     };
-    let mut near = None;
+    let mut neighbours = None;
     let mut number: u32 = 0;
     while ticks.recv().await.is_some() && *phase.borrow() != Phase::Stopped {
-        if number.is_multiple_of(RANK_TICKS) || near.is_none() {
-            near = (links.neighbours)();
-            let rank = near.as_ref().map(|near| {
-                let hosts = near.iter().map(|(host, _)| host.as_str());
-                readers::rank(&distributor.uses.host, hosts)
+        if number.is_multiple_of(RANK_TICKS) || neighbours.is_none() {
+            neighbours = (links.neighbours)();
+            let rank = neighbours.as_ref().map(|neighbours| {
+                let hosts = neighbours.iter().map(|(host, _)| host.as_str());
+                readers::rank(&distributor.deps.host, hosts)
             });
             lock(&distributor.state).rank = rank;
         }
         number = number.wrapping_add(1);
         let now = Instant::now();
         distributor.update_role(now);
-        if let Some(near) = &near
+        if let Some(neighbours) = &neighbours
             && *distributor.is_reader.borrow()
         {
-            distributor.announce(links, near, now);
+            distributor.announce(links, neighbours, now);
         }
     }
 }
--- a/crates/gateway/src/spread/catching_up.rs
+++ b/crates/gateway/src/spread/catching_up.rs
@@ -62,13 +62,13 @@
         let mut attempts = 0;
         let mut requests: u32 = 0;
         while attempts < ATTEMPTS_MAX && distributor.is_missing_records(links) {
-            let told_by = lock(&distributor.missing).source;
-            let ahead = (links.newer_peer)();
+            let announced_by = lock(&distributor.missing).source;
+            let newer_peer = (links.newer_peer)();
             // The sender has the records first but is contacted by other hosts as well, so
             // requests alternate between it and a newer peer.
             let addr = match requests % 2 {
-                0 => told_by.or(ahead),
-                _ => ahead.or(told_by),
+                0 => announced_by.or(newer_peer),
+                _ => newer_peer.or(announced_by),
             };
             requests = requests.wrapping_add(1);
             let Some(addr) = addr else {
@@ -94,21 +94,21 @@
 
     /// Returns whether this host does not have all that another one has announced.
     pub(super) fn lacks(&self, links: &Links, announced: &Missing) -> bool {
-        let catalog = &self.uses.catalog;
+        let catalog = &self.deps.catalog;
         catalog.is_behind(announced.versions)
             || catalog.targets_end() < announced.targets_to
             || (links.hosts_end)() < announced.hosts
     }
 
     /// Starts requests for what another host has announced.
-    pub(super) fn note_missing(&self, announced: Missing) {
+    pub(super) fn add_missing(&self, announced: Missing) {
         lock(&self.missing).merge(announced);
         self.is_behind.notify_one();
     }
 
     /// Requests missing records from a host; returns whether any were received.
     async fn request(&self, links: &Links, addr: SocketAddr) -> bool {
-        let catalog = &self.uses.catalog;
+        let catalog = &self.deps.catalog;
         let (targets, hosts_from) = (catalog.targets_position(), (links.hosts_end)());
         let request = records::ChangesRequest {
             config: catalog.versions().config,
@@ -116,26 +116,26 @@
             targets_after: targets.after.clone(),
             hosts_from,
         };
-        let asked = Instant::now();
-        let answer = match (links.request)(addr, request).await {
-            Ok(answer) => answer,
+        let requested_at = Instant::now();
+        let response = match (links.request)(addr, request).await {
+            Ok(response) => response,
             Err(why) => {
-                self.uses.metrics.count(Counted::Changes, "peer not asked");
-                slog::debug!(self.uses.logger, "request for changes failed";
+                self.deps.metrics.count(Counted::Changes, "peer not asked");
+                slog::debug!(self.deps.logger, "request for changes failed";
                     "addr" => addr.to_string(), "error" => why);
                 return false;
             }
         };
-        self.uses.metrics.count(Counted::Changes, "peer asked");
-        let is_config = answer.config.is_some() || answer.evacuated.is_some();
+        self.deps.metrics.count(Counted::Changes, "peer asked");
+        let is_config = response.config.is_some() || response.evacuated.is_some();
         let operator_records = OperatorRecords {
-            config: answer.config,
-            evacuated: answer.evacuated,
+            config: response.config,
+            evacuated: response.evacuated,
         };
-        (links.apply)(operator_records, answer.hosts).await;
+        (links.apply)(operator_records, response.hosts).await;
         // Ages are relative to the time of the response, which is no earlier than the request.
-        let read = PeerReading::from_peer(&answer.reading, Duration::ZERO, asked);
-        if catalog.apply_peer_targets(answer.targets, read, Instant::now()) {
+        let reading = PeerReading::from_peer(&response.reading, Duration::ZERO, requested_at);
+        if catalog.apply_peer_targets(response.targets, reading, Instant::now()) {
             (links.targets_changed)();
         }
         is_config || catalog.targets_position() != targets || (links.hosts_end)() > hosts_from
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,7 +1,7 @@
-//! Calls of the store, counted, timed and watched.
+//! Calls to the store, with metrics and tracking of its availability.
 //!
-//! Whether the store answers is a belief of the host that others depend on:
-//! who takes over jobs, and whether a target's missing entry means anything.
+//! The availability of the store decides whether jobs are taken over, and whether a missing entry
+//! means that its target is gone.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,19 +20,19 @@
 use crate::ports::Page;
 use crate::ports::Read;
 use crate::ports::StoreError;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Tail;
 use crate::ports::Topic;
 use crate::sync::lock;
 use crate::time::millis;
 
-/// Failures in a row after which the store counts as lost.
-const LOST_AFTER: u32 = 2;
+/// Consecutive failures after which the store counts as unavailable.
+const UNAVAILABLE_AFTER_FAILURES: u32 = 2;
 
-/// The store, with what is known of its health.
+/// The store and its availability.
 #[derive(Clone)]
 pub(crate) struct Store {
-    calls: ports::Store,
+    port: ports::Store,
     metrics: Arc<Metrics>,
     logger: slog::Logger,
     health: Arc<Mutex<Health>>,
@@ -41,59 +41,59 @@
 #[derive(Debug, Default)]
 struct Health {
     failures: u32,
-    lost_since: Option<Instant>,
-    regained_at: Option<Instant>,
-    /// How all calls have gone.
+    unavailable_since: Option<Instant>,
+    recovered_at: Option<Instant>,
+    /// Outcomes of all calls.
     calls: CallHistory,
-    /// How those have that read the entries of targets.
-    readings: CallHistory,
+    /// Outcomes of calls that read target entries.
+    target_reads: CallHistory,
 }
 
 /// The newest record of each key.
 #[derive(Debug)]
 pub(crate) struct Listing {
-    /// The offset from which later records are to be read.
+    /// The offset from which to read later records.
     pub(crate) end: u64,
-    /// The records in their order; some may be newer than the end.
-    pub(crate) records: Vec<Stored>,
+    /// The records in order of their offsets; some may be newer than the end.
+    pub(crate) records: Vec<StoredRecord>,
 }
 
 impl Listing {
-    /// Returns the records that stood before the end, for a reader that takes
-    /// in each record once and goes on from there.
-    pub(crate) fn before_end(mut self) -> Vec<Stored> {
+    /// Returns the records before the end, for a reader that continues from there and must apply
+    /// each record only once.
+    pub(crate) fn before_end(mut self) -> Vec<StoredRecord> {
         self.records.retain(|r| r.offset < self.end);
         self.records
     }
 }
 
 impl Store {
-    pub(crate) fn new(calls: ports::Store, metrics: Arc<Metrics>, logger: slog::Logger) -> Self {
+    pub(crate) fn new(port: ports::Store, metrics: Arc<Metrics>, logger: slog::Logger) -> Self {
         Self {
-            calls,
+            port,
             metrics,
             logger,
             health: Arc::default(),
         }
     }
 
-    /// Returns whether the store answers, as far as known.
+    /// Returns whether the store is considered available.
     pub(crate) fn is_up(&self) -> bool {
-        lock(&self.health).lost_since.is_none()
+        lock(&self.health).unavailable_since.is_none()
     }
 
-    /// Returns whether the store answers and has done so for a time.
-    pub(crate) fn is_up_for(&self, time: Duration) -> bool {
+    /// Returns whether the store has been available for at least `time`.
+    pub(crate) fn has_been_up_for(&self, time: Duration) -> bool {
         let health = lock(&self.health);
-        let is_settled = health.regained_at.is_none_or(|at| at.elapsed() >= time);
-        health.lost_since.is_none() && is_settled
+        let is_settled = health.recovered_at.is_none_or(|at| at.elapsed() >= time);
+        health.unavailable_since.is_none() && is_settled
     }
 
-    /// Returns what is known for the judgement of targets' missing entries.
+    /// Returns the evidence for deciding whether a target with a missing entry is gone.
     pub(crate) fn evidence(&self) -> Evidence {
         let health = lock(&self.health);
         Evidence {
-            reads: health.readings,
+            reads: health.target_reads,
             calls: health.calls,
         }
     }
@@ -104,17 +104,17 @@
         part: u32,
         entries: Vec<Entry>,
     ) -> Result<u64, StoreError> {
-        let begun = Instant::now();
-        let res = (self.calls.append)(topic, part, entries).await;
-        self.note("append", topic, begun, res.as_ref().err());
+        let started_at = Instant::now();
+        let res = (self.port.append)(topic, part, entries).await;
+        self.record_call("append", topic, started_at, res.as_ref().err());
         res
     }
 
     pub(crate) async fn read(&self, read: Read) -> Result<Tail, StoreError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let topic = read.topic;
-        let res = (self.calls.read)(read).await;
-        self.note("read", topic, begun, res.as_ref().err());
+        let res = (self.port.read)(read).await;
+        self.record_call("read", topic, started_at, res.as_ref().err());
         res
     }
 
@@ -124,15 +124,15 @@
         part: u32,
         after: Option<String>,
     ) -> Result<Page, StoreError> {
-        let begun = Instant::now();
-        let res = (self.calls.newest)(topic, part, after).await;
-        self.note("newest", topic, begun, res.as_ref().err());
+        let started_at = Instant::now();
+        let res = (self.port.newest)(topic, part, after).await;
+        self.record_call("newest", topic, started_at, res.as_ref().err());
         res
     }
 
-    /// Returns the newest record of each key. Pages are no snapshot: a record
-    /// that was written while they were read has the listing's end as offset or
-    /// a later one, and whoever goes on reading from the end reads it again.
+    /// Returns the newest record of each key. The pages are not a consistent snapshot: a record
+    /// written while they are read has an offset at or after the listing's end, and is read again
+    /// by callers that continue from the end.
     pub(crate) async fn all_newest(&self, topic: Topic, part: u32) -> Result<Listing, StoreError> {
         let mut page = self.newest(topic, part, None).await?;
         let end = page.end;
@@ -149,9 +149,15 @@
         Ok(Listing { end, records })
     }
 
-    fn note(&self, call: &'static str, topic: Topic, begun: Instant, err: Option<&StoreError>) {
+    fn record_call(
+        &self,
+        call: &'static str,
+        topic: Topic,
+        started_at: Instant,
+        err: Option<&StoreError>,
+    ) {
         let now = Instant::now();
-        let took = now - begun;
+        let duration = now - started_at;
         let outcome = match err {
             None => "done",
             Some(StoreError::Refused(_) | StoreError::Throttled) => "refused",
@@ -162,52 +168,53 @@
         self.metrics.count(Counted::Store, outcome);
         let failure = match err {
             None | Some(StoreError::Expired) => {
-                self.metrics.time(Timed::StoreCall, call, took);
-                return self.answered(topic, now);
+                self.metrics.time(Timed::StoreCall, call, duration);
+                return self.record_response(topic, now);
             }
             Some(StoreError::Refused(_)) => Failure::Refused,
             Some(StoreError::Unknown(_)) => Failure::Lost,
             Some(StoreError::Throttled | StoreError::NoRoom) => Failure::Throttled,
         };
-        // When a call was begun says what its failure is evidence of.
+        // `took_ms` shows when the call started: a failure is evidence only for the time since
+        // then.
         slog::warn!(self.logger, "store call failed"; "call" => call, "topic" => ?topic,
-            "error" => err.map(ToString::to_string), "took_ms" => millis(took));
-        self.failed(topic, begun, now, failure);
+            "error" => err.map(ToString::to_string), "took_ms" => millis(duration));
+        self.record_failure(topic, started_at, now, failure);
     }
 
-    fn answered(&self, topic: Topic, now: Instant) {
+    fn record_response(&self, topic: Topic, now: Instant) {
         let mut health = lock(&self.health);
         health.failures = 0;
         health.calls.record_response(now);
         if topic == Topic::Targets {
-            health.readings.record_response(now);
+            health.target_reads.record_response(now);
         }
-        if let Some(since) = health.lost_since.take() {
-            health.regained_at = Some(now);
+        if let Some(since) = health.unavailable_since.take() {
+            health.recovered_at = Some(now);
             drop(health);
-            slog::info!(self.logger, "store regained"; "lost_ms" => millis(now - since));
+            slog::info!(self.logger, "store available again"; "lost_ms" => millis(now - since));
         }
     }
 
-    fn failed(&self, topic: Topic, begun: Instant, now: Instant, failure: Failure) {
+    fn record_failure(&self, topic: Topic, started_at: Instant, now: Instant, failure: Failure) {
         let mut health = lock(&self.health);
-        let is_late = health.calls.is_stale(begun, failure);
-        let last_answer = health.calls.last_response();
-        health.calls.record_failure(begun, now, failure);
+        let is_stale = health.calls.is_stale(started_at, failure);
+        let last_response = health.calls.last_response();
+        health.calls.record_failure(started_at, now, failure);
         if topic == Topic::Targets {
-            health.readings.record_failure(begun, now, failure);
+            health.target_reads.record_failure(started_at, now, failure);
         }
-        if is_late {
+        if is_stale {
             return;
         }
         health.failures += 1;
-        if health.failures < LOST_AFTER || health.lost_since.is_some() {
+        if health.failures < UNAVAILABLE_AFTER_FAILURES || health.unavailable_since.is_some() {
             return;
         }
-        health.lost_since = Some(now);
+        health.unavailable_since = Some(now);
         drop(health);
         self.metrics.count(Counted::Changes, "store lost");
-        slog::warn!(self.logger, "store lost";
-            "last_answer_ms_ago" => last_answer.map(|at| millis(now - at)));
+        slog::warn!(self.logger, "store unavailable";
+            "last_answer_ms_ago" => last_response.map(|at| millis(now - at)));
     }
 }
