--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -21,8 +21,8 @@
 
 use crate::catalog;
 use crate::context::Context;
+use crate::error::AuthError;
 use crate::error::Failure;
-use crate::error::NoCaller;
 use crate::metrics::Counted;
 use crate::time::millis;
 use crate::time::ms;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
     /// The configuration does not tell callers apart.
-    Untold,
+    Unidentified,
     /// Anybody; the route is a public one.
     Public,
     /// A workspace, by one of its keys.
@@ -52,7 +52,7 @@
     pub fn workspace(&self) -> Option<&Arc<WorkspacePolicy>> {
         match self {
             Self::Workspace(holder) => Some(holder),
-            Self::Untold | Self::Public => None,
+            Self::Unidentified | Self::Public => None,
         }
     }
 
@@ -72,7 +72,7 @@
 
 /// A request as far as it says who sends it and where to.
 #[derive(Clone, Copy, Debug)]
-pub struct Presented<'a> {
+pub struct RequestHead<'a> {
     /// Its name, for log lines.
     pub id: &'a str,
     /// The host that it names.
@@ -88,12 +88,12 @@
 /// # Errors
 ///
 /// Returns that nobody does who may, or that the host cannot tell.
-pub async fn of_request(
+pub async fn identify_request(
     ctx: &Context,
-    presented: Presented<'_>,
+    presented: RequestHead<'_>,
     deadline: Instant,
 ) -> Result<Identified, Failure> {
-    let Presented { host, path, .. } = presented;
+    let RequestHead { host, path, .. } = presented;
     let is_public = |table: &Table| table.find(host, path).is_none_or(|route| route.public);
     identify(ctx, presented, deadline, is_public).await
 }
@@ -104,7 +104,10 @@
 /// # Errors
 ///
 /// Returns that nobody does who may, or that the host cannot tell.
-pub async fn of_job_call(ctx: &Context, presented: Presented<'_>) -> Result<Caller, Failure> {
+pub async fn identify_job_caller(
+    ctx: &Context,
+    presented: RequestHead<'_>,
+) -> Result<Caller, Failure> {
     let deadline = Instant::now() + LOOK_MAX;
     let is_keyless = (ctx.decode.key)(presented.headers) == Err(KeyError::Missing);
     let is_public = |table: &Table| is_keyless && table.has_public_jobs(presented.host);
@@ -114,11 +117,11 @@
 
 async fn identify(
     ctx: &Context,
-    presented: Presented<'_>,
+    presented: RequestHead<'_>,
     deadline: Instant,
     is_public: impl Fn(&Table) -> bool,
 ) -> Result<Identified, Failure> {
-    let Presented { id, headers, .. } = presented;
+    let RequestHead { id, headers, .. } = presented;
     let arrived = Instant::now();
     let until = deadline.min(arrived + LOOK_MAX);
     loop {
@@ -136,7 +139,7 @@
             Ok(caller) => return Ok(Identified { table, caller }),
             Err(reason) => reason,
         };
-        let may_be_new = matches!(reason, NoCaller::Unknown | NoCaller::Removed);
+        let may_be_new = matches!(reason, AuthError::Unknown | AuthError::Removed);
         if !may_be_new || ctx.catalog.is_confirmed(arrived) {
             return Err(refused(ctx, id, &table, reason));
         }
@@ -159,38 +162,38 @@
     table: &Table,
     headers: &HeaderMap,
     is_public: bool,
-) -> Result<Caller, NoCaller> {
+) -> Result<Caller, AuthError> {
     let Some(workspaces) = table.workspaces() else {
-        return Ok(Caller::Untold);
+        return Ok(Caller::Unidentified);
     };
     if is_public {
         return Ok(Caller::Public);
     }
-    let key = (ctx.decode.key)(headers).map_err(NoCaller::NoKey)?;
+    let key = (ctx.decode.key)(headers).map_err(AuthError::NoKey)?;
     let holder = workspaces.by_key(key).cloned();
     holder.map(Caller::Workspace).ok_or_else(|| {
         if ctx.catalog.was_removed(key) {
-            NoCaller::Removed
+            AuthError::Removed
         } else {
-            NoCaller::Unknown
+            AuthError::Unknown
         }
     })
 }
 
 /// Puts the true workspace in place of whatever a caller sent about itself; a
 /// request that nobody tells apart stays as it came.
-pub(crate) fn mark(ctx: &Context, headers: &mut HeaderMap, caller: &Caller) {
-    if *caller != Caller::Untold {
+pub(crate) fn set_workspace(ctx: &Context, headers: &mut HeaderMap, caller: &Caller) {
+    if *caller != Caller::Unidentified {
         (ctx.decode.mark)(headers, caller.name());
     }
 }
 
-fn refused(ctx: &Context, id: &str, table: &Table, reason: NoCaller) -> Failure {
+fn refused(ctx: &Context, id: &str, table: &Table, reason: AuthError) -> Failure {
     ctx.metrics.count(Counted::Access, reason.label());
     slog::info!(ctx.logger, "caller refused"; "id" => id, "reason" => reason.label(),
         "routes_version" => table.version(),
         "routes_age_ms" => ctx.catalog.config_age().map(millis));
-    Failure::NoCaller(reason)
+    Failure::Unauthorized(reason)
 }
 
 fn unconfirmed(ctx: &Context, id: &str, reason: &'static str) -> Failure {
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -38,7 +38,7 @@
 use crate::time::ms;
 use crate::time::unix_ms;
 use crate::waiting;
-use crate::waiting::Waiting;
+use crate::waiting::RequestQueue;
 
 /// Offers beyond the first that are made, as a share of successes: enough for
 /// a crash of a fifth of the targets, too few to double the load of all.
@@ -85,7 +85,7 @@
     pub(crate) startup: Arc<Startup>,
     pub(crate) suspects: Suspects,
     pub(crate) limits: Limits,
-    pub(crate) waiting: Arc<Waiting>,
+    pub(crate) waiting: Arc<RequestQueue>,
 }
 
 impl std::fmt::Debug for Context {
@@ -137,12 +137,12 @@
             drain_time: ms(settings.targets.drain_ms),
         }));
         let peers = Peers::new(&settings.peers);
-        let waiting = Arc::new(Waiting::new(waiting::Uses {
-            places: Arc::clone(&places),
+        let waiting = Arc::new(RequestQueue::new(waiting::Dependencies {
+            balancer: Arc::clone(&places),
             metrics: Arc::clone(&metrics),
             logger: logger.clone(),
             data_centre: settings.host.data_centre.clone(),
-            changed: peers.dirty(),
+            status_changed: peers.dirty(),
         }));
         Self {
             timer: Timer::start(),
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -34,7 +34,7 @@
         crashes: u32,
     },
     /// Nobody calls who may; nothing ran.
-    NoCaller(NoCaller),
+    Unauthorized(AuthError),
     /// The workspace has sent as much as it may; nothing ran and nothing will.
     OverLimit {
         /// When there is room again.
@@ -59,7 +59,7 @@
             Self::NoRoute => "no route",
             Self::NotRun { .. } => "not run",
             Self::Crashing { .. } => "crashing",
-            Self::NoCaller(reason) => reason.label(),
+            Self::Unauthorized(reason) => reason.label(),
             Self::OverLimit { .. } => "over limit",
             Self::Rejected(_) => "rejected",
             Self::Unknown { .. } => "unknown",
@@ -80,7 +80,7 @@
                     "not run ({crashes} targets crashed under it); do not repeat it soon"
                 )
             }
-            Self::NoCaller(reason) => reason.fmt(f),
+            Self::Unauthorized(reason) => reason.fmt(f),
             Self::OverLimit { .. } => {
                 f.write_str("not run (the workspace's limit is reached); come back later")
             }
@@ -95,7 +95,7 @@
 
 /// Why nobody calls who may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoCaller {
+pub enum AuthError {
     /// The request presents no key.
     NoKey(KeyError),
     /// No configuration held its key.
@@ -104,7 +104,7 @@
     Removed,
 }
 
-impl NoCaller {
+impl AuthError {
     /// Returns the reason as logs and metrics name it.
     pub fn label(self) -> &'static str {
         match self {
@@ -115,7 +115,7 @@
     }
 }
 
-impl fmt::Display for NoCaller {
+impl fmt::Display for AuthError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoKey(reason) => reason.fmt(f),
@@ -125,11 +125,11 @@
     }
 }
 
-impl std::error::Error for NoCaller {}
+impl std::error::Error for AuthError {}
 
 /// Why a call about a job was not done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum JobCall {
+pub enum JobError {
     /// The request is malformed.
     Malformed(Cow<'static, str>),
     /// No route leads there.
@@ -152,7 +152,7 @@
     NotFound,
 }
 
-impl fmt::Display for JobCall {
+impl fmt::Display for JobError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(what) => write!(f, "malformed: {what}"),
@@ -165,16 +165,16 @@
     }
 }
 
-impl std::error::Error for JobCall {}
+impl std::error::Error for JobError {}
 
 /// Why a host could not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartError {
     /// An address cannot be listened on.
     Listen,
 }
 
-impl fmt::Display for Start {
+impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Listen => f.write_str("an address cannot be listened on"),
@@ -182,4 +182,4 @@
     }
 }
 
-impl std::error::Error for Start {}
+impl std::error::Error for StartError {}
--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -249,7 +249,7 @@
                     target,
                     trial,
                 } = *start;
-                let running = Running::begin(ctx, &target, Class::Batch);
+                let running = Running::start(ctx, &target, Class::Batch);
                 let ticket = lock(&ctx.items.running).add(&target, &item, place, running);
                 let run = run::run(Arc::clone(ctx), item, route, target, ticket, trial);
                 tokio::spawn(run);
--- a/crates/gateway/src/items/run.rs
+++ b/crates/gateway/src/items/run.rs
@@ -22,8 +22,8 @@
 use crate::ports::NoReply;
 use crate::ports::Reply;
 use crate::quarantine;
-use crate::splice::Events;
-use crate::splice::follows;
+use crate::sse::Events;
+use crate::sse::is_next;
 use crate::sync::lock;
 use crate::time::millis;
 use crate::time::ms;
@@ -93,7 +93,7 @@
             lock(&ctx.items.usual)
                 .kind_mut(&item.route)
                 .record_completion(item.size, item.events());
-            quarantine::ended_well(&ctx, || item.fingerprint(&ctx.decode));
+            quarantine::record_success(&ctx, || item.fingerprint(&ctx.decode));
             settle::is_ending(&ctx, &item);
             drop(under_way);
             settle::complete(Arc::clone(&ctx), item).await;
@@ -110,7 +110,7 @@
         }
         Ended::Cut => {
             if events > 0 {
-                quarantine::outlasted(&ctx, &item, took);
+                quarantine::record_survival(&ctx, &item, took);
             }
             lock(&ctx.items.backlog).put_back(item);
         }
@@ -130,15 +130,15 @@
     let Some(addr) = lock(&ctx.places).spec(&target).map(|spec| spec.addr) else {
         return;
     };
-    let run = quarantine::Run {
+    let run = quarantine::BrokenRun {
         fingerprint: item.fingerprint(&ctx.decode),
         id: item.forward.id.clone(),
         target,
         addr,
-        ran,
-        answered_from: None,
+        run_time: ran,
+        sent_at: None,
     };
-    quarantine::broke_off(ctx, run).await;
+    quarantine::check_crash(ctx, run).await;
 }
 
 async fn put_back(ctx: &Context, item: Item) {
@@ -210,7 +210,7 @@
         let frame = match frame {
             Some(Ok(frame)) => frame,
             Some(Err(_)) => return Ended::BrokeOff("broke off"),
-            None if events.is_clean() => return Ended::Whole,
+            None if events.is_empty() => return Ended::Whole,
             None => return Ended::BrokeOff("ended in an event"),
         };
         let Ok(bytes) = frame.into_data() else {
@@ -218,7 +218,7 @@
         };
         events.push(&bytes);
         for event in events.by_ref() {
-            if !follows(item.last_event, event.id) {
+            if !is_next(item.last_event, event.id) {
                 return Ended::Broken("event out of order");
             }
             if item.last_event.is_some() {
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -27,7 +27,7 @@
 
 use crate::access::Caller;
 use crate::context::Context;
-use crate::error::JobCall;
+use crate::error::JobError;
 use crate::ports::StoreError;
 use crate::ports::Topic;
 
@@ -128,15 +128,15 @@
     pub results: Vec<ItemResult>,
 }
 
-type Res<T> = Result<T, JobCall>;
+type Res<T> = Result<T, JobError>;
 
-fn not_now(ctx: &Context, reason: &'static str) -> JobCall {
+fn not_now(ctx: &Context, reason: &'static str) -> JobError {
     let retry_after = if ctx.peers.with_store() > 0 {
         OTHER_HOST_RETRY
     } else {
         STORE_RETRY
     };
-    JobCall::NotNow {
+    JobError::NotNow {
         retry_after,
         reason: reason.into(),
     }
@@ -150,11 +150,11 @@
 fn label<T>(done: &'static str, res: &Res<T>) -> &'static str {
     match res {
         Ok(_) => done,
-        Err(JobCall::Malformed(_)) => "malformed",
-        Err(JobCall::NoRoute) => "no route",
-        Err(JobCall::OverQuota { .. }) => "over quota",
-        Err(JobCall::NotNow { .. }) => "not now",
-        Err(JobCall::Unknown) => "unknown",
-        Err(JobCall::NotFound) => "not found",
+        Err(JobError::Malformed(_)) => "malformed",
+        Err(JobError::NoRoute) => "no route",
+        Err(JobError::OverQuota { .. }) => "over quota",
+        Err(JobError::NotNow { .. }) => "not now",
+        Err(JobError::Unknown) => "unknown",
+        Err(JobError::NotFound) => "not found",
     }
 }
--- a/crates/gateway/src/jobs/passed_on.rs
+++ b/crates/gateway/src/jobs/passed_on.rs
@@ -23,7 +23,7 @@
 use super::submit::try_end;
 use super::submit::try_submit;
 use crate::context::Context;
-use crate::error::JobCall;
+use crate::error::JobError;
 use crate::metrics::Counted;
 use crate::peers::NotAnswered;
 
@@ -71,9 +71,9 @@
     }
 
     /// Returns what the call comes to if a peer may have done it.
-    fn lost(&self) -> Option<JobCall> {
+    fn lost(&self) -> Option<JobError> {
         match self {
-            Self::Submit(_) | Self::End { .. } => Some(JobCall::Unknown),
+            Self::Submit(_) | Self::End { .. } => Some(JobError::Unknown),
             Self::Read { .. } | Self::Body { .. } => None,
         }
     }
@@ -94,13 +94,13 @@
 ) -> Res<T> {
     if ctx.store.is_up() {
         let res = here.await;
-        if !matches!(res, Err(JobCall::NotNow { .. })) {
+        if !matches!(res, Err(JobError::NotNow { .. })) {
             return res;
         }
         return pass_on(ctx, call).await.unwrap_or(res);
     }
     match pass_on(ctx, call).await {
-        None | Some(Err(JobCall::NotNow { .. })) => here.await,
+        None | Some(Err(JobError::NotNow { .. })) => here.await,
         Some(res) => res,
     }
 }
@@ -124,7 +124,7 @@
                 None
             }
         };
-        if let Some(Err(JobCall::NotNow { .. })) = &res {
+        if let Some(Err(JobError::NotNow { .. })) = &res {
             note(ctx, call, addr, "not now");
             not_now = res;
             continue;
--- a/crates/gateway/src/jobs/read.rs
+++ b/crates/gateway/src/jobs/read.rs
@@ -19,7 +19,7 @@
 use super::sync;
 use crate::blobs::joined;
 use crate::context::Context;
-use crate::error::JobCall;
+use crate::error::JobError;
 use crate::metrics::Counted;
 use crate::ports::StoreError;
 use crate::ports::Topic;
@@ -70,7 +70,7 @@
         }
         listed = self::listed(ctx, job);
     }
-    let mut known = listed.ok_or(JobCall::NotFound)?;
+    let mut known = listed.ok_or(JobError::NotFound)?;
     while known <= from && !is_over(ctx, job) {
         // Both ends of the wait are looked at below.
         if tokio::time::timeout_at(deadline, changed.changed())
@@ -79,7 +79,7 @@
         {
             break;
         }
-        known = self::listed(ctx, job).ok_or(JobCall::NotFound)?;
+        known = self::listed(ctx, job).ok_or(JobError::NotFound)?;
     }
     results(ctx, job, from).await
 }
@@ -103,7 +103,7 @@
 async fn results(ctx: &Context, job: &str, from: usize) -> Res<Reading> {
     let (accepted, listed) = {
         let jobs = ctx.journal.jobs();
-        let known = jobs.get(job).ok_or(JobCall::NotFound)?;
+        let known = jobs.get(job).ok_or(JobError::NotFound)?;
         let listed = known.listed.get(from..).unwrap_or_default().to_vec();
         (Arc::clone(&known.accepted), listed)
     };
@@ -191,8 +191,8 @@
         let known = jobs
             .get(job)
             .filter(|j| !j.is_ended)
-            .ok_or(JobCall::NotFound)?;
-        let place = known.item_index(item).ok_or(JobCall::NotFound)?;
+            .ok_or(JobError::NotFound)?;
+        let place = known.item_index(item).ok_or(JobError::NotFound)?;
         (Arc::clone(&known.accepted), place as usize)
     };
     let payload = Payload::read(ctx, &accepted).await;
@@ -201,6 +201,6 @@
         .items
         .into_iter()
         .nth(place)
-        .ok_or(JobCall::NotFound)?;
+        .ok_or(JobError::NotFound)?;
     Ok(item.body.into())
 }
--- a/crates/gateway/src/jobs/submit.rs
+++ b/crates/gateway/src/jobs/submit.rs
@@ -19,7 +19,7 @@
 use super::passed_on::here_or_passed_on;
 use super::sync;
 use crate::context::Context;
-use crate::error::JobCall;
+use crate::error::JobError;
 use crate::journal::NotAppended;
 use crate::metrics::Counted;
 use crate::ports::Topic;
@@ -66,7 +66,7 @@
     let route = table.find(&submission.host, &submission.path);
     let route = route
         .filter(|r| r.kind == Kind::Batch)
-        .ok_or(JobCall::NoRoute)?;
+        .ok_or(JobError::NoRoute)?;
     if !ctx.store.is_up() || !ctx.journal.is_loaded() {
         return Err(not_now(ctx, "the store is away"));
     }
@@ -117,12 +117,12 @@
         Ok(Applied::OverQuota { .. }) => Err(over_quota()),
         Ok(_) => Ok(()),
         Err(NotAppended::NotDone(_)) => Err(not_now(ctx, "the store does not take the job")),
-        Err(NotAppended::Unknown) => Err(JobCall::Unknown),
+        Err(NotAppended::Unknown) => Err(JobError::Unknown),
     }
 }
 
-fn over_quota() -> JobCall {
-    JobCall::OverQuota {
+fn over_quota() -> JobError {
+    JobError::OverQuota {
         retry_after: QUOTA_RETRY,
     }
 }
@@ -151,7 +151,7 @@
         sync(ctx).await?;
     }
     let is_ended = ctx.journal.jobs().get(job).map(|j| j.is_ended);
-    if is_ended.ok_or(JobCall::NotFound)? {
+    if is_ended.ok_or(JobError::NotFound)? {
         return Ok(());
     }
     let record = Record::Ended {
@@ -164,6 +164,6 @@
     {
         Ok(_) => Ok(()),
         Err(NotAppended::NotDone(_)) => Err(not_now(ctx, "the store does not take the end")),
-        Err(NotAppended::Unknown) => Err(JobCall::Unknown),
+        Err(NotAppended::Unknown) => Err(JobError::Unknown),
     }
 }
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/life.rs
@@ -12,7 +12,7 @@
 
 use crate::catalog;
 use crate::context::Context;
-use crate::error::Start;
+use crate::error::StartError;
 use crate::items;
 use crate::journal;
 use crate::limits;
@@ -40,14 +40,16 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Start`] if the peers' address cannot be listened on.
+    /// Returns [`StartError`] if the peers' address cannot be listened on.
     pub async fn start(
         settings: Settings,
         ports: Ports,
         logger: slog::Logger,
-    ) -> Result<Self, Report<Start>> {
+    ) -> Result<Self, Report<StartError>> {
         let addr = settings.host.peer_listen;
-        let socket = UdpSocket::bind(addr).await.change_context(Start::Listen);
+        let socket = UdpSocket::bind(addr)
+            .await
+            .change_context(StartError::Listen);
         let socket = socket.attach_with(|| addr.to_string())?;
         let mut listeners = vec![bind(addr).await?];
         if let Some(addr) = settings.host.contact_listen {
@@ -103,7 +105,7 @@
         let ctx = &self.ctx;
         let mut ticks = ctx.timer.subscribe(DRAIN_PERIOD);
         // One that starts meanwhile asks those in the list who holds its parts.
-        limits::stop_holding(ctx);
+        limits::release_leases(ctx);
         // A host that could not drop its entry is found out by its silence.
         let _ = tokio::time::timeout(LEAVE_LIST_TIMEOUT, peers::leave(ctx)).await;
         tokio::time::sleep(ms(ctx.settings.shutdown.notice_ms)).await;
@@ -121,10 +123,10 @@
 ///
 /// # Errors
 ///
-/// Returns [`Start::Listen`] with the address.
-pub async fn bind(addr: SocketAddr) -> Result<TcpListener, Report<Start>> {
+/// Returns [`StartError::Listen`] with the address.
+pub async fn bind(addr: SocketAddr) -> Result<TcpListener, Report<StartError>> {
     let listener = TcpListener::bind(addr).await;
     listener
-        .change_context(Start::Listen)
+        .change_context(StartError::Listen)
         .attach_with(|| addr.to_string())
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -269,7 +269,7 @@
 }
 
 /// Takes in a word about limits.
-pub(crate) fn take(ctx: &Context, addr: SocketAddr, told: &messages::QuotaMessage) {
+pub(crate) fn handle_message(ctx: &Context, addr: SocketAddr, told: &messages::QuotaMessage) {
     let now = Instant::now();
     let reaction = lock(&ctx.limits.node).receive(told.host, &told.message, now);
     match reaction {
@@ -347,7 +347,7 @@
 }
 
 /// Lets all parts go that other hosts have lent to this one.
-pub(crate) fn stop_holding(ctx: &Context) {
+pub(crate) fn release_leases(ctx: &Context) {
     lock(&ctx.limits.node).release_leases(Instant::now());
 }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -14,7 +14,7 @@
     /// Offers of requests to targets by what came of them.
     Offers,
     /// Online requests that wait for a place, by what came of them.
-    Line,
+    WaitQueue,
     /// Items by event.
     Items,
     /// Calls about jobs by outcome.
--- a/crates/gateway/src/online.rs
+++ b/crates/gateway/src/online.rs
@@ -26,7 +26,7 @@
 use crate::access;
 use crate::access::Caller;
 use crate::access::Identified;
-use crate::access::Presented;
+use crate::access::RequestHead;
 use crate::context::Context;
 use crate::error::Failure;
 use crate::limits;
@@ -90,7 +90,7 @@
 ) -> Result<Answer, Failure> {
     let Identified { table, caller } = who_calls(ctx, &req, arrived).await?;
     let route = which_route(ctx, &table, &req)?;
-    access::mark(ctx, &mut req.forward.headers, &caller);
+    access::set_workspace(ctx, &mut req.forward.headers, &caller);
     req.forward.workspace = caller.name().map(str::to_owned);
     let wait = req.deadline.map_or(route.timeout, |d| d.min(route.timeout));
     let mut trace = Trace::new(ctx, &req.forward, &route, table.version(), arrived);
@@ -104,14 +104,14 @@
 
 /// Finds out who calls.
 async fn who_calls(ctx: &Context, req: &Request, arrived: Instant) -> Result<Identified, Failure> {
-    let presented = Presented {
+    let presented = RequestHead {
         id: &req.forward.id,
         host: &req.host,
         path: path_of(req),
         headers: &req.forward.headers,
     };
     let deadline = arrived + req.deadline.unwrap_or(NO_DEADLINE);
-    let identified = access::of_request(ctx, presented, deadline).await;
+    let identified = access::identify_request(ctx, presented, deadline).await;
     identified.inspect_err(|failure| {
         ctx.metrics.count(Counted::Requests, failure.label());
     })
--- a/crates/gateway/src/online/flow.rs
+++ b/crates/gateway/src/online/flow.rs
@@ -22,8 +22,8 @@
 use crate::error::Failure;
 use crate::ports::Body;
 use crate::quarantine;
-use crate::splice::Events;
-use crate::splice::follows;
+use crate::sse::Events;
+use crate::sse::is_next;
 use crate::sync::lock;
 use crate::time::ms;
 
@@ -186,7 +186,7 @@
         events.push(&bytes);
         let mut whole = BytesMut::new();
         for event in events {
-            if !follows(self.last_event, event.id) {
+            if !is_next(self.last_event, event.id) {
                 self.is_out_of_order = true;
                 break;
             }
@@ -213,7 +213,7 @@
 
     fn ended(&self) -> Result<Option<Bytes>, Stop> {
         let is_whole = match &self.events {
-            Some(events) => events.is_clean(),
+            Some(events) => events.is_empty(),
             None => !self.is_stream || self.last_bytes == EVENT_END,
         };
         if !is_whole {
@@ -228,7 +228,7 @@
             let status = begun.reply.status;
             if status.is_success() {
                 let ctx = Arc::clone(&self.sending.ctx);
-                quarantine::ended_well(&ctx, || self.sending.fingerprint());
+                quarantine::record_success(&ctx, || self.sending.fingerprint());
             }
             let mut places = lock(&self.sending.ctx.places);
             if status.is_server_error() {
--- a/crates/gateway/src/online/placing.rs
+++ b/crates/gateway/src/online/placing.rs
@@ -32,11 +32,11 @@
         }
         if let (Some(standing), Some(left)) = (self.standing, self.objective()) {
             let wanted = self.wanted(standing, now + left);
-            match self.ctx.waiting.find(wanted).await {
+            match self.ctx.waiting.acquire_slot(wanted).await {
                 Ok(place) => {
                     let choice = place.choice.clone();
                     let workspace = self.forward.workspace.as_deref();
-                    let running = Running::at(&self.ctx, place, workspace, standing.weight);
+                    let running = Running::in_slot(&self.ctx, place, workspace, standing.weight);
                     return Ok((choice, running));
                 }
                 Err(Refused::NoRoom { retry_after }) => {
@@ -50,7 +50,7 @@
             }
         }
         let choice = self.choose(offers, Instant::now())?;
-        let running = Running::begin(&self.ctx, &choice.target, Class::Online);
+        let running = Running::start(&self.ctx, &choice.target, Class::Online);
         Ok((choice, running))
     }
 
--- a/crates/gateway/src/online/sending.rs
+++ b/crates/gateway/src/online/sending.rs
@@ -217,15 +217,15 @@
         ran: Duration,
         answered_from: Option<Instant>,
     ) {
-        let run = quarantine::Run {
+        let run = quarantine::BrokenRun {
             fingerprint: self.fingerprint(),
             id: self.forward.id.clone(),
             target: target.clone(),
             addr,
-            ran,
-            answered_from,
+            run_time: ran,
+            sent_at: answered_from,
         };
-        quarantine::broke_off(&self.ctx, run).await;
+        quarantine::check_crash(&self.ctx, run).await;
     }
 
     /// Returns the time to the first event that is still to be met, for a
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -413,10 +413,10 @@
             *lock(&ctx.peers.lost_at) = Some(Instant::now());
             lock(&ctx.places).remove_peer(&host);
             ctx.items.peer_down(&host);
-            ctx.waiting.peer_down(&host);
+            ctx.waiting.remove_peer(&host);
             ctx.items.wake();
         }
         list::mark_silent(&ctx);
-        ctx.waiting.set_hosts(near_hosts(&ctx));
+        ctx.waiting.set_host_count(near_hosts(&ctx));
     }
 }
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -112,7 +112,7 @@
     let mut receivers = receivers(ctx, due);
     receivers.addrs.extend(changed_elsewhere(ctx, due));
     if !receivers.addrs.is_empty() {
-        let contention = ctx.waiting.told(Instant::now());
+        let contention = ctx.waiting.summary(Instant::now());
         let bytes = messages::encode_with_contention(own_status(ctx, number), contention.as_ref());
         for addr in receivers.addrs {
             // Lost, the next one makes up for it.
@@ -127,7 +127,7 @@
 /// than it last told them. Those whose places are shared by an order know of no others'
 /// requests there but by this: passed on, the news comes too late.
 fn changed_elsewhere(ctx: &Context, due: Due) -> Vec<SocketAddr> {
-    if !due.local || !ctx.waiting.is_on() {
+    if !due.local || !ctx.waiting.has_been_used() {
         return Vec::new();
     }
     let now = lock(&ctx.places).own_remote_loads(&ctx.settings.host.data_centre);
@@ -177,8 +177,8 @@
         PeerMessage::Preemption(cut) => take_cut(ctx, cut),
         PeerMessage::Cell(told) => cell::take(ctx, addr, told),
         PeerMessage::Suspects(told) => suspects::take(ctx, &told),
-        PeerMessage::SlotTransfer(hand) => ctx.waiting.handed(hand.target),
-        PeerMessage::Limits(told) => limits::take(ctx, addr, &told),
+        PeerMessage::SlotTransfer(hand) => ctx.waiting.accept_transfer(hand.target),
+        PeerMessage::Limits(told) => limits::handle_message(ctx, addr, &told),
         PeerMessage::Announcement(message) => ctx.distributor.receive(addr, message),
     }
 }
@@ -253,11 +253,11 @@
 ) {
     let now = Instant::now();
     if heard.is_near {
-        return ctx.waiting.peer_tells(host, contention, now);
+        return ctx.waiting.update_peer(host, contention, now);
     }
     let is_short = contention.is_some_and(|told| !told.waiting.is_empty());
     if let (true, Some(data_centre)) = (is_short, &heard.data_centre) {
-        ctx.waiting.note_short(data_centre, now);
+        ctx.waiting.record_remote_queue(data_centre, now);
     }
 }
 
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -138,7 +138,7 @@
     match postcard::from_bytes::<Vec<messages::Suspect>>(&bytes) {
         Ok(suspects) => {
             for suspect in &suspects {
-                quarantine::take(ctx, host, &decode(suspect));
+                quarantine::merge_report(ctx, host, &decode(suspect));
             }
             ctx.startup.mark_ready(Dependency::Suspects, host);
         }
@@ -150,6 +150,6 @@
 /// Takes in what a host tells.
 pub(super) fn take(ctx: &Arc<Context>, told: &messages::Suspects) {
     for suspect in &told.suspects {
-        quarantine::take(ctx, &told.host, &decode(suspect));
+        quarantine::merge_report(ctx, &told.host, &decode(suspect));
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -28,10 +28,10 @@
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Report;
 
+pub(crate) use self::look::BrokenRun;
 use self::look::Looks;
-pub(crate) use self::look::Run;
-pub(crate) use self::look::broke_off;
-pub(crate) use self::saved::drop_old;
+pub(crate) use self::look::check_crash;
+pub(crate) use self::saved::delete_expired;
 use crate::backlog::Item;
 use crate::context::Context;
 use crate::fingerprint;
@@ -79,7 +79,7 @@
 
 /// Notes that a request has ended well, so that it is no suspect any more. What names
 /// it is worked out only if there are suspects.
-pub(crate) fn ended_well(ctx: &Arc<Context>, fingerprint: impl FnOnce() -> Fingerprint) {
+pub(crate) fn record_success(ctx: &Arc<Context>, fingerprint: impl FnOnce() -> Fingerprint) {
     let gate = &ctx.suspects.gate;
     if gate.is_empty() {
         return;
@@ -92,7 +92,7 @@
 
 /// Notes that an item ran for a time, got on and was cut: if that is long enough, targets
 /// bear it.
-pub(crate) fn outlasted(ctx: &Arc<Context>, item: &Item, ran: Duration) {
+pub(crate) fn record_survival(ctx: &Arc<Context>, item: &Item, ran: Duration) {
     let gate = &ctx.suspects.gate;
     if gate.is_empty() {
         return;
@@ -111,7 +111,7 @@
 }
 
 /// Takes in what a host tells of a suspect.
-pub(crate) fn take(ctx: &Arc<Context>, host: &HostId, told: &Report) {
+pub(crate) fn merge_report(ctx: &Arc<Context>, host: &HostId, told: &Report) {
     let Change::Blamed { crashes } = ctx.suspects.gate.merge_report(host, told) else {
         return;
     };
--- a/crates/gateway/src/quarantine/look.rs
+++ b/crates/gateway/src/quarantine/look.rs
@@ -32,7 +32,7 @@
 
 /// A run that broke off.
 #[derive(Clone, Debug)]
-pub(crate) struct Run {
+pub(crate) struct BrokenRun {
     /// What ran.
     pub(crate) fingerprint: Fingerprint,
     /// The id of its attempt.
@@ -42,15 +42,15 @@
     /// Where the target answers.
     pub(crate) addr: SocketAddr,
     /// How long it ran.
-    pub(crate) ran: Duration,
+    pub(crate) run_time: Duration,
     /// When it was sent, if the target had begun to answer it: the target lived then.
-    pub(crate) answered_from: Option<Instant>,
+    pub(crate) sent_at: Option<Instant>,
 }
 
 /// A run that broke off at a target that is being looked at.
 #[derive(Debug)]
 struct Broken {
-    run: Run,
+    run: BrokenRun,
     at: Instant,
     /// Dropped when the look is over.
     _done: oneshot::Sender<()>,
@@ -76,7 +76,7 @@
 
 /// Notes that a connection to a target broke off under a run, and waits a moment until
 /// it is known whether the target crashed.
-pub(crate) async fn broke_off(ctx: &Arc<Context>, run: Run) {
+pub(crate) async fn check_crash(ctx: &Arc<Context>, run: BrokenRun) {
     let (done, over) = oneshot::channel();
     let (target, addr) = (run.target.clone(), run.addr);
     let broken = Broken {
@@ -108,25 +108,25 @@
 }
 
 fn note_crash(ctx: &Arc<Context>, broken: &Broken, life: IncarnationId) {
-    let Run {
+    let BrokenRun {
         fingerprint,
-        ran,
-        answered_from,
+        run_time,
+        sent_at,
         ..
     } = broken.run;
     let gate = &ctx.suspects.gate;
     let crash = Crash {
         // The list of targets may be old here: one that answered after the life that it
         // names had ended has started anew.
-        incarnation: answered_from.map_or(life, |from| {
+        incarnation: sent_at.map_or(life, |from| {
             gate.incarnation_of_run(fingerprint, life, from)
         }),
-        run_time: ran,
+        run_time,
         detected_at: broken.at,
     };
     let change = ctx.suspects.gate.record_crash(fingerprint, crash);
     slog::info!(ctx.logger, "target crashed under a request"; "id" => broken.run.id.as_str(),
-        "target" => broken.run.target.as_str(), "ran_ms" => millis(ran),
+        "target" => broken.run.target.as_str(), "ran_ms" => millis(run_time),
         "crashes" => ctx.suspects.gate.crash_count(fingerprint),
         "fingerprint" => fingerprint::to_hex(fingerprint));
     if let Change::Blamed { crashes } = change {
--- a/crates/gateway/src/quarantine/saved.rs
+++ b/crates/gateway/src/quarantine/saved.rs
@@ -136,7 +136,7 @@
         crashes: crashes.collect(),
         running_for: None,
     };
-    super::take(ctx, &HostId::from(STORE), &told);
+    super::merge_report(ctx, &HostId::from(STORE), &told);
 }
 
 fn decode(key: &str, value: &[u8]) -> Option<(Fingerprint, Saved)> {
@@ -149,7 +149,7 @@
 /// # Errors
 ///
 /// Returns the store's failure.
-pub(crate) async fn drop_old(ctx: &Context) -> Result<(), StoreError> {
+pub(crate) async fn delete_expired(ctx: &Context) -> Result<(), StoreError> {
     let before_unix_ms = unix_ms().saturating_sub(millis(DROPPED_AFTER));
     let records = ctx.store.all_newest(Topic::Blamed, 0).await?.before_end();
     let is_old = |entry: &Entry| {
--- a/crates/gateway/src/splice.rs
+++ b/crates/gateway/src/sse.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns whether no part of an event is left.
-    pub(crate) fn is_clean(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
@@ -67,7 +67,7 @@
 }
 
 /// Returns whether an event comes right after another.
-pub(crate) fn follows(last: Option<u64>, id: Option<u64>) -> bool {
+pub(crate) fn is_next(last: Option<u64>, id: Option<u64>) -> bool {
     match (last, id) {
         (_, None) => false,
         (None, Some(_)) => true,
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -31,7 +31,7 @@
 }
 
 impl Running {
-    pub(crate) fn begin(ctx: &Arc<Context>, target: &TargetId, class: Class) -> Self {
+    pub(crate) fn start(ctx: &Arc<Context>, target: &TargetId, class: Class) -> Self {
         let is_scarce = {
             let mut places = lock(&ctx.places);
             match class {
@@ -50,14 +50,14 @@
     }
 
     /// Returns an online request at a place that was found for it, and counted.
-    pub(crate) fn at(
+    pub(crate) fn in_slot(
         ctx: &Arc<Context>,
         place: Place,
         workspace: Option<&str>,
         weight: f64,
     ) -> Self {
         if let Some(workspace) = workspace {
-            ctx.waiting.begin(workspace, weight);
+            ctx.waiting.record_start(workspace, weight);
         }
         ctx.peers.tell();
         Self {
@@ -85,9 +85,9 @@
             was_scarce
         };
         if let Some(workspace) = &self.workspace {
-            self.ctx.waiting.end(workspace);
+            self.ctx.waiting.record_end(workspace);
         }
-        if let Some(host) = self.ctx.waiting.freed(&self.target) {
+        if let Some(host) = self.ctx.waiting.transfer_freed_slot(&self.target) {
             self.ctx.peers.hand(&host, key_of(&self.target));
         }
         self.ctx.peers.tell_load(was_scarce);
--- a/crates/gateway/src/upkeep.rs
+++ b/crates/gateway/src/upkeep.rs
@@ -84,7 +84,7 @@
         .filter(|j| is_over(j, before))
         .collect();
     drop_blobs(ctx, &over).await?;
-    quarantine::drop_old(ctx).await?;
+    quarantine::delete_expired(ctx).await?;
     progress::drop_stale(&ctx.store, |job| jobs.get(job).is_some_and(Job::is_open)).await?;
     let is_dropped = |job: &JobId, refused: &Option<u64>| match refused {
         Some(submitted) => *submitted < before,
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -58,18 +58,18 @@
 const SHORT: Duration = Duration::from_millis(300);
 
 /// What the line takes of its host.
-pub(crate) struct Uses {
-    pub(crate) places: Arc<Mutex<Balancer>>,
+pub(crate) struct Dependencies {
+    pub(crate) balancer: Arc<Mutex<Balancer>>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) logger: slog::Logger,
     pub(crate) data_centre: String,
     /// Told that peers should know soon of a change.
-    pub(crate) changed: Arc<Notify>,
+    pub(crate) status_changed: Arc<Notify>,
 }
 
 /// Online requests that wait at this host.
-pub(crate) struct Waiting {
-    uses: Uses,
+pub(crate) struct RequestQueue {
+    uses: Dependencies,
     state: Mutex<State>,
     /// How many wait; what wakes the line asks this first.
     count: AtomicUsize,
@@ -105,7 +105,7 @@
 
 /// Takes a request out of the line when its caller leaves.
 struct Leave<'a> {
-    waiting: &'a Waiting,
+    waiting: &'a RequestQueue,
     ticket: Ticket,
 }
 
@@ -116,8 +116,8 @@
     }
 }
 
-impl Waiting {
-    pub(crate) fn new(uses: Uses) -> Self {
+impl RequestQueue {
+    pub(crate) fn new(uses: Dependencies) -> Self {
         Self {
             uses,
             state: Mutex::default(),
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// Returns why there is none in time.
-    pub(crate) async fn find(&self, wanted: Wanted) -> Result<Place, Refused> {
+    pub(crate) async fn acquire_slot(&self, wanted: Wanted) -> Result<Place, Refused> {
         self.is_on.store(true, Ordering::Relaxed);
         let service = key(&wanted.service);
         let (outcome, decided) = oneshot::channel();
@@ -153,8 +153,8 @@
             // Decided at once, so it never stood in the line.
             return decided.await.unwrap_or(Err(Refused::NoTarget));
         }
-        self.uses.metrics.count(Counted::Line, "waits");
-        self.uses.changed.notify_one();
+        self.uses.metrics.count(Counted::WaitQueue, "waits");
+        self.uses.status_changed.notify_one();
         // From now on the line is looked at in time.
         self.wake.notify_one();
         let decided = decided.await;
@@ -164,7 +164,7 @@
     }
 
     /// Returns whether requests wait at hosts, as far as one has come here.
-    pub(crate) fn is_on(&self) -> bool {
+    pub(crate) fn has_been_used(&self) -> bool {
         self.is_on.load(Ordering::Relaxed)
     }
 
@@ -176,7 +176,7 @@
         now: Instant,
     ) -> Result<Ticket, Refused> {
         let want = wanted.want(&self.uses.data_centre);
-        let places = lock(&self.uses.places);
+        let places = lock(&self.uses.balancer);
         if !places.has_untried(&want) {
             return Err(Refused::NoTarget);
         }
@@ -216,7 +216,7 @@
                 continue;
             };
             let want = entry.wanted.want(&self.uses.data_centre);
-            let mut places = lock(&self.uses.places);
+            let mut places = lock(&self.uses.balancer);
             let drain = places.availability(&want, now);
             let open: Vec<FreeSlots> = drain.free.iter().copied().map(open).collect();
             let per_s = drain.releases_per_s.unwrap_or_default();
@@ -268,8 +268,8 @@
         drop(places);
         let place = Place {
             choice,
-            places: Arc::clone(&self.uses.places),
-            changed: Arc::clone(&self.uses.changed),
+            places: Arc::clone(&self.uses.balancer),
+            changed: Arc::clone(&self.uses.status_changed),
             is_taken: false,
         };
         self.decide(state, ticket, Ok(place));
@@ -282,7 +282,7 @@
             return;
         };
         let want = entry.wanted.want(&self.uses.data_centre);
-        let drain = lock(&self.uses.places).availability(&want, now);
+        let drain = lock(&self.uses.balancer).availability(&want, now);
         // Nobody has seen a request end yet: then time alone tells.
         let per_s = drain.releases_per_s.unwrap_or(f64::INFINITY);
         let expected = state
@@ -327,24 +327,24 @@
             Ok(_) => "begins",
             Err(_) => "refused",
         };
-        self.uses.metrics.count(Counted::Line, label);
+        self.uses.metrics.count(Counted::WaitQueue, label);
         // Its caller has left; a place is free again as it is dropped.
         let _ = entry.outcome.send(outcome);
-        self.uses.changed.notify_one();
+        self.uses.status_changed.notify_one();
     }
 
     /// Counts a place that a workspace's request takes here.
-    pub(crate) fn begin(&self, workspace: &str, weight: f64) {
+    pub(crate) fn record_start(&self, workspace: &str, weight: f64) {
         lock(&self.state).shares.acquire(key(workspace), weight);
     }
 
     /// Counts the end of a workspace's request here.
-    pub(crate) fn end(&self, workspace: &str) {
+    pub(crate) fn record_end(&self, workspace: &str) {
         lock(&self.state).shares.release(key(workspace));
     }
 
     /// Notes how many hosts share the places near by.
-    pub(crate) fn set_hosts(&self, hosts: u32) {
+    pub(crate) fn set_host_count(&self, hosts: u32) {
         self.hosts.store(hosts.max(1), Ordering::Relaxed);
     }
 
@@ -369,7 +369,7 @@
 }
 
 /// Looks at the line until the host stops.
-pub(crate) async fn run(waiting: Arc<Waiting>, mut phase: watch::Receiver<Phase>) {
+pub(crate) async fn run(waiting: Arc<RequestQueue>, mut phase: watch::Receiver<Phase>) {
     while *phase.borrow() != Phase::Stopped {
         let is_idle = waiting.count.load(Ordering::Relaxed) == 0;
         tokio::select! {
--- a/crates/gateway/src/waiting/handing.rs
+++ b/crates/gateway/src/waiting/handing.rs
@@ -10,22 +10,22 @@
 use notchwharf_waiting::QueuedRequest;
 use notchwharf_waiting::key;
 
+use super::RequestQueue;
 use super::State;
-use super::Waiting;
 use crate::metrics::Counted;
 use crate::sync::lock;
 
-impl Waiting {
+impl RequestQueue {
     /// Lets a request that waits take a place that has just fallen free at a target; returns
     /// the peer that is to be told if the request waits there.
-    pub(crate) fn freed(&self, target: &TargetId) -> Option<HostId> {
+    pub(crate) fn transfer_freed_slot(&self, target: &TargetId) -> Option<HostId> {
         let now = Instant::now();
         let mut state = lock(&self.state);
         if !state.line.is_contended() {
             return None;
         }
         let service = {
-            let places = lock(&self.uses.places);
+            let places = lock(&self.uses.balancer);
             if !places.can_transfer(target, &self.uses.data_centre, now) {
                 return None;
             }
@@ -38,18 +38,20 @@
                 None
             }
             Assignment::Peer(host) => {
-                self.uses.metrics.count(Counted::Line, "handed to a peer");
+                self.uses
+                    .metrics
+                    .count(Counted::WaitQueue, "handed to a peer");
                 Some(host)
             }
         }
     }
 
     /// Takes in that a peer hands a place over.
-    pub(crate) fn handed(&self, target: TargetKey) {
+    pub(crate) fn accept_transfer(&self, target: TargetKey) {
         let now = Instant::now();
         let mut state = lock(&self.state);
         let (id, service) = {
-            let places = lock(&self.uses.places);
+            let places = lock(&self.uses.balancer);
             let Some(id) = places.id_of(target).cloned() else {
                 return;
             };
@@ -62,7 +64,10 @@
         match state.line.first(service, &state.shares) {
             Some(first) => self.hand_over(&mut state, first, &id, now),
             // Served meanwhile: the place is seen to be free by all.
-            None => self.uses.metrics.count(Counted::Line, "handed in vain"),
+            None => self
+                .uses
+                .metrics
+                .count(Counted::WaitQueue, "handed in vain"),
         }
     }
 
@@ -71,7 +76,7 @@
             return;
         };
         let want = entry.wanted.want(&self.uses.data_centre);
-        let places = lock(&self.uses.places);
+        let places = lock(&self.uses.balancer);
         if let Some(choice) = places.choose_transferred(&want, target, now) {
             self.begin_at(state, first.ticket, choice, places, now);
         }
--- a/crates/gateway/src/waiting/told.rs
+++ b/crates/gateway/src/waiting/told.rs
@@ -6,7 +6,7 @@
 use notchwharf_waiting::RequestSummary;
 use notchwharf_waiting::WorkspaceUsage;
 
-use super::Waiting;
+use super::RequestQueue;
 use crate::sync::lock;
 use crate::time::millis;
 use crate::time::ms;
@@ -14,9 +14,9 @@
 /// Thousandths in one.
 const MILLI: f64 = 1_000.0;
 
-impl Waiting {
+impl RequestQueue {
     /// Returns what peers are to be told; nothing while nobody waits anywhere.
-    pub(crate) fn told(&self, now: Instant) -> Option<messages::Contention> {
+    pub(crate) fn summary(&self, now: Instant) -> Option<messages::Contention> {
         let state = lock(&self.state);
         if !state.line.is_contended() {
             return None;
@@ -45,7 +45,7 @@
     }
 
     /// Takes in what waits at a peer near by, and what is held there.
-    pub(crate) fn peer_tells(&self, host: &str, told: Option<messages::Contention>, now: Instant) {
+    pub(crate) fn update_peer(&self, host: &str, told: Option<messages::Contention>, now: Instant) {
         let told = told.unwrap_or_default();
         let waiting: Vec<RequestSummary> = told.waiting.iter().map(decode_waiting).collect();
         let held = told.held.iter().map(decode_held).collect();
@@ -58,13 +58,13 @@
     }
 
     /// Takes in that requests wait at a host elsewhere.
-    pub(crate) fn note_short(&self, data_centre: &str, now: Instant) {
+    pub(crate) fn record_remote_queue(&self, data_centre: &str, now: Instant) {
         let mut state = lock(&self.state);
         state.short_at.insert(data_centre.to_owned(), now);
     }
 
     /// Forgets a peer that is down.
-    pub(crate) fn peer_down(&self, host: &str) {
+    pub(crate) fn remove_peer(&self, host: &str) {
         let mut state = lock(&self.state);
         state.shares.remove_peer(host);
         state.line.remove_peer(host);
--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -7,10 +7,10 @@
 
 use hyper::HeaderMap;
 use notchwharf_gateway::access;
-use notchwharf_gateway::access::Presented;
+use notchwharf_gateway::access::RequestHead;
+use notchwharf_gateway::error::AuthError;
 use notchwharf_gateway::error::Failure;
-use notchwharf_gateway::error::JobCall;
-use notchwharf_gateway::error::NoCaller;
+use notchwharf_gateway::error::JobError;
 use notchwharf_gateway::jobs;
 use world::HOST;
 use world::KEY;
@@ -53,9 +53,9 @@
     // It cannot know that no newer configuration has the key again.
     assert!(is_refused_as_not_run(&cut.ask_as("k1", "gone").await));
     let denied = open.ask_as("k1", "gone").await.unwrap_err();
-    assert_eq!(denied, Failure::NoCaller(NoCaller::Removed));
+    assert_eq!(denied, Failure::Unauthorized(AuthError::Removed));
     let never = open.ask_as("k9", "never").await.unwrap_err();
-    assert_eq!(never, Failure::NoCaller(NoCaller::Unknown));
+    assert_eq!(never, Failure::Unauthorized(AuthError::Unknown));
     for id in ["gone", "never"] {
         assert!(world.engines.runs(id).is_empty());
     }
@@ -65,13 +65,15 @@
 async fn job_of(host: &Running, key: &str) -> String {
     let mut headers = HeaderMap::new();
     headers.insert(KEY, format!("Key {key}").parse().unwrap());
-    let presented = Presented {
+    let presented = RequestHead {
         id: "j1",
         host: HOST,
         path: "/",
         headers: &headers,
     };
-    let caller = access::of_job_call(host.ctx(), presented).await.unwrap();
+    let caller = access::identify_job_caller(host.ctx(), presented)
+        .await
+        .unwrap();
     jobs::id_of(host.ctx(), &caller, "j1")
 }
 
@@ -88,12 +90,12 @@
         assert_eq!(host.results(&job, 2).await.len(), 2);
         let theirs = job_of(host, "k3").await;
         let none = jobs::read(host.ctx(), &theirs, 0, Duration::ZERO).await;
-        assert_eq!(none.unwrap_err(), JobCall::NotFound);
+        assert_eq!(none.unwrap_err(), JobError::NotFound);
         let none = jobs::body(host.ctx(), &theirs, "j1-0").await;
-        assert_eq!(none.unwrap_err(), JobCall::NotFound);
+        assert_eq!(none.unwrap_err(), JobError::NotFound);
         assert_eq!(
             jobs::end(host.ctx(), &theirs).await.unwrap_err(),
-            JobCall::NotFound
+            JobError::NotFound
         );
     }
 }
--- a/crates/gateway/tests/jobs.rs
+++ b/crates/gateway/tests/jobs.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use notchwharf_config::gateway::Settings;
-use notchwharf_gateway::error::JobCall;
+use notchwharf_gateway::error::JobError;
 use notchwharf_gateway::jobs;
 use notchwharf_gateway::jobs::ItemResult;
 use notchwharf_gateway::ports::NoReply;
@@ -106,7 +106,7 @@
     a1.submit("j1", 1, tokens - 10).await.unwrap();
     for host in [&a1, &a2] {
         let err = host.submit("j2", 1, 11).await.unwrap_err();
-        assert!(matches!(err, JobCall::OverQuota { .. }), "{err:?}");
+        assert!(matches!(err, JobError::OverQuota { .. }), "{err:?}");
     }
     a2.submit("j3", 1, 10).await.unwrap();
     world.engines.go();
@@ -123,14 +123,14 @@
     let world = World::new(&["t1"]);
     let a1 = world.start_ready("a1").await;
     let err = jobs::read(a1.ctx(), "none", 0, Duration::ZERO).await;
-    assert_eq!(err.unwrap_err(), JobCall::NotFound);
+    assert_eq!(err.unwrap_err(), JobError::NotFound);
     world.store.close(true);
     let err = jobs::read(a1.ctx(), "none", 0, Duration::ZERO).await;
-    assert!(matches!(err, Err(JobCall::NotNow { .. })), "{err:?}");
+    assert!(matches!(err, Err(JobError::NotNow { .. })), "{err:?}");
     let err = jobs::body(a1.ctx(), "none", "i").await;
-    assert!(matches!(err, Err(JobCall::NotNow { .. })), "{err:?}");
+    assert!(matches!(err, Err(JobError::NotNow { .. })), "{err:?}");
     let err = jobs::end(a1.ctx(), "none").await;
-    assert!(matches!(err, Err(JobCall::NotNow { .. })), "{err:?}");
+    assert!(matches!(err, Err(JobError::NotNow { .. })), "{err:?}");
 }
 
 #[tokio::test]
@@ -139,7 +139,7 @@
     let a1 = world.start_ready("a1").await;
     world.store.close(true);
     let err = a1.submit("j1", 1, 10).await.unwrap_err();
-    assert!(matches!(err, JobCall::NotNow { .. }), "{err:?}");
+    assert!(matches!(err, JobError::NotNow { .. }), "{err:?}");
     world.store.close(false);
     until("the store is back", || {
         a1.ctx()
@@ -157,7 +157,7 @@
     let a1 = world.start_ready("a1").await;
     world.store.script(Topic::Jobs, &[Fate::LostBefore; 200]);
     let err = a1.submit("j1", 1, 10).await.unwrap_err();
-    assert_eq!(err, JobCall::Unknown);
+    assert_eq!(err, JobError::Unknown);
 }
 
 #[tokio::test]
@@ -179,7 +179,7 @@
     let read = jobs::read(a1.ctx(), "j2", 0, Duration::ZERO).await.unwrap();
     assert_eq!((read.total, read.results.len()), (4, 0));
     let gone = jobs::body(a1.ctx(), "j2", "j2-0").await;
-    assert_eq!(gone.unwrap_err(), JobCall::NotFound);
+    assert_eq!(gone.unwrap_err(), JobError::NotFound);
     assert_eq!(a1.results("j1", 1).await.len(), 1);
 }
 
@@ -247,7 +247,7 @@
     let body = jobs::body(a2.ctx(), "j1", "j1-1").await.unwrap();
     assert_eq!(body, "body of 1");
     let none = jobs::body(a2.ctx(), "j1", "other").await;
-    assert_eq!(none.unwrap_err(), JobCall::NotFound);
+    assert_eq!(none.unwrap_err(), JobError::NotFound);
 }
 
 #[tokio::test]
@@ -383,7 +383,7 @@
     let given_up = results.iter().filter(|r| r.text.is_none()).count();
     assert!(given_up > 0, "{results:?}");
     let err = a1.submit("j2", 1, 10).await.unwrap_err();
-    assert_eq!(err, JobCall::NoRoute);
+    assert_eq!(err, JobError::NoRoute);
 }
 
 #[tokio::test]
@@ -436,6 +436,6 @@
     let a2 = world.start_ready("a2").await;
     for job in ["j1", "j2"] {
         let read = jobs::read(a2.ctx(), job, 0, Duration::ZERO).await;
-        assert_eq!(read.unwrap_err(), JobCall::NotFound, "{job}");
+        assert_eq!(read.unwrap_err(), JobError::NotFound, "{job}");
     }
 }
--- a/crates/gateway/tests/passed_on.rs
+++ b/crates/gateway/tests/passed_on.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use notchwharf_gateway::error::JobCall;
+use notchwharf_gateway::error::JobError;
 use notchwharf_gateway::jobs;
 use rstest::rstest;
 use world::TOKENS_MAX;
@@ -55,13 +55,13 @@
     close(&a1, &door).await;
     let too_much = u32::try_from(TOKENS_MAX).unwrap() + 1;
     let err = a1.submit("j1", 1, too_much).await.unwrap_err();
-    assert!(matches!(err, JobCall::OverQuota { .. }), "{err:?}");
+    assert!(matches!(err, JobError::OverQuota { .. }), "{err:?}");
     let none = jobs::read(a1.ctx(), "j1", 0, Duration::ZERO).await;
-    assert_eq!(none.unwrap_err(), JobCall::NotFound);
+    assert_eq!(none.unwrap_err(), JobError::NotFound);
     let none = jobs::body(a1.ctx(), "j1", "j1-0").await;
-    assert_eq!(none.unwrap_err(), JobCall::NotFound);
+    assert_eq!(none.unwrap_err(), JobError::NotFound);
     let none = jobs::end(a1.ctx(), "j1").await;
-    assert_eq!(none.unwrap_err(), JobCall::NotFound);
+    assert_eq!(none.unwrap_err(), JobError::NotFound);
 }
 
 #[rstest]
@@ -78,6 +78,6 @@
         world.store.close(true);
     }
     let err = a1.submit("j1", 1, 10).await.unwrap_err();
-    assert!(matches!(err, JobCall::NotNow { .. }), "{err:?}");
+    assert!(matches!(err, JobError::NotNow { .. }), "{err:?}");
     assert_eq!(world.engines.runs("j1-0"), []);
 }
--- a/crates/gateway/tests/waiting.rs
+++ b/crates/gateway/tests/waiting.rs
@@ -37,7 +37,7 @@
 }
 
 fn waits(host: &Running) -> u64 {
-    host.ctx().metrics.counted(Counted::Line, "waits")
+    host.ctx().metrics.counted(Counted::WaitQueue, "waits")
 }
 
 /// Sends a request, and returns once it waits.
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/world/mod.rs
@@ -36,7 +36,7 @@
 use notchwharf_config::routes::Table;
 use notchwharf_gateway::context::Context;
 use notchwharf_gateway::error::Failure;
-use notchwharf_gateway::error::JobCall;
+use notchwharf_gateway::error::JobError;
 use notchwharf_gateway::jobs;
 use notchwharf_gateway::jobs::ItemResult;
 use notchwharf_gateway::jobs::PayloadItem;
@@ -230,7 +230,7 @@
         self.send(req).await
     }
 
-    pub async fn submit(&self, job: &str, items: u32, tokens: u32) -> Result<(), JobCall> {
+    pub async fn submit(&self, job: &str, items: u32, tokens: u32) -> Result<(), JobError> {
         jobs::submit(self.ctx(), submission(job, items, tokens)).await
     }
 
