--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -1,14 +1,14 @@
-//! Who calls, and whether they may.
+//! Identifies callers by their API keys, and decides whether they have access.
 //!
-//! A host cannot tell a key that nobody ever held from one that a configuration added
-//! which it has not read yet. So an unknown key is refused for good only by a
-//! configuration that was the newest one when the request arrived; otherwise the host
-//! looks again, and if it cannot, the request is refused as not run. A key that is
-//! known is served by what the host knows, unless the settings ask for strictness:
-//! then what it knows must have been confirmed within their time.
+//! A host can't distinguish an invalid key from one that was added in a configuration which
+//! the host has not read yet. So a key is rejected as unknown only by a configuration that was
+//! the newest one when the request arrived. Otherwise the host reads the configuration again,
+//! and if it can't, refuses the request as not run. A known key is accepted by the
+//! configuration at hand, unless the settings limit its age: then it must have been confirmed
+//! within that time.
 //!
-//! Serving unknown keys while the store is away was rejected: a key that was taken
-//! away would come back to life with each outage.
+//! Accepting unknown keys while the store is unavailable was rejected: each outage would make
+//! removed keys valid again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,23 +27,23 @@
 use crate::time::millis;
 use crate::time::ms;
 
-/// Longest time for which a request waits until it is known whether its key is a new
-/// one: two looks at a store that answers within its timeout, and less than a third of
-/// the time that callers wait.
-const LOOK_MAX: Duration = Duration::from_millis(800);
-/// When to come back if a host could not look: the next try meets another one.
+/// Longest time for which a request waits until the configuration is confirmed: two reads of a
+/// store that answers within its timeout, and less than a third of the time that callers wait.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(800);
+/// Retry delay if this host couldn't confirm the configuration: the retry is likely to reach
+/// another host.
 const OTHER_HOST_RETRY: Duration = Duration::from_millis(50);
-/// When to come back while no configuration is known.
+/// Retry delay while no configuration is known.
 const NOT_READY_RETRY: Duration = Duration::from_millis(500);
 
-/// Who calls.
+/// The caller of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
-    /// The configuration does not tell callers apart.
+    /// Callers are not identified: the configuration has no workspaces.
     Unidentified,
-    /// Anybody; the route is a public one.
+    /// Any caller, on a public route.
     Public,
-    /// A workspace, by one of its keys.
+    /// A workspace, identified by one of its keys.
     Workspace(Arc<WorkspacePolicy>),
 }
 
@@ -51,86 +51,83 @@
     /// Returns the workspace, if it is one.
     pub fn workspace(&self) -> Option<&Arc<WorkspacePolicy>> {
         match self {
-            Self::Workspace(holder) => Some(holder),
+            Self::Workspace(workspace) => Some(workspace),
             Self::Unidentified | Self::Public => None,
         }
     }
 
     /// Returns the workspace's name, if it is one.
     pub(crate) fn name(&self) -> Option<&str> {
-        self.workspace().map(|holder| holder.name.as_str())
+        self.workspace().map(|workspace| workspace.name.as_str())
     }
 }
 
-/// Who calls, by which version of the routes.
+/// The caller of a request, and the route table by which it was identified.
 pub struct Identified {
-    /// The routes.
+    /// The route table.
     pub table: Arc<Table>,
     /// The caller.
     pub caller: Caller,
 }
 
-/// A request as far as it says who sends it and where to.
+/// The parts of a request that identify its caller and its route.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestHead<'a> {
-    /// Its name, for log lines.
+    /// The request's id, for log lines.
     pub id: &'a str,
-    /// The host that it names.
+    /// The host that the request names.
     pub host: &'a str,
-    /// Its path without the query.
+    /// The path without the query.
     pub path: &'a str,
-    /// Its headers.
+    /// The headers.
     pub headers: &'a HeaderMap,
 }
 
-/// Finds out who sends a request; on a public route anybody may.
+/// Identifies the caller of a request; a public route needs no key.
 ///
 /// # Errors
 ///
-/// Returns that nobody does who may, or that the host cannot tell.
+/// Returns that the caller has no access, or that the host can't decide.
 pub async fn identify_request(
     ctx: &Context,
-    presented: RequestHead<'_>,
+    head: RequestHead<'_>,
     deadline: Instant,
 ) -> Result<Identified, Failure> {
-    let RequestHead { host, path, .. } = presented;
+    let RequestHead { host, path, .. } = head;
     let is_public = |table: &Table| table.find(host, path).is_none_or(|route| route.public);
-    identify(ctx, presented, deadline, is_public).await
+    identify(ctx, head, deadline, is_public).await
 }
 
-/// Finds out who calls about a job. The call names no route: without a key it is about
-/// a job of a public one, if the host has such.
+/// Identifies the caller of a job operation. It names no route: without a key it refers to a
+/// job of a public route, if the host that it names has one.
 ///
 /// # Errors
 ///
-/// Returns that nobody does who may, or that the host cannot tell.
-pub async fn identify_job_caller(
-    ctx: &Context,
-    presented: RequestHead<'_>,
-) -> Result<Caller, Failure> {
-    let deadline = Instant::now() + LOOK_MAX;
-    let is_keyless = (ctx.decode.key)(presented.headers) == Err(KeyError::Missing);
-    let is_public = |table: &Table| is_keyless && table.has_public_jobs(presented.host);
-    let identified = identify(ctx, presented, deadline, is_public).await?;
+/// Returns that the caller has no access, or that the host can't decide.
+pub async fn identify_job_caller(ctx: &Context, head: RequestHead<'_>) -> Result<Caller, Failure> {
+    let deadline = Instant::now() + CONFIRM_TIMEOUT;
+    let is_keyless = (ctx.decode.key)(head.headers) == Err(KeyError::Missing);
+    let is_public = |table: &Table| is_keyless && table.has_public_jobs(head.host);
+    let identified = identify(ctx, head, deadline, is_public).await?;
     Ok(identified.caller)
 }
 
 async fn identify(
     ctx: &Context,
-    presented: RequestHead<'_>,
+    head: RequestHead<'_>,
     deadline: Instant,
     is_public: impl Fn(&Table) -> bool,
 ) -> Result<Identified, Failure> {
-    let RequestHead { id, headers, .. } = presented;
+    let RequestHead { id, headers, .. } = head;
     let arrived = Instant::now();
-    let until = deadline.min(arrived + LOOK_MAX);
+    let until = deadline.min(arrived + CONFIRM_TIMEOUT);
     loop {
         let table = ctx.routes_by(deadline).await.ok_or(Failure::NotReady {
             retry_after: NOT_READY_RETRY,
         })?;
         let is_public = is_public(&table);
         let reason = match caller(ctx, &table, headers, is_public) {
-            Ok(Caller::Workspace(_)) if !may_serve(ctx, arrived) => {
+            Ok(Caller::Workspace(_)) if !is_config_fresh(ctx, arrived) => {
                 if catalog::confirm(ctx, arrived, until).await {
                     continue;
                 }
@@ -141,7 +138,7 @@
         };
         let may_be_new = matches!(reason, AuthError::Unknown | AuthError::Removed);
         if !may_be_new || ctx.catalog.is_confirmed(arrived) {
-            return Err(refused(ctx, id, &table, reason));
+            return Err(reject(ctx, id, &table, reason));
         }
         if !catalog::confirm(ctx, arrived, until).await {
             return Err(unconfirmed(ctx, id, "the key may be a new one"));
@@ -149,8 +146,8 @@
     }
 }
 
-/// Returns whether the configuration is new enough to serve keys by it.
-fn may_serve(ctx: &Context, now: Instant) -> bool {
+/// Returns whether the configuration is recent enough to accept keys by it.
+fn is_config_fresh(ctx: &Context, now: Instant) -> bool {
     ctx.settings.access.confirm_within_ms.is_none_or(|within| {
         let since = now.checked_sub(ms(within)).unwrap_or(ctx.started);
         ctx.catalog.is_confirmed(since)
@@ -170,8 +167,8 @@
         return Ok(Caller::Public);
     }
     let key = (ctx.decode.key)(headers).map_err(AuthError::NoKey)?;
-    let holder = workspaces.by_key(key).cloned();
-    holder.map(Caller::Workspace).ok_or_else(|| {
+    let workspace = workspaces.by_key(key).cloned();
+    workspace.map(Caller::Workspace).ok_or_else(|| {
         if ctx.catalog.was_removed(key) {
             AuthError::Removed
         } else {
@@ -180,15 +177,16 @@
     })
 }
 
-/// Puts the true workspace in place of whatever a caller sent about itself; a
-/// request that nobody tells apart stays as it came.
+/// Sets the workspace in the headers to the identified one, replacing whatever the caller
+/// sent. Headers of unidentified callers are left unchanged.
 pub(crate) fn set_workspace(ctx: &Context, headers: &mut HeaderMap, caller: &Caller) {
     if *caller != Caller::Unidentified {
         (ctx.decode.mark)(headers, caller.name());
     }
 }
 
-fn refused(ctx: &Context, id: &str, table: &Table, reason: AuthError) -> Failure {
+/// Counts and logs a request without access, and returns its failure.
+fn reject(ctx: &Context, id: &str, table: &Table, reason: AuthError) -> Failure {
     ctx.metrics.count(Counted::Access, reason.label());
     slog::info!(ctx.logger, "caller refused"; "id" => id, "reason" => reason.label(),
         "routes_version" => table.version(),
@@ -196,9 +194,10 @@
     Failure::Unauthorized(reason)
 }
 
+/// Counts and logs a request whose key can't be checked, and returns its failure.
 fn unconfirmed(ctx: &Context, id: &str, reason: &'static str) -> Failure {
     ctx.metrics.count(Counted::Access, "unconfirmed");
-    slog::info!(ctx.logger, "caller not known for sure"; "id" => id, "reason" => reason,
+    slog::info!(ctx.logger, "caller not confirmed"; "id" => id, "reason" => reason,
         "routes_version" => ctx.table().map(|t| t.version()),
         "routes_age_ms" => ctx.catalog.config_age().map(millis));
     Failure::NotRun {
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a request or a job was not answered as its caller hoped.
+//! Errors of requests, of job operations and of the start of a host.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -9,45 +9,45 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why an online request has no answer of a target.
+/// Why an online request got no response of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No configuration is known yet; nothing ran.
     NotReady {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
-    /// No route leads there.
+    /// No route matches the request.
     NoRoute,
     /// Nothing ran and nothing will.
     NotRun {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
-        /// Why.
+        /// The reason.
         reason: &'static str,
     },
     /// Targets crash under the request; nothing ran and nothing will.
     Crashing {
-        /// When it may be tried once more.
+        /// When it may be retried once more.
         retry_after: Duration,
-        /// How many targets were seen to crash.
+        /// The number of targets that crashed under it.
         crashes: u32,
     },
-    /// Nobody calls who may; nothing ran.
+    /// The caller has no access; nothing ran.
     Unauthorized(AuthError),
-    /// The workspace has sent as much as it may; nothing ran and nothing will.
+    /// The rate limit of the workspace is reached; nothing ran and nothing will.
     OverLimit {
-        /// When there is room again.
+        /// When the limit allows a request again.
         retry_after: Duration,
     },
-    /// A target found fault with the request; nothing ran.
+    /// A target rejected the request as invalid; nothing ran.
     Rejected(StatusCode),
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// What was seen last.
+        /// The last known cause.
         reason: &'static str,
     },
-    /// Its time is over; it may have run.
+    /// The deadline has passed; the request may have run.
     TimedOut,
 }
 
@@ -71,36 +71,40 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotReady { .. } => f.write_str("no configuration is known yet; come back later"),
-            Self::NoRoute => f.write_str("no route leads there"),
-            Self::NotRun { reason, .. } => write!(f, "not run ({reason}); come back later"),
+            Self::NotReady { .. } => {
+                f.write_str("the configuration is not loaded yet; retry later")
+            }
+            Self::NoRoute => f.write_str("no route matches the request"),
+            Self::NotRun { reason, .. } => write!(f, "not run ({reason}); retry later"),
             Self::Crashing { crashes, .. } => {
                 write!(
                     f,
-                    "not run ({crashes} targets crashed under it); do not repeat it soon"
+                    "not run ({crashes} targets crashed under it); do not retry it soon"
                 )
             }
             Self::Unauthorized(reason) => reason.fmt(f),
             Self::OverLimit { .. } => {
-                f.write_str("not run (the workspace's limit is reached); come back later")
+                f.write_str("not run (the workspace's rate limit is reached); retry later")
+            }
+            Self::Rejected(status) => {
+                write!(f, "not run (the target rejected it with status {status})")
             }
-            Self::Rejected(status) => write!(f, "the target answered {status} and ran nothing"),
-            Self::Unknown { reason } => write!(f, "it may have run ({reason})"),
-            Self::TimedOut => f.write_str("it took longer than it may; it may have run"),
+            Self::Unknown { reason } => write!(f, "the request may have run ({reason})"),
+            Self::TimedOut => f.write_str("the deadline was exceeded; the request may have run"),
         }
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// Why nobody calls who may.
+/// Why a caller has no access.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuthError {
-    /// The request presents no key.
+    /// The request has no valid key.
     NoKey(KeyError),
-    /// No configuration held its key.
+    /// No known configuration contains the key.
     Unknown,
-    /// Its key was taken away.
+    /// The key was removed from the configuration.
     Removed,
 }
 
@@ -119,31 +123,31 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoKey(reason) => reason.fmt(f),
-            Self::Unknown => f.write_str("no workspace holds the API key"),
-            Self::Removed => f.write_str("the API key was taken away"),
+            Self::Unknown => f.write_str("the API key belongs to no workspace"),
+            Self::Removed => f.write_str("the API key was removed"),
         }
     }
 }
 
 impl std::error::Error for AuthError {}
 
-/// Why a call about a job was not done.
+/// Why a job operation failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobError {
     /// The request is malformed.
     Malformed(Cow<'static, str>),
-    /// No route leads there.
+    /// No route matches the request.
     NoRoute,
-    /// The route's limit leaves no room; nothing of the job runs.
+    /// The route's limit of waiting tokens is reached; nothing of the job runs.
     OverQuota {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
-    /// The host cannot tell or do it now; nothing of the job runs by this try.
+    /// The host can't decide or do it now; nothing of the job runs by this attempt.
     NotNow {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
-        /// Why.
+        /// The reason.
         reason: Cow<'static, str>,
     },
     /// The job may have been accepted, or the end recorded.
@@ -156,10 +160,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(what) => write!(f, "malformed: {what}"),
-            Self::NoRoute => f.write_str("no route leads there"),
-            Self::OverQuota { .. } => f.write_str("too many tokens wait; nothing of the job runs"),
-            Self::NotNow { reason, .. } => write!(f, "not now ({reason}); come back later"),
-            Self::Unknown => f.write_str("unknown whether it was done; send it again"),
+            Self::NoRoute => f.write_str("no route matches the request"),
+            Self::OverQuota { .. } => {
+                f.write_str("too many tokens are waiting; nothing of the job runs")
+            }
+            Self::NotNow { reason, .. } => write!(f, "not now ({reason}); retry later"),
+            Self::Unknown => f.write_str("it is unknown whether this was done; send it again"),
             Self::NotFound => f.write_str("not found"),
         }
     }
@@ -170,14 +176,14 @@
 /// Why a host could not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     Listen,
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Listen => f.write_str("an address cannot be listened on"),
+            Self::Listen => f.write_str("failed to listen on an address"),
         }
     }
 }
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The fingerprint of a request or an item, see [`fingerprint`].
+//! Computes the fingerprint of a request or an item, see [`fingerprint`].
 
 use notchwharf_routing::fingerprint;
 use notchwharf_routing::fingerprint::Content;
@@ -8,8 +8,8 @@
 use crate::ports::Decode;
 use crate::ports::Forward;
 
-/// Returns the fingerprint of a request to a host. It is the workspace that counts and
-/// not the key: a caller with two keys does not get the targets of both.
+/// Returns the fingerprint of a request to a host. It covers the workspace and not the key:
+/// otherwise a caller with two keys could crash twice as many targets.
 pub(crate) fn of(decode: &Decode, host: &str, forward: &Forward) -> Fingerprint {
     fingerprint::of(&Content {
         host,
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,9 +1,10 @@
-//! Limits of workspaces: asks the hosts that hold them, see [`notchwharf_quota`].
+//! Enforces the rate limits of workspaces: queries the hosts that hold them, see
+//! [`notchwharf_quota`].
 //!
-//! A question is one datagram there and one back. Datagrams get lost and hosts stand
-//! still, so a question without an answer goes to the other holder, and by turns until
-//! time is up; then the request is refused as not run, since letting it go unasked would
-//! break the limit just when the fleet is cut to pieces.
+//! A query is one datagram each way. Datagrams are lost and hosts stall, so a query without an
+//! answer is sent to the other holder, alternating until its timeout. Then the request is
+//! refused as not run: admitting it unchecked would exceed the limit during network
+//! partitions.
 
 mod allowance;
 
@@ -43,31 +44,31 @@
 use crate::sync::lock;
 use crate::time::millis;
 
-/// Time between two looks at who should hold what.
+/// Interval at which it is checked which host should hold which limits.
 const TICK: Duration = Duration::from_millis(100);
-/// Time between two looks when a host has just started: until parts are lent, requests
-/// of limited workspaces wait.
-const TICK_STARTING: Duration = Duration::from_millis(20);
-/// Time after its start for which a host looks so often.
-const STARTING: Duration = Duration::from_secs(2);
-/// Time after which a question goes to the other holder: ten times the way to another
-/// data centre and back, a tenth of usual objectives.
-const AGAIN: Duration = Duration::from_millis(20);
-/// Time after which a question is given up: every holder was asked three times.
-const GIVE_UP: Duration = Duration::from_millis(150);
-/// Part of a route's objective for which a request may wait for room: the rest is for
-/// its first event.
-const PATIENCE_PART: u32 = 2;
-/// Time over which those are spread who are told to come back since nobody could tell:
-/// holders that have just begun let in what flows in, and callers come back once.
-const UNKNOWN_SPREAD_MS: u64 = 500;
-/// Least time to come back: sooner costs a connection for a place in the same queue.
-const RETRY_MIN: Duration = Duration::from_millis(50);
+/// That interval while a host starts: requests of limited workspaces wait until shares are
+/// leased.
+const STARTUP_TICK: Duration = Duration::from_millis(20);
+/// Time after its start for which a host uses the shorter interval.
+const STARTUP_PERIOD: Duration = Duration::from_secs(2);
+/// Time after which a query is sent to the other holder: ten round trips to another data
+/// centre, a tenth of usual objectives.
+const QUERY_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after which a query fails: each holder was asked three times by then.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
+/// Divisor of a route's objective that gives the longest wait for the limit: the rest of the
+/// objective is for the first event.
+const MAX_WAIT_DIVISOR: u32 = 2;
+/// Jitter of the retry delay when no holder decided: it spreads the retries of callers, each
+/// of which retries once, over the refill of buckets that start empty.
+const UNKNOWN_JITTER_MS: u64 = 500;
+/// Least retry delay: an earlier retry costs a connection and gains nothing.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// What this host knows of limits.
+/// The limits as known to this host, and its queries in progress.
 pub(crate) struct Limits {
-    node: Mutex<Limiter>,
-    waiting: Mutex<HashMap<u32, oneshot::Sender<Decision>>>,
+    limiter: Mutex<Limiter>,
+    pending: Mutex<HashMap<u32, oneshot::Sender<Decision>>>,
     addrs: Mutex<HashMap<HostKey, SocketAddr>>,
     bounds: Bounds,
     own: HostKey,
@@ -78,8 +79,8 @@
         let own = host_key(&settings.host.name);
         let limits = &settings.access.limits;
         Self {
-            node: Mutex::new(Limiter::new(own, rand::random(), Instant::now())),
-            waiting: Mutex::default(),
+            limiter: Mutex::new(Limiter::new(own, rand::random(), Instant::now())),
+            pending: Mutex::default(),
             addrs: Mutex::default(),
             bounds: Bounds {
                 window: Duration::from_secs(limits.window_s),
@@ -90,18 +91,19 @@
         }
     }
 
-    fn terms(&self, table: &Table) -> HashMap<WorkspaceKey, BucketParams> {
+    /// Returns the bucket parameters of the workspaces that have a limit.
+    fn bucket_params(&self, table: &Table) -> HashMap<WorkspaceKey, BucketParams> {
         let workspaces = table.workspaces().into_iter().flat_map(|all| all.iter());
         let limited = workspaces.filter_map(|workspace| {
-            let terms = BucketParams::new(workspace.limit?, self.bounds);
-            Some((workspace_key(&workspace.name), terms))
+            let params = BucketParams::new(workspace.limit?, self.bounds);
+            Some((workspace_key(&workspace.name), params))
         });
         limited.collect()
     }
 }
 
-/// What a request took of its workspace's limit. Dropped before it may have run, it is
-/// given back.
+/// A request's admission by its workspace's limit. Dropped before the request may have run, it
+/// is refunded.
 pub(crate) struct Permit {
     ctx: Arc<Context>,
     number: u32,
@@ -111,24 +113,24 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let ctx = &self.ctx;
-        let mut node = lock(&ctx.limits.node);
+        let mut limiter = lock(&ctx.limits.limiter);
         if self.is_used {
-            return node.confirm(self.number);
+            return limiter.confirm(self.number);
         }
-        let told = node.refund(self.number, Instant::now());
-        drop(node);
+        let refund = limiter.refund(self.number, Instant::now());
+        drop(limiter);
         ctx.metrics.count(Counted::Limits, "given back");
-        if let Some((to, message)) = told {
+        if let Some((to, message)) = refund {
             send(ctx, to, message);
         }
     }
 }
 
-/// Lets a request of a workspace go, or refuses it.
+/// Admits a request of a workspace, after a wait if need be, or refuses it.
 ///
 /// # Errors
 ///
-/// Returns that the limit is reached, or that nobody could tell.
+/// Returns that the limit is reached, or that no holder decided in time.
 pub(crate) async fn admit(
     ctx: &Arc<Context>,
     workspace: &WorkspacePolicy,
@@ -138,11 +140,11 @@
     if workspace.limit.is_none() {
         return Ok(None);
     }
-    let begun = Instant::now();
-    let left = deadline.saturating_duration_since(begun);
-    let patience = objective.min(left) / PATIENCE_PART;
-    let (number, taken) = ask(ctx, workspace, patience, begun).await;
-    match taken {
+    let started = Instant::now();
+    let left = deadline.saturating_duration_since(started);
+    let max_wait = objective.min(left) / MAX_WAIT_DIVISOR;
+    let (number, decision) = query_holders(ctx, workspace, max_wait, started).await;
+    match decision {
         Decision::Admitted { delay } => {
             let permit = Permit {
                 ctx: Arc::clone(ctx),
@@ -163,97 +165,93 @@
         Decision::Refused { retry_after } => {
             ctx.metrics.count(Counted::Limits, "refused");
             Err(Failure::OverLimit {
-                retry_after: retry_after.max(RETRY_MIN),
+                retry_after: retry_after.max(MIN_RETRY_AFTER),
             })
         }
         Decision::Unknown => {
             ctx.metrics.count(Counted::Limits, "nobody could tell");
-            let retry_after = lock(&ctx.limits.node).retry_after(Instant::now());
-            let drawn = rand::rng().random_range(0..UNKNOWN_SPREAD_MS);
+            let retry_after = lock(&ctx.limits.limiter).retry_after(Instant::now());
+            let jitter = rand::rng().random_range(0..UNKNOWN_JITTER_MS);
             Err(Failure::NotRun {
-                retry_after: retry_after + Duration::from_millis(drawn),
+                retry_after: retry_after + Duration::from_millis(jitter),
                 reason: "nobody could tell the workspace's limit",
             })
         }
     }
 }
 
-/// Asks whether a request may go. At a host that has just started nobody may hold the
-/// limit yet; it asks on for as long as the request can wait.
-async fn ask(
+/// Queries the holders of a workspace's limit. While this host starts, there may be no known
+/// holder yet: the query is repeated for as long as the request can wait.
+async fn query_holders(
     ctx: &Context,
     workspace: &WorkspacePolicy,
-    patience: Duration,
-    begun: Instant,
+    max_wait: Duration,
+    started: Instant,
 ) -> (u32, Decision) {
     let key = workspace_key(&workspace.name);
     loop {
-        let asked = lock(&ctx.limits.node).query(key, patience, Instant::now());
-        let (number, taken) = answer(ctx, asked).await;
-        if taken != Decision::Unknown {
+        let query = lock(&ctx.limits.limiter).query(key, max_wait, Instant::now());
+        let (number, decision) = await_decision(ctx, query).await;
+        if decision != Decision::Unknown {
             ctx.startup.mark_ready(Dependency::Limits, "holder");
         }
-        let is_late = begun.elapsed() + AGAIN > patience;
-        let is_settled = ctx.startup.uptime() >= STARTING;
-        if taken != Decision::Unknown || is_late || is_settled {
-            return (number, taken);
+        let is_out_of_time = started.elapsed() + QUERY_RETRY_INTERVAL > max_wait;
+        let has_started = ctx.startup.uptime() >= STARTUP_PERIOD;
+        if decision != Decision::Unknown || is_out_of_time || has_started {
+            return (number, decision);
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(QUERY_RETRY_INTERVAL).await;
     }
 }
 
-/// Sees a question through to its answer.
-async fn answer(ctx: &Context, asked: Query) -> (u32, Decision) {
-    let (number, to, message) = match asked {
-        Query::Decided {
-            number,
-            decision: taken,
-        } => return (number, taken),
+/// Sends a query, with retries, and waits for the decision.
+async fn await_decision(ctx: &Context, query: Query) -> (u32, Decision) {
+    let (number, to, message) = match query {
+        Query::Decided { number, decision } => return (number, decision),
         Query::Sent {
             number,
             to,
             message,
         } => (number, to, message),
     };
-    let (answer, mut answered) = oneshot::channel();
-    lock(&ctx.limits.waiting).insert(number, answer);
-    let _forgotten = Forget { ctx, number };
+    let (decision_tx, mut decided) = oneshot::channel();
+    lock(&ctx.limits.pending).insert(number, decision_tx);
+    let _guard = CancelOnDrop { ctx, number };
     send(ctx, to, message);
-    let give_up = Instant::now() + GIVE_UP;
+    let deadline = Instant::now() + QUERY_TIMEOUT;
     loop {
-        if let Ok(answer) = tokio::time::timeout(AGAIN, &mut answered).await {
-            return (number, answer.unwrap_or(Decision::Unknown));
+        if let Ok(decision) = tokio::time::timeout(QUERY_RETRY_INTERVAL, &mut decided).await {
+            return (number, decision.unwrap_or(Decision::Unknown));
         }
         let now = Instant::now();
-        if now >= give_up {
+        if now >= deadline {
             return (number, Decision::Unknown);
         }
         ctx.metrics.count(Counted::Limits, "asked again");
-        let again = lock(&ctx.limits.node).retry_query(number, now);
-        match again {
+        let retried = lock(&ctx.limits.limiter).retry_query(number, now);
+        match retried {
             Some(Query::Sent { to, message, .. }) => send(ctx, to, message),
-            Some(Query::Decided {
-                decision: taken, ..
-            }) => return (number, taken),
-            // Its answer has come in between.
+            Some(Query::Decided { decision, .. }) => return (number, decision),
+            // The decision has arrived in between.
             None => {}
         }
     }
 }
 
-/// Forgets a question whose answer nobody waits for any more.
-struct Forget<'a> {
+/// Cancels a query when its request no longer waits for the decision.
+struct CancelOnDrop<'a> {
     ctx: &'a Context,
     number: u32,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        lock(&self.ctx.limits.waiting).remove(&self.number);
-        lock(&self.ctx.limits.node).cancel_query(self.number);
+        lock(&self.ctx.limits.pending).remove(&self.number);
+        lock(&self.ctx.limits.limiter).cancel_query(self.number);
     }
 }
 
+/// Sends a message to a host if its address is known.
 fn send(ctx: &Context, to: HostKey, message: Message) {
     let addr = lock(&ctx.limits.addrs).get(&to).copied();
     if let Some(addr) = addr {
@@ -263,29 +261,26 @@
 
 fn send_to(ctx: &Context, addr: SocketAddr, message: Message) {
     let host = ctx.limits.own;
-    let word = messages::QuotaMessage { host, message };
-    ctx.peers.send_to(addr, &PeerMessage::Limits(word));
+    let quota_message = messages::QuotaMessage { host, message };
+    ctx.peers.send_to(addr, &PeerMessage::Limits(quota_message));
     ctx.metrics.count(Counted::Datagrams, "limits");
 }
 
-/// Takes in a word about limits.
-pub(crate) fn handle_message(ctx: &Context, addr: SocketAddr, told: &messages::QuotaMessage) {
+/// Handles a message about limits.
+pub(crate) fn handle_message(ctx: &Context, addr: SocketAddr, received: &messages::QuotaMessage) {
     let now = Instant::now();
-    let reaction = lock(&ctx.limits.node).receive(told.host, &told.message, now);
-    match reaction {
+    let action = lock(&ctx.limits.limiter).receive(received.host, &received.message, now);
+    match action {
         Action::None => {}
         Action::Reply(message) => send_to(ctx, addr, message),
         Action::Query(Query::Sent { to, message, .. }) => send(ctx, to, message),
-        Action::Query(Query::Decided {
-            number,
-            decision: taken,
-        }) => {
-            let waiting = lock(&ctx.limits.waiting).remove(&number);
-            let is_taken = waiting.is_some_and(|waiting| waiting.send(taken).is_ok());
-            // Its caller has gone, or it was given up.
-            if !is_taken && matches!(taken, Decision::Admitted { .. }) {
-                let told = lock(&ctx.limits.node).refund(number, now);
-                if let Some((to, message)) = told {
+        Action::Query(Query::Decided { number, decision }) => {
+            let pending = lock(&ctx.limits.pending).remove(&number);
+            let is_received = pending.is_some_and(|pending| pending.send(decision).is_ok());
+            // The caller has disconnected, or the query has timed out.
+            if !is_received && matches!(decision, Decision::Admitted { .. }) {
+                let refund = lock(&ctx.limits.limiter).refund(number, now);
+                if let Some((to, message)) = refund {
                     send(ctx, to, message);
                 }
             }
@@ -293,96 +288,97 @@
     }
 }
 
-/// Keeps limits in force and their holders found, until the host stops.
+/// Applies the configured limits and tracks their holders, until the host stops.
 pub(crate) async fn run(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(TICK_STARTING);
+    let mut ticks = ctx.timer.subscribe(STARTUP_TICK);
     let mut routes = ctx.routes.subscribe();
-    let mut is_holding = false;
+    let mut was_holding = false;
     let mut is_starting = true;
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
-        if is_starting && ctx.startup.uptime() >= STARTING {
+        if is_starting && ctx.startup.uptime() >= STARTUP_PERIOD {
             is_starting = false;
             ticks = ctx.timer.subscribe(TICK);
         }
         if routes.has_changed().unwrap_or(false)
             && let Some(table) = routes.borrow_and_update().clone()
         {
-            let terms = ctx.limits.terms(&table);
-            ctx.metrics.set("limited_workspaces", terms.len());
-            lock(&ctx.limits.node).set_limits(terms, Instant::now());
+            let params = ctx.limits.bucket_params(&table);
+            ctx.metrics.set("limited_workspaces", params.len());
+            lock(&ctx.limits.limiter).set_limits(params, Instant::now());
         }
         for (to, message) in tick(&ctx) {
             send(&ctx, to, message);
         }
-        ask_allowance(&ctx);
-        note_holding(&ctx, &mut is_holding);
+        request_allowance(&ctx);
+        report_held_shares(&ctx, &mut was_holding);
     }
 }
 
-/// Asks the store for the allowance of a slot that this host has begun to hold.
-fn ask_allowance(ctx: &Arc<Context>) {
-    let Some(slot) = lock(&ctx.limits.node).next_allowance_request() else {
+/// Requests from the store the allowance of a holder slot that this host has just acquired.
+fn request_allowance(ctx: &Arc<Context>) {
+    let Some(slot) = lock(&ctx.limits.limiter).next_allowance_request() else {
         return;
     };
     let ctx = Arc::clone(ctx);
     tokio::spawn(async move {
-        let begun = Instant::now();
-        let asked = allowance::ask(&ctx.store, slot, ctx.limits.bounds.window).await;
-        let outcome = match asked {
+        let started = Instant::now();
+        let granted = allowance::request(&ctx.store, slot, ctx.limits.bounds.window).await;
+        let outcome = match granted {
             Ok(Some(_)) => "allowance taken",
             Ok(None) => "allowance taken before",
-            // Buckets begin empty, which is safe; the store's wrapper has logged why.
+            // Buckets start empty, which is safe; the store's wrapper has logged the failure.
             Err(_) => "allowance not known",
         };
-        let mut node = lock(&ctx.limits.node);
-        match asked {
-            Ok(Some(asked)) => node.grant_allowance(slot, asked, Instant::now()),
-            Ok(None) | Err(_) => node.deny_allowance(slot),
+        let mut limiter = lock(&ctx.limits.limiter);
+        match granted {
+            Ok(Some(requested_at)) => limiter.grant_allowance(slot, requested_at, Instant::now()),
+            Ok(None) | Err(_) => limiter.deny_allowance(slot),
         }
-        drop(node);
+        drop(limiter);
         ctx.metrics.count(Counted::Limits, outcome);
-        slog::info!(ctx.logger, "limits held anew"; "slot" => slot, "outcome" => outcome,
-            "took_ms" => millis(begun.elapsed()));
+        slog::info!(ctx.logger, "limit slot acquired"; "slot" => slot, "outcome" => outcome,
+            "took_ms" => millis(started.elapsed()));
     });
 }
 
-/// Lets all parts go that other hosts have lent to this one.
+/// Releases all shares that other hosts have leased to this one.
 pub(crate) fn release_leases(ctx: &Context) {
-    lock(&ctx.limits.node).release_leases(Instant::now());
+    lock(&ctx.limits.limiter).release_leases(Instant::now());
 }
 
-/// Looks who should hold what; returns what is to be sent.
+/// Updates which host should hold which limits; returns the messages to send.
 fn tick(ctx: &Context) -> Vec<(HostKey, Message)> {
-    // Without limits nobody needs to hold them.
-    if !lock(&ctx.limits.node).has_limits() {
+    // Without limits there is nothing to hold.
+    if !lock(&ctx.limits.limiter).has_limits() {
         return Vec::new();
     }
     let peers = ctx.peers.for_limits();
-    let keys = |is: fn(&ForLimits) -> bool| -> Vec<HostKey> {
-        let chosen = peers.iter().filter(|peer| is(peer));
+    let keys = |matches: fn(&ForLimits) -> bool| -> Vec<HostKey> {
+        let chosen = peers.iter().filter(|peer| matches(peer));
         chosen.map(|peer| peer.key).collect()
     };
     let addrs = peers.iter().map(|peer| (peer.key, peer.addr));
     *lock(&ctx.limits.addrs) = addrs.collect();
-    let alive = keys(|peer| peer.could_hold);
+    let candidates = keys(|peer| peer.could_hold);
     let fleet = Fleet {
-        holder_candidates: &alive,
+        holder_candidates: &candidates,
         members: &keys(|_| true),
         expired: &keys(|peer| peer.is_silent),
         is_complete: ctx.peers.is_fleet_known(),
     };
-    let is_staying = ctx.phase() < Phase::Leaving || alive.is_empty();
-    let mut node = lock(&ctx.limits.node);
-    node.tick(&fleet, is_staying, Instant::now())
+    let is_staying = ctx.phase() < Phase::Leaving || candidates.is_empty();
+    let mut limiter = lock(&ctx.limits.limiter);
+    limiter.tick(&fleet, is_staying, Instant::now())
 }
 
-fn note_holding(ctx: &Context, is_holding: &mut bool) {
-    let shares = lock(&ctx.limits.node).held_shares();
+/// Sets the metric of held shares, and logs when this host starts or stops holding any.
+fn report_held_shares(ctx: &Context, was_holding: &mut bool) {
+    let shares = lock(&ctx.limits.limiter).held_shares();
     let held: f64 = shares.iter().sum();
     ctx.metrics
         .set("limits_held_percent", (held * 100.0).round() as usize);
     let holds_any = held > 0.0;
-    if std::mem::replace(is_holding, holds_any) != holds_any {
-        slog::info!(ctx.logger, "limits held"; "shares" => format!("{shares:?}"));
+    if std::mem::replace(was_holding, holds_any) != holds_any {
+        slog::info!(ctx.logger, "held limit shares changed"; "shares" => format!("{shares:?}"));
     }
 }
--- a/crates/gateway/src/limits/allowance.rs
+++ b/crates/gateway/src/limits/allowance.rs
@@ -1,9 +1,10 @@
-//! Asks the store whether the buckets of a slot may begin with the allowance.
+//! Requests the allowance with which the buckets of a holder slot may start.
 //!
-//! A record for each slot says when that was last asked for. Two hosts may ask at the
-//! same time, each having read the same record; the store's order decides, so whoever
-//! has asked reads what came in between. An append without an answer counts for nobody:
-//! should it be done later, the next one to ask waits longer than it must.
+//! A record for each slot in the store holds when its allowance was last requested. Two hosts
+//! may request it concurrently after reading the same record. The order in the store decides:
+//! after its append, a host reads the records before it that it hadn't read. An append without
+//! an answer grants the allowance to no host; if it takes effect later, the next request is
+//! only delayed longer than necessary.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,28 +21,28 @@
 use crate::time::unix_ms;
 
 /// The partition of the records.
-const PART: u32 = 0;
-/// Bytes read at once: records of some ten bytes, of which few are new.
+const PARTITION: u32 = 0;
+/// Bytes per read: records have about ten bytes, and few are new.
 const READ_BYTES: u64 = 64 << 10;
 
-/// Returns when the allowance of a slot was asked for, by what its record says, if its
-/// buckets may begin with it; nothing if they must not.
+/// Requests the allowance of a slot. Returns when it was requested if the slot's buckets may
+/// start with it; none if they may not.
 ///
 /// # Errors
 ///
-/// Returns the store's failure; then they must not.
-pub(super) async fn ask(
+/// Returns the store's failure; then the buckets may not start with it.
+pub(super) async fn request(
     store: &Store,
     slot: HolderSlot,
     window: Duration,
 ) -> Result<Option<Instant>, StoreError> {
     let key = slot.to_string();
-    let listing = store.all_newest(Topic::Limits, PART).await?;
-    let of_slot = |record: &&Stored| record.entry.key == key;
-    let last = listing.records.iter().rev().find(of_slot);
-    // A record that cannot be read may be of any time.
+    let listing = store.all_newest(Topic::Limits, PARTITION).await?;
+    let is_of_slot = |record: &&Stored| record.entry.key == key;
+    let last = listing.records.iter().rev().find(is_of_slot);
+    // An unreadable record may be of any time.
     let last_unix_ms = last.map(|record| decode(record).unwrap_or(u64::MAX));
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let now_unix_ms = unix_ms();
     if !is_allowance_due(last_unix_ms, now_unix_ms, window) {
         return Ok(None);
@@ -51,27 +52,27 @@
         key: key.clone(),
         value: Some(value.into()),
     };
-    let offset = store.append(Topic::Limits, PART, vec![entry]).await?;
+    let offset = store.append(Topic::Limits, PARTITION, vec![entry]).await?;
     let mut from = listing.end;
     while from < offset {
         let read = Read {
             topic: Topic::Limits,
-            part: PART,
+            part: PARTITION,
             from,
             bytes_max: READ_BYTES,
             wait: Duration::ZERO,
         };
-        let tail = store.read(read).await?;
-        let Some(newest) = tail.records.last().map(|record| record.offset) else {
+        let page = store.read(read).await?;
+        let Some(newest) = page.records.last().map(|record| record.offset) else {
             return Ok(None);
         };
-        let mut before = tail.records.iter().filter(|record| record.offset < offset);
-        if before.any(|record| of_slot(&record)) {
+        let mut earlier = page.records.iter().filter(|record| record.offset < offset);
+        if earlier.any(|record| is_of_slot(&record)) {
             return Ok(None);
         }
         from = newest + 1;
     }
-    Ok(Some(asked))
+    Ok(Some(requested_at))
 }
 
 fn decode(record: &Stored) -> Option<u64> {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a host counts and times.
+//! The counters and timings of a host.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 use notchwharf_telemetry::metrics::Counter;
 use notchwharf_telemetry::metrics::Timing;
 
-/// What is counted, with one label.
+/// A counter with one label.
 #[derive(Clone, Copy, Debug)]
 pub enum Counted {
     /// Online requests by outcome.
     Requests,
-    /// Offers of requests to targets by what came of them.
+    /// Offers of requests to targets by outcome.
     Offers,
-    /// Online requests that wait for a place, by what came of them.
+    /// Online requests that wait for a slot, by event.
     WaitQueue,
     /// Items by event.
     Items,
-    /// Calls about jobs by outcome.
+    /// Job operations by outcome.
     Jobs,
-    /// Requests without a caller who may, by reason.
+    /// Requests without access by reason.
     Access,
-    /// Decisions about limits of workspaces, by outcome.
+    /// Decisions on rate limits of workspaces by outcome.
     Limits,
     /// Calls of the store by outcome.
     Store,
     /// Datagrams between hosts by direction.
     Datagrams,
-    /// Changes of what the host believes, by kind.
+    /// Changes of the host's view of the fleet, by kind.
     Changes,
-    /// Pieces of work, by part.
+    /// Units of work by part of the host.
     Work,
-    /// Their time in microseconds, by part.
+    /// Time of units of work in microseconds, by part of the host.
     WorkMicros,
 }
 
@@ -66,14 +66,14 @@
     counter("notchwharf_work_us_total", "Their time.", "part"),
 ];
 
-/// What is timed.
+/// A timing.
 #[derive(Clone, Copy, Debug)]
 pub enum Timed {
-    /// Time to an answer's first event, by route.
+    /// Time to a response's first event, by route.
     FirstEvent,
-    /// Time to a whole answer, by route.
-    Whole,
-    /// Time of calls of the store, by call.
+    /// Time to the end of a response, by route.
+    Complete,
+    /// Duration of calls of the store, by call.
     StoreCall,
 }
 
@@ -91,7 +91,7 @@
     Timing { name, help }
 }
 
-/// The figures of one host.
+/// The metrics of one host.
 #[derive(Debug)]
 pub struct Metrics(metrics::Metrics);
 
@@ -102,22 +102,22 @@
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, what: Counted, label: &str) {
         self.add(what, label, 1);
     }
 
-    /// Adds to what is counted.
+    /// Adds to a counter.
     pub fn add(&self, what: Counted, label: &str, by: u64) {
         self.0.add(what as usize, label, by);
     }
 
-    /// Returns what was counted.
+    /// Returns the value of a counter.
     pub fn counted(&self, what: Counted, label: &str) -> u64 {
         self.0.counted(what as usize, label)
     }
 
-    /// Records a time under a route's or call's name.
+    /// Records a duration under the name of a route or call.
     pub fn time(&self, what: Timed, name: &str, took: Duration) {
         self.0
             .histogram(what as usize, &[("name", name)])
@@ -129,7 +129,7 @@
         self.0.set(name, value);
     }
 
-    /// Returns everything in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         self.0.text()
     }
--- a/crates/gateway/src/online.rs
+++ b/crates/gateway/src/online.rs
@@ -1,14 +1,15 @@
-//! Online requests: from a route to a target and back.
+//! Online requests: finds the route, dispatches the request to a target and forwards the
+//! response.
 //!
-//! Three outcomes stay apart to the end: a request that did not run may be
-//! offered to another target or refused; one that may have run is sent again
-//! only if it may run twice; one whose answer has begun is passed on as it
-//! comes. A stream that may be resumed goes on at another target within the
-//! same answer, after its last whole event.
-
-mod flow;
-mod placing;
-mod sending;
+//! Three outcomes are kept apart throughout. A request that did not run may be offered to
+//! another target or refused. One that may have run is sent again only if its route allows
+//! that. One whose response has started is forwarded as it arrives; a resumable stream that is
+//! interrupted continues at another target within the same response, after its last complete
+//! event.
+
+mod body;
+mod dispatch;
+mod slot;
 mod trace;
 
 use std::sync::Arc;
@@ -34,34 +35,35 @@
 use crate::metrics::Counted;
 use crate::ports::Body;
 use crate::ports::Forward;
-use crate::waiting::Standing;
+use crate::waiting::SchedulingParams;
 
-use self::sending::Sending;
+use self::dispatch::Dispatch;
 use self::trace::Trace;
 
-/// When to come back if the route has just begun to take jobs.
-const TAKES_JOBS_RETRY: Duration = Duration::from_millis(50);
-/// What a workspace without a limit counts as that shares places with others: one that may
-/// send as many requests a second as a large one.
+/// Retry delay for a request that was read as an online one before its route became a batch
+/// route.
+const BATCH_ROUTE_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Weight of a workspace without a rate limit when slots are shared, in requests per second:
+/// that of a large workspace.
 const UNLIMITED_WEIGHT: f64 = 100.0;
-/// Time that a caller is taken to wait who does not say.
-const NO_DEADLINE: Duration = Duration::from_secs(60);
+/// Deadline of a request that names none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The request as it is passed on.
+    /// The request as it is forwarded.
     pub forward: Forward,
     /// The host that it names.
     pub host: String,
-    /// Time that the caller waits.
+    /// How long the caller waits.
     pub deadline: Option<Duration>,
-    /// A hash of the prompt's shared beginning.
+    /// A hash of the prompt's shared prefix.
     pub affinity: u64,
 }
 
-/// A target's answer on its way to the caller.
-pub struct Answer {
+/// A target's response, to be forwarded to the caller.
+pub struct Response {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -70,73 +72,78 @@
     pub body: Body,
 }
 
-impl std::fmt::Debug for Answer {
+impl std::fmt::Debug for Response {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Answer")
+        f.debug_struct("Response")
             .field("status", &self.status)
             .finish_non_exhaustive()
     }
 }
 
-/// Serves a request. Dropping the future or the answer's body stops it.
+/// Serves a request. Dropping the future or the response's body cancels it.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer of a target, and whether it may have run.
+/// Returns why there is no response of a target, and whether the request may have run.
 pub async fn serve(
     ctx: &Arc<Context>,
     mut req: Request,
     arrived: Instant,
-) -> Result<Answer, Failure> {
-    let Identified { table, caller } = who_calls(ctx, &req, arrived).await?;
-    let route = which_route(ctx, &table, &req)?;
+) -> Result<Response, Failure> {
+    let Identified { table, caller } = identify_caller(ctx, &req, arrived).await?;
+    let route = find_route(ctx, &table, &req)?;
     access::set_workspace(ctx, &mut req.forward.headers, &caller);
     req.forward.workspace = caller.name().map(str::to_owned);
     let wait = req.deadline.map_or(route.timeout, |d| d.min(route.timeout));
     let mut trace = Trace::new(ctx, &req.forward, &route, table.version(), arrived);
     let deadline = arrived + wait;
-    let permit = may_it(ctx, &caller, &route, deadline).await;
-    let permit = permit.inspect_err(|failure| trace.failed(failure))?;
-    let standing = waits_at_hosts(ctx, &table).then(|| standing(&caller, &route));
-    let sending = Sending::new(ctx, req, route, trace, permit, deadline).standing(standing);
-    sending.send_whole().await
+    let permit = admit(ctx, &caller, &route, deadline).await;
+    let permit = permit.inspect_err(|failure| trace.fail(failure))?;
+    let scheduling = queues_at_hosts(ctx, &table).then(|| scheduling_params(&caller, &route));
+    let dispatch =
+        Dispatch::new(ctx, req, route, trace, permit, deadline).with_scheduling(scheduling);
+    dispatch.run().await
 }
 
-/// Finds out who calls.
-async fn who_calls(ctx: &Context, req: &Request, arrived: Instant) -> Result<Identified, Failure> {
-    let presented = RequestHead {
+/// Identifies the caller.
+async fn identify_caller(
+    ctx: &Context,
+    req: &Request,
+    arrived: Instant,
+) -> Result<Identified, Failure> {
+    let head = RequestHead {
         id: &req.forward.id,
         host: &req.host,
         path: path_of(req),
         headers: &req.forward.headers,
     };
-    let deadline = arrived + req.deadline.unwrap_or(NO_DEADLINE);
-    let identified = access::identify_request(ctx, presented, deadline).await;
+    let deadline = arrived + req.deadline.unwrap_or(DEFAULT_DEADLINE);
+    let identified = access::identify_request(ctx, head, deadline).await;
     identified.inspect_err(|failure| {
         ctx.metrics.count(Counted::Requests, failure.label());
     })
 }
 
-/// Finds the route that answers.
-fn which_route(ctx: &Context, table: &Table, req: &Request) -> Result<Arc<Route>, Failure> {
+/// Finds the route of the request.
+fn find_route(ctx: &Context, table: &Table, req: &Request) -> Result<Arc<Route>, Failure> {
     let route = table.find(&req.host, path_of(req)).cloned();
     let route = route.ok_or_else(|| {
-        trace::no_route(ctx, req, table.version());
+        trace::log_no_route(ctx, req, table.version());
         Failure::NoRoute
     })?;
     if route.kind == Kind::Batch && req.forward.method == Method::POST {
-        // Whoever took it for an online request knew other routes. A target would run the
-        // job as one request that nobody sent.
+        // It was read as an online request by an older route table. A target would run the
+        // whole job as a single request that nobody sent.
         return Err(Failure::NotRun {
-            retry_after: TAKES_JOBS_RETRY,
+            retry_after: BATCH_ROUTE_RETRY_AFTER,
             reason: "the route takes jobs",
         });
     }
     Ok(route)
 }
 
-/// Returns whether requests wait at hosts while all places are taken.
-fn waits_at_hosts(ctx: &Context, table: &Table) -> bool {
+/// Returns whether requests wait at hosts while all slots are in use.
+fn queues_at_hosts(ctx: &Context, table: &Table) -> bool {
     match ctx.settings.online.wait_at_hosts {
         WaitAtHosts::Never => false,
         WaitAtHosts::Workspaces => table.workspaces().is_some(),
@@ -144,13 +151,13 @@
     }
 }
 
-/// Returns what a request's place among those that wait follows from: the rank of its
-/// workspace before that of its route, and what the workspace may send. Places are shared
-/// in proportion to that: it is what its callers were promised.
-fn standing(caller: &Caller, route: &Route) -> Standing {
+/// Returns a request's parameters in the wait queue. The priority of its workspace takes
+/// precedence over that of its route. The weight is the workspace's rate limit, since slots
+/// are shared in proportion to the rates that workspaces were promised.
+fn scheduling_params(caller: &Caller, route: &Route) -> SchedulingParams {
     let workspace = caller.workspace();
     let limit = workspace.and_then(|workspace| workspace.limit);
-    Standing {
+    SchedulingParams {
         priority: workspace
             .and_then(|workspace| workspace.priority)
             .unwrap_or(route.priority),
@@ -158,8 +165,8 @@
     }
 }
 
-/// Finds out whether its workspace may send it now.
-async fn may_it(
+/// Checks the request against the limit of its workspace.
+async fn admit(
     ctx: &Arc<Context>,
     caller: &Caller,
     route: &Route,
--- /dev/null
+++ b/crates/gateway/src/online/body.rs
@@ -0,0 +1,312 @@
+//! The body of a target's response, forwarded to the caller as it arrives. A resumable stream
+//! that is interrupted continues at another target within the same body.
+
+use std::io;
+use std::sync::Arc;
+use std::time::Instant;
+
+use bytes::Bytes;
+use bytes::BytesMut;
+use futures_util::stream;
+use http_body_util::BodyExt as _;
+use http_body_util::StreamBody;
+use hyper::HeaderMap;
+use hyper::StatusCode;
+use hyper::body::Body as _;
+use hyper::body::Frame;
+use hyper::header::CONTENT_LENGTH;
+use notchwharf_config::routes::Kind;
+
+use super::Response;
+use super::dispatch::Dispatch;
+use super::dispatch::StartedResponse;
+use crate::error::Failure;
+use crate::ports::Body;
+use crate::quarantine;
+use crate::sse::Events;
+use crate::sse::is_next;
+use crate::sync::lock;
+use crate::time::ms;
+
+/// The bytes that end an event, as targets send them.
+const EVENT_END: [u8; 2] = *b"\n\n";
+
+/// A response whose body is being forwarded.
+pub(super) struct ResponseBody {
+    dispatch: Dispatch,
+    /// The status and headers for the caller: those of the first target whose
+    /// response is forwarded.
+    head: (StatusCode, HeaderMap),
+    /// The response being read; none once its end was reached.
+    response: Option<StartedResponse>,
+    is_stream: bool,
+    /// The event parser, if the stream may be resumed at another target.
+    events: Option<Events>,
+    last_event: Option<u64>,
+    /// Whether an event was received that isn't the successor of the last one.
+    is_out_of_order: bool,
+    /// The last two bytes that were forwarded; an empty body counts as complete.
+    last_bytes: [u8; 2],
+    first_event: Option<Bytes>,
+    is_done: bool,
+}
+
+/// Why reading a body stopped before its end.
+enum Interruption {
+    /// The connection was lost.
+    ConnectionLost(&'static str),
+    /// The target stalled or sent an event out of order.
+    Invalid(&'static str),
+    /// The request's deadline has passed.
+    TimedOut,
+}
+
+impl ResponseBody {
+    pub(super) fn new(dispatch: Dispatch, mut response: StartedResponse) -> Self {
+        let route = &dispatch.route;
+        let is_stream = route.kind == Kind::Stream && response.reply.status.is_success();
+        let is_resumable = is_stream && route.resumable;
+        Self {
+            head: take_head(&mut response),
+            is_stream,
+            events: is_resumable.then(Events::default),
+            dispatch,
+            response: Some(response),
+            last_event: None,
+            is_out_of_order: false,
+            last_bytes: EVENT_END,
+            first_event: None,
+            is_done: false,
+        }
+    }
+
+    /// Returns the response. A resumable stream is returned only once its first event has
+    /// arrived: until then the caller has seen no headers, and another target's may be used.
+    pub(super) async fn start(mut self) -> Result<Response, Failure> {
+        if self.events.is_some() {
+            match self.next().await {
+                Some(Ok(bytes)) => self.first_event = Some(bytes),
+                Some(Err(_)) => return Err(self.dispatch.trace.failure()),
+                None => {}
+            }
+        }
+        let (status, mut headers) = std::mem::take(&mut self.head);
+        if self.events.is_some() {
+            // The rest may come from another target.
+            headers.remove(CONTENT_LENGTH);
+        }
+        self.dispatch.trace.record_status(status);
+        Ok(Response {
+            status,
+            headers,
+            body: self.into_body(),
+        })
+    }
+
+    /// Converts this to a body that yields the remaining bytes.
+    fn into_body(self) -> Body {
+        let frames = stream::unfold(self, |mut body| async move {
+            let next = match body.first_event.take() {
+                Some(bytes) => Ok(bytes),
+                None => body.next().await?,
+            };
+            Some((next.map(Frame::data), body))
+        });
+        StreamBody::new(frames).boxed_unsync()
+    }
+
+    /// Returns the next bytes for the caller; none at the end of the body.
+    async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
+        loop {
+            if self.is_done {
+                return None;
+            }
+            let interruption = match self.read().await {
+                Ok(Some(bytes)) if bytes.is_empty() => continue,
+                Ok(Some(bytes)) => {
+                    // The server stops polling a body of known length at its end.
+                    if self.is_at_end() {
+                        self.finish();
+                    }
+                    return Some(Ok(bytes));
+                }
+                Ok(None) => {
+                    self.finish();
+                    return None;
+                }
+                Err(interruption) => interruption,
+            };
+            if let Err(failure) = self.resume(interruption).await {
+                self.is_done = true;
+                self.response = None;
+                self.dispatch.trace.fail(&failure);
+                return Some(Err(io::Error::other(failure)));
+            }
+        }
+    }
+
+    /// Reads from the target; returns empty bytes while an event is incomplete.
+    async fn read(&mut self) -> Result<Option<Bytes>, Interruption> {
+        if std::mem::take(&mut self.is_out_of_order) {
+            // The events before it have been forwarded.
+            return Err(Interruption::Invalid("event out of order"));
+        }
+        let Some(response) = &mut self.response else {
+            return Ok(None);
+        };
+        let until = self.dispatch.deadline;
+        let stall = ms(self.dispatch.ctx.settings.online.stall_ms);
+        let wait = match self.events {
+            Some(_) => until.min(Instant::now() + stall),
+            None => until,
+        };
+        let frame = tokio::time::timeout_at(wait.into(), response.reply.body.frame()).await;
+        let Ok(frame) = frame else {
+            if Instant::now() >= until {
+                return Err(Interruption::TimedOut);
+            }
+            return Err(Interruption::Invalid("silent"));
+        };
+        let frame = match frame {
+            Some(Ok(frame)) => frame,
+            Some(Err(_)) => return Err(Interruption::ConnectionLost("broke off")),
+            None => return self.check_end(),
+        };
+        // Trailers are not forwarded.
+        let Ok(bytes) = frame.into_data() else {
+            return Ok(Some(Bytes::new()));
+        };
+        if self.dispatch.trace.first_event().is_none() && !bytes.is_empty() {
+            let took = response.sent_at.elapsed();
+            self.dispatch.trace.record_first_event(took);
+            lock(&self.dispatch.ctx.places).record_success(response.running.target(), Some(took));
+        }
+        let Some(events) = &mut self.events else {
+            self.record_last_bytes(&bytes);
+            return Ok(Some(bytes));
+        };
+        events.push(&bytes);
+        let mut complete = BytesMut::new();
+        for event in events {
+            if !is_next(self.last_event, event.id) {
+                self.is_out_of_order = true;
+                break;
+            }
+            self.last_event = event.id;
+            complete.extend_from_slice(&event.raw);
+        }
+        Ok(Some(complete.freeze()))
+    }
+
+    /// Returns whether the body is known to be complete.
+    fn is_at_end(&self) -> bool {
+        let response = self.response.as_ref();
+        let is_end = response.is_some_and(|response| response.reply.body.is_end_stream());
+        is_end && !self.is_out_of_order && self.check_end().is_ok()
+    }
+
+    /// Records the last bytes that are forwarded.
+    fn record_last_bytes(&mut self, bytes: &[u8]) {
+        let newest = bytes.len().saturating_sub(EVENT_END.len());
+        for byte in &bytes[newest..] {
+            self.last_bytes = [self.last_bytes[1], *byte];
+        }
+    }
+
+    /// Returns an error if the body ended inside an event.
+    fn check_end(&self) -> Result<Option<Bytes>, Interruption> {
+        let is_complete = match &self.events {
+            Some(events) => events.is_empty(),
+            None => !self.is_stream || self.last_bytes == EVENT_END,
+        };
+        if !is_complete {
+            return Err(Interruption::ConnectionLost("ended in an event"));
+        }
+        Ok(None)
+    }
+
+    /// Records that the response is complete.
+    fn finish(&mut self) {
+        self.is_done = true;
+        if let Some(response) = self.response.take() {
+            let status = response.reply.status;
+            if status.is_success() {
+                let ctx = Arc::clone(&self.dispatch.ctx);
+                quarantine::record_success(&ctx, || self.dispatch.fingerprint());
+            }
+            let mut balancer = lock(&self.dispatch.ctx.places);
+            if status.is_server_error() {
+                balancer.record_request_failure(response.running.target(), Instant::now());
+            } else {
+                balancer.record_success(response.running.target(), None);
+                balancer.record_duration(&self.dispatch.service, response.sent_at.elapsed());
+            }
+        }
+        lock(&self.dispatch.ctx.budget).deposit();
+        self.dispatch.trace.complete();
+    }
+
+    /// Resumes the stream at another target if it is resumable.
+    async fn resume(&mut self, interruption: Interruption) -> Result<(), Failure> {
+        let (reason, may_have_crashed) = match interruption {
+            Interruption::TimedOut => return Err(Failure::TimedOut),
+            Interruption::ConnectionLost(reason) => (reason, true),
+            Interruption::Invalid(reason) => (reason, false),
+        };
+        let Some(response) = self.response.take() else {
+            return Err(Failure::Unknown { reason });
+        };
+        let target = response.running.target().clone();
+        let StartedResponse {
+            reply,
+            running,
+            addr,
+            sent_at,
+            headers_at,
+            run_guard,
+        } = response;
+        // The target stops as soon as its connection is closed.
+        drop((reply, running));
+        let fingerprint = self.dispatch.fingerprint();
+        self.dispatch
+            .trace
+            .log_broken_stream(&target, reason, self.last_event, fingerprint);
+        lock(&self.dispatch.ctx.places).record_connection_failure(&target, Instant::now());
+        if may_have_crashed {
+            let run_time = headers_at.elapsed();
+            self.dispatch
+                .check_crash(&target, addr, run_time, Some(sent_at))
+                .await;
+        }
+        // The next run of a suspected request starts once the outcome of this one is known.
+        drop(run_guard);
+        self.dispatch.runs += 1;
+        self.dispatch.tried.push(target);
+        let Some(events) = &mut self.events else {
+            return Err(Failure::Unknown { reason });
+        };
+        events.clear();
+        if self.dispatch.runs >= self.dispatch.route.attempts_max {
+            return Err(Failure::Unknown { reason });
+        }
+        let mut next = self.dispatch.send(self.last_event).await?;
+        if !next.reply.status.is_success() {
+            return Err(Failure::Unknown {
+                reason: "not resumed",
+            });
+        }
+        let head = take_head(&mut next);
+        if self.last_event.is_none() {
+            // Nothing was forwarded yet.
+            self.head = head;
+        }
+        self.response = Some(next);
+        Ok(())
+    }
+}
+
+/// Takes the status and headers out of a response.
+fn take_head(response: &mut StartedResponse) -> (StatusCode, HeaderMap) {
+    let headers = std::mem::take(&mut response.reply.headers);
+    (response.reply.status, headers)
+}
--- a/crates/gateway/src/online/sending.rs
+++ b/crates/gateway/src/online/dispatch.rs
@@ -1,4 +1,4 @@
-//! A request on its way to a target: offered, judged, and offered again.
+//! Dispatch of a request to targets: offers it, checks the reply, and retries at another target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 use notchwharf_routing::fingerprint::Fingerprint;
 use notchwharf_startup::Dependency;
 
-use super::Answer;
 use super::Request;
-use super::flow::Flow;
+use super::Response;
+use super::body::ResponseBody;
 use super::trace::Trace;
 use crate::context::Context;
 use crate::error::Failure;
@@ -31,15 +31,15 @@
 use crate::quarantine;
 use crate::sync::lock;
 use crate::target::Running;
-use crate::waiting::Standing;
+use crate::waiting::SchedulingParams;
 
 /// Targets that one request is offered to before it is refused.
-const OFFERS_MAX: u32 = 4;
-/// Time left below which an offer makes no sense: an answer takes longer.
-pub(super) const LEFT_MIN: Duration = Duration::from_millis(20);
+const MAX_OFFERS: u32 = 4;
+/// Remaining time below which no offer is made: a response takes longer.
+pub(super) const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
-/// A request on its way to a target.
-pub(super) struct Sending {
+/// A request that is being dispatched.
+pub(super) struct Dispatch {
     pub(super) ctx: Arc<Context>,
     pub(super) forward: Arc<Forward>,
     /// The host that the request names.
@@ -49,30 +49,30 @@
     pub(super) affinity: u64,
     pub(super) deadline: Instant,
     pub(super) tried: Vec<TargetId>,
-    /// Targets that ran the request or may have.
+    /// The number of targets that ran the request or may have run it.
     pub(super) runs: u32,
-    /// The name of its content, once that was asked for.
+    /// The fingerprint of its content, computed on first use.
     pub(super) fingerprint: Option<Fingerprint>,
     pub(super) trace: Trace,
-    /// What its workspace's limit gave it; given back if it never runs.
+    /// The permit from its workspace's limit; refunded if the request never runs.
     permit: Option<Permit>,
-    /// Its standing among those that wait for a place; nothing if targets queue them.
-    pub(super) standing: Option<Standing>,
+    /// Its parameters in this host's wait queue; none if targets queue requests.
+    pub(super) scheduling: Option<SchedulingParams>,
 }
 
-/// A target's answer whose body is to come.
-pub(super) struct Begun {
+/// A target's response whose headers have arrived.
+pub(super) struct StartedResponse {
     pub(super) reply: Reply,
     pub(super) running: Running,
     pub(super) addr: SocketAddr,
-    pub(super) sent: Instant,
-    /// When the answer's head came.
-    pub(super) begun: Instant,
-    /// Its run, if it is a suspect.
-    pub(super) trial: Option<RunGuard>,
+    pub(super) sent_at: Instant,
+    /// When the response's headers arrived.
+    pub(super) headers_at: Instant,
+    /// Its run in the quarantine, if the request is suspected.
+    pub(super) run_guard: Option<RunGuard>,
 }
 
-impl Sending {
+impl Dispatch {
     pub(super) fn new(
         ctx: &Arc<Context>,
         req: Request,
@@ -95,76 +95,87 @@
             tried: Vec::new(),
             runs: 0,
             fingerprint: None,
-            standing: None,
+            scheduling: None,
         }
     }
 
-    /// Lets the request wait at its host for a place, by its standing.
-    pub(super) fn standing(mut self, standing: Option<Standing>) -> Self {
-        self.standing = standing;
+    /// Makes the request wait at its host for a slot, ordered by these parameters.
+    pub(super) fn with_scheduling(mut self, scheduling: Option<SchedulingParams>) -> Self {
+        self.scheduling = scheduling;
         self
     }
 
-    /// Sends the request until a target answers, and passes its answer on.
-    pub(super) async fn send_whole(mut self) -> Result<Answer, Failure> {
+    /// Sends the request until a target responds, and forwards the response.
+    pub(super) async fn run(mut self) -> Result<Response, Failure> {
         match self.send(None).await {
-            Ok(begun) => Flow::new(self, begun).start().await,
+            Ok(response) => ResponseBody::new(self, response).start().await,
             Err(failure) => {
-                self.trace.failed(&failure);
+                self.trace.fail(&failure);
                 Err(failure)
             }
         }
     }
 
-    /// Offers the request to targets until one answers.
-    pub(super) async fn send(&mut self, resume_after: Option<u64>) -> Result<Begun, Failure> {
+    /// Offers the request to targets until one responds.
+    pub(super) async fn send(
+        &mut self,
+        resume_after: Option<u64>,
+    ) -> Result<StartedResponse, Failure> {
         let mut offers = 0;
         self.ctx
             .startup
             .wait_ready_until(Dependency::Targets, self.deadline)
             .await;
         loop {
-            let trial = self.admit().await?;
-            let crashes = self.crashes();
-            let (choice, running) = self.find_place(offers).await?;
-            if self.crashes() > crashes {
-                // While it waited for its place others like it crashed targets.
+            let run_guard = self.admit().await?;
+            let crashes = self.crash_count();
+            let (choice, running) = self.reserve_slot(offers).await?;
+            if self.crash_count() > crashes {
+                // While it waited for a slot, requests with the same content crashed targets.
                 continue;
             }
-            self.make_room(&choice);
+            self.preempt(&choice);
             offers += 1;
-            let sent = Instant::now();
-            // Its caller may leave while nobody knows yet whether it runs.
+            let sent_at = Instant::now();
+            // The caller may disconnect before it is known whether the request runs.
             self.set_used(true);
             let err = match self.offer(&choice, running, resume_after).await {
-                Ok(begun) => match self.judge(begun) {
-                    Ok(begun) => return Ok(Begun { trial, ..begun }),
+                Ok(response) => match self.check_reply(response) {
+                    Ok(response) => {
+                        return Ok(StartedResponse {
+                            run_guard,
+                            ..response
+                        });
+                    }
                     Err(err) => err,
                 },
                 Err(err) => err,
             };
             if err == NoReply::Broken {
-                let ran = sent.elapsed();
-                self.broke_off(&choice.target, choice.addr, ran, None).await;
+                let run_time = sent_at.elapsed();
+                self.check_crash(&choice.target, choice.addr, run_time, None)
+                    .await;
             }
-            // The next run of a suspect begins when it is known how this one ended.
-            drop(trial);
-            self.note(&choice.target, err);
+            // The next run of a suspected request starts once the outcome of this one is known.
+            drop(run_guard);
+            self.record_offer_failure(&choice.target, err);
             if err.may_have_run() {
                 self.runs += 1;
             }
             self.set_used(self.runs > 0);
             self.tried.push(choice.target);
-            self.may_go_on(err, offers)?;
+            self.check_retry(err, offers)?;
         }
     }
 
+    /// Records whether the request may have run, and so has used its permit.
     fn set_used(&mut self, is_used: bool) {
         if let Some(permit) = &mut self.permit {
             permit.is_used = is_used;
         }
     }
 
+    /// Returns the request's fingerprint.
     pub(super) fn fingerprint(&mut self) -> Fingerprint {
         let (ctx, host, forward) = (&self.ctx, &self.host, &self.forward);
         *self
@@ -172,8 +183,8 @@
             .get_or_insert_with(|| fingerprint::of(&ctx.decode, host, forward))
     }
 
-    /// Returns how many crashes under the request count.
-    fn crashes(&mut self) -> u32 {
+    /// Returns the number of crashes that are attributed to the request.
+    fn crash_count(&mut self) -> u32 {
         let gate = Arc::clone(&self.ctx.suspects.gate);
         if gate.is_empty() {
             return 0;
@@ -181,21 +192,21 @@
         gate.crash_count(self.fingerprint())
     }
 
-    /// Waits until the request may be sent to a target, as far as targets crash under
-    /// it. That is asked before each offer: news may come at any time.
+    /// Waits until the quarantine lets the request run. It is checked before each offer,
+    /// since reports of crashes may arrive at any time.
     async fn admit(&mut self) -> Result<Option<RunGuard>, Failure> {
-        // A request that is blamed may be the first that comes to a host that starts.
-        let is_known = self.ctx.startup.wait_ready(Dependency::Suspects);
-        let until = self.deadline - LEFT_MIN;
-        // Late, there is no time left either.
-        let _ = tokio::time::timeout_at(until.into(), is_known).await;
+        // A blamed request may be the first one that a starting host receives.
+        let suspects_known = self.ctx.startup.wait_ready(Dependency::Suspects);
+        let until = self.deadline - MIN_TIME_LEFT;
+        // After this timeout there is no time left for an offer either.
+        let _ = tokio::time::timeout_at(until.into(), suspects_known).await;
         let gate = Arc::clone(&self.ctx.suspects.gate);
         if gate.is_empty() {
             return Ok(None);
         }
         let fingerprint = self.fingerprint();
         let admitted = gate.admit(fingerprint, until);
-        admitted.await.map_err(|kept_back| match kept_back {
+        admitted.await.map_err(|blocked| match blocked {
             Blocked::Refused {
                 crashes,
                 retry_after,
@@ -203,33 +214,33 @@
                 crashes,
                 retry_after,
             },
-            Blocked::Refused { .. } => self.given_up("targets crash under it"),
-            Blocked::Waiting => self.given_up("others like it run"),
+            Blocked::Refused { .. } => self.final_failure("targets crash under it"),
+            Blocked::Waiting => self.final_failure("others like it run"),
         })
     }
 
-    /// Finds out whether a target crashed under the request; it was sent at
-    /// `answered_from` if the target had begun to answer it.
-    pub(super) async fn broke_off(
+    /// Checks whether the target crashed under the request. `sent_at` is when the request was
+    /// sent, if the target had started to respond.
+    pub(super) async fn check_crash(
         &mut self,
         target: &TargetId,
         addr: SocketAddr,
-        ran: Duration,
-        answered_from: Option<Instant>,
+        run_time: Duration,
+        sent_at: Option<Instant>,
     ) {
         let run = quarantine::BrokenRun {
             fingerprint: self.fingerprint(),
             id: self.forward.id.clone(),
             target: target.clone(),
             addr,
-            run_time: ran,
-            sent_at: answered_from,
+            run_time,
+            sent_at,
         };
         quarantine::check_crash(&self.ctx, run).await;
     }
 
-    /// Returns the time to the first event that is still to be met, for a
-    /// request that may be refused: one that may have run is not.
+    /// Returns the time left to the first-event objective. None if the route has no objective,
+    /// or if the request may have run: such a request is no longer refused for lateness.
     pub(super) fn objective(&self) -> Option<Duration> {
         let objective = self.route.objective;
         if self.runs > 0 || objective.is_zero() {
@@ -238,8 +249,8 @@
         Some(objective.saturating_sub(self.trace.age()))
     }
 
-    /// Returns how to answer when no further offer is made.
-    pub(super) fn given_up(&self, reason: &'static str) -> Failure {
+    /// Returns the failure for a request that is offered to no further target.
+    pub(super) fn final_failure(&self, reason: &'static str) -> Failure {
         if self.runs > 0 {
             return Failure::Unknown { reason };
         }
@@ -249,18 +260,19 @@
         }
     }
 
+    /// Sends the request to the chosen target, and waits for the headers of its response.
     async fn offer(
         &self,
         choice: &Choice,
         running: Running,
         resume_after: Option<u64>,
-    ) -> Result<Begun, NoReply> {
-        let sent = Instant::now();
+    ) -> Result<StartedResponse, NoReply> {
+        let sent_at = Instant::now();
         let call = Call {
             forward: Arc::clone(&self.forward),
             target: choice.target.clone(),
             addr: choice.addr,
-            left: self.deadline.saturating_duration_since(sent),
+            left: self.deadline.saturating_duration_since(sent_at),
             resume_after,
         };
         let replied = (self.ctx.targets.call)(call);
@@ -269,60 +281,66 @@
             Ok(reply) => reply?,
             Err(_) => return Err(NoReply::Unknown(TIMED_OUT)),
         };
-        Ok(Begun {
+        Ok(StartedResponse {
             reply,
             running,
             addr: choice.addr,
-            sent,
-            begun: Instant::now(),
-            trial: None,
+            sent_at,
+            headers_at: Instant::now(),
+            run_guard: None,
         })
     }
 
-    /// Returns an answer that may be passed on, or what it amounts to.
-    fn judge(&self, begun: Begun) -> Result<Begun, NoReply> {
-        let status = begun.reply.status;
-        if status.is_success() && !begun.reply.is_signed {
+    /// Returns a response that may be forwarded, or the failure that it amounts to.
+    fn check_reply(&self, response: StartedResponse) -> Result<StartedResponse, NoReply> {
+        let status = response.reply.status;
+        if status.is_success() && !response.reply.is_signed {
             return Err(NoReply::Unknown("unsigned success"));
         }
-        // These statuses promise that nothing ran, and the target has not
-        // said so.
-        let promises = [
+        // These statuses usually mean that nothing ran, but the target didn't confirm it.
+        let not_run_statuses = [
             StatusCode::SERVICE_UNAVAILABLE,
             StatusCode::TOO_MANY_REQUESTS,
             StatusCode::REQUEST_TIMEOUT,
             StatusCode::MISDIRECTED_REQUEST,
         ];
-        if promises.contains(&status) {
+        if not_run_statuses.contains(&status) {
             return Err(NoReply::Unknown("refused without saying so"));
         }
         let runs_left = self.runs + 1 < self.route.attempts_max;
         if status.is_server_error() && self.route.is_repeatable() && runs_left {
             return Err(NoReply::Unknown(TARGET_FAILED));
         }
-        Ok(begun)
+        Ok(response)
     }
 
-    fn note(&mut self, target: &TargetId, err: NoReply) {
+    /// Logs and counts a failed offer, and reports it to the balancer.
+    fn record_offer_failure(&mut self, target: &TargetId, err: NoReply) {
         let now = Instant::now();
         self.ctx.metrics.count(Counted::Offers, err.reason());
         let fingerprint = err.may_have_run().then(|| self.fingerprint());
-        self.trace.offer_failed(target, err, fingerprint);
-        let mut places = lock(&self.ctx.places);
+        self.trace.log_failed_offer(target, err, fingerprint);
+        let mut balancer = lock(&self.ctx.places);
         match err {
-            NoReply::Full => places.record_rejection(target, now),
+            NoReply::Full => balancer.record_rejection(target, now),
             NoReply::NotSent(_) | NoReply::OtherTarget => {
-                places.record_connection_failure(target, now)
+                balancer.record_connection_failure(target, now)
             }
             NoReply::Unknown(TIMED_OUT) => {}
-            NoReply::Unknown(TARGET_FAILED) => places.record_request_failure(target, now),
-            NoReply::Broken | NoReply::Unknown(_) => places.record_connection_failure(target, now),
+            NoReply::Unknown(TARGET_FAILED) => balancer.record_request_failure(target, now),
+            NoReply::Broken | NoReply::Unknown(_) => {
+                balancer.record_connection_failure(target, now)
+            }
             NoReply::Rejected(_) => {}
         }
     }
 
-    /// Returns whether the request may be offered to another target.
-    fn may_go_on(&mut self, err: NoReply, offers: u32) -> Result<(), Failure> {
+    /// Checks that the request may be offered to another target.
+    ///
+    /// # Errors
+    ///
+    /// Returns the final failure if it may not.
+    fn check_retry(&mut self, err: NoReply, offers: u32) -> Result<(), Failure> {
         match err {
             NoReply::Rejected(status) => return Err(Failure::Rejected(status)),
             NoReply::Unknown(TIMED_OUT) => return Err(Failure::TimedOut),
@@ -333,20 +351,20 @@
             }
             _ => {}
         }
-        if self.runs >= self.route.attempts_max || offers >= OFFERS_MAX {
-            return Err(self.given_up(err.reason()));
+        if self.runs >= self.route.attempts_max || offers >= MAX_OFFERS {
+            return Err(self.final_failure(err.reason()));
         }
         if !lock(&self.ctx.budget).withdraw() {
-            return Err(self.given_up("too many retries"));
+            return Err(self.final_failure("too many retries"));
         }
         Ok(())
     }
 }
 
-/// Why an offer ended when the request's time was over.
+/// Reason of an offer that was cut short by the request's deadline.
 const TIMED_OUT: &str = "timed out";
-/// Why an offer came to nothing when the target answered that it failed.
+/// Reason of an offer to which the target responded with a server error.
 const TARGET_FAILED: &str = "target failed";
-/// When to come back after targets refused or could not be reached: about the
-/// time in which a place falls free.
+/// Retry delay after targets refused or could not be reached: about the time in which a
+/// slot is freed.
 const RETRY_AFTER: Duration = Duration::from_millis(150);
--- a/crates/gateway/src/online/placing.rs
+++ b/crates/gateway/src/online/slot.rs
@@ -1,5 +1,5 @@
-//! The place of a request at a target: in the line of its host, or by what is known of
-//! targets alone.
+//! Choice of a target slot for a request: from its host's wait queue, or directly from the
+//! balancer.
 
 use std::time::Instant;
 
@@ -10,43 +10,43 @@
 use notchwharf_routing::balancer::key_of;
 use notchwharf_routing::items::peer_queues::Ahead;
 
-use super::sending::LEFT_MIN;
-use super::sending::Sending;
+use super::dispatch::Dispatch;
+use super::dispatch::MIN_TIME_LEFT;
 use crate::error::Failure;
 use crate::sync::lock;
 use crate::target::Class;
 use crate::target::Running;
-use crate::waiting::Refused;
-use crate::waiting::Standing;
-use crate::waiting::Wanted;
+use crate::waiting::SchedulingParams;
+use crate::waiting::SlotError;
+use crate::waiting::SlotRequest;
 use crate::work;
 use crate::work::Part;
 
-impl Sending {
-    /// Finds a place for the request, and counts it: in the line if requests wait at hosts,
-    /// and this one may be refused. One that may have run goes before all that wait.
-    pub(super) async fn find_place(&mut self, offers: u32) -> Result<(Choice, Running), Failure> {
+impl Dispatch {
+    /// Reserves a slot for the request: through the wait queue if requests wait at hosts and
+    /// this one may still be refused. A request that may have run bypasses the queue.
+    pub(super) async fn reserve_slot(&mut self, offers: u32) -> Result<(Choice, Running), Failure> {
         let now = Instant::now();
-        if self.deadline.saturating_duration_since(now) < LEFT_MIN {
-            return Err(self.given_up("no time left"));
+        if self.deadline.saturating_duration_since(now) < MIN_TIME_LEFT {
+            return Err(self.final_failure("no time left"));
         }
-        if let (Some(standing), Some(left)) = (self.standing, self.objective()) {
-            let wanted = self.wanted(standing, now + left);
-            match self.ctx.waiting.acquire_slot(wanted).await {
-                Ok(place) => {
-                    let choice = place.choice.clone();
+        if let (Some(scheduling), Some(left)) = (self.scheduling, self.objective()) {
+            let slot_request = self.slot_request(scheduling, now + left);
+            match self.ctx.waiting.acquire_slot(slot_request).await {
+                Ok(slot) => {
+                    let choice = slot.choice.clone();
                     let workspace = self.forward.workspace.as_deref();
-                    let running = Running::in_slot(&self.ctx, place, workspace, standing.weight);
+                    let running = Running::in_slot(&self.ctx, slot, workspace, scheduling.weight);
                     return Ok((choice, running));
                 }
-                Err(Refused::NoRoom { retry_after }) => {
+                Err(SlotError::NoSlotInTime { retry_after }) => {
                     return Err(Failure::NotRun {
                         retry_after,
                         reason: "no room in time",
                     });
                 }
-                // What that means is said below.
-                Err(Refused::NoTarget) => {}
+                // The direct choice below determines the failure.
+                Err(SlotError::NoTarget) => {}
             }
         }
         let choice = self.choose(offers, Instant::now())?;
@@ -54,21 +54,21 @@
         Ok((choice, running))
     }
 
-    fn wanted(&self, standing: Standing, due: Instant) -> Wanted {
-        Wanted {
+    fn slot_request(&self, scheduling: SchedulingParams, first_event_due: Instant) -> SlotRequest {
+        SlotRequest {
             id: self.forward.id.clone(),
             service: self.service.clone(),
             affinity: self.affinity,
             tried: self.tried.clone(),
             workspace: self.forward.workspace.clone(),
-            standing,
-            since: self.trace.arrived(),
-            due,
+            scheduling,
+            waiting_since: self.trace.arrived(),
+            first_event_due,
         }
     }
 
     fn choose(&mut self, offers: u32, now: Instant) -> Result<Choice, Failure> {
-        let want = Criteria {
+        let criteria = Criteria {
             service: &self.service,
             data_centre: &self.ctx.settings.host.data_centre,
             affinity: self.affinity,
@@ -77,18 +77,18 @@
             ahead: Ahead::default(),
         };
         let chosen = work::timed(&self.ctx.metrics, Part::Placing, || {
-            lock(&self.ctx.places).choose_online(&want, now)
+            lock(&self.ctx.places).choose_online(&criteria, now)
         });
         match chosen {
             Ok(choice) => Ok(choice),
             Err(refusal) if offers == 0 && self.runs == 0 => Err(refused(refusal)),
-            Err(_) => Err(self.given_up("no other target")),
+            Err(_) => Err(self.final_failure("no other target")),
         }
     }
 
-    /// Cuts the item whose place the request takes, if there is one.
-    pub(super) fn make_room(&mut self, choice: &Choice) {
-        self.trace.chose(choice);
+    /// Preempts the batch item whose slot the request takes, if there is one.
+    pub(super) fn preempt(&mut self, choice: &Choice) {
+        self.trace.record_choice(choice);
         match &choice.slot_source {
             SlotSource::PreemptOwn => {
                 self.ctx.items.cut_one(&choice.target);
--- a/crates/gateway/src/online/trace.rs
+++ b/crates/gateway/src/online/trace.rs
@@ -1,7 +1,7 @@
-//! What happened to one request, told in one line at its end.
+//! The record of one request, logged in one line when the request ends.
 //!
-//! A line for each event of a stream was rejected: forty lines for each
-//! request would be dropped by the rate just when they matter.
+//! A log line for each event of a stream was rejected: forty lines for each request would
+//! exceed the rate limit of the log, and be dropped, under the load where they matter.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,33 +27,34 @@
 use crate::sync::lock;
 use crate::time::millis;
 
-/// What happened to a request so far; dropped untold, its caller has left.
+/// The record of a request so far. If it is dropped before it was logged, the caller has
+/// disconnected.
 pub(super) struct Trace {
-    told: Option<Told>,
+    record: Option<Record>,
     failure: Option<Failure>,
 }
 
-struct Told {
+struct Record {
     ctx: Arc<Context>,
     id: RequestId,
     workspace: Option<WorkspaceName>,
     route: Arc<Route>,
-    version: u64,
+    routes_version: u64,
     arrived: Instant,
     target: Option<TargetId>,
-    room: &'static str,
+    slot_source: &'static str,
     load: u32,
     offers: u32,
-    first_event: Option<Duration>,
-    first_at: Option<Instant>,
+    target_first_event: Option<Duration>,
+    first_event_at: Option<Instant>,
     status: Option<StatusCode>,
 }
 
-/// Tells of a request that no route fits.
-pub(super) fn no_route(ctx: &Context, req: &Request, version: u64) {
+/// Logs a request that matches no route.
+pub(super) fn log_no_route(ctx: &Context, req: &Request, routes_version: u64) {
     ctx.metrics.count(Counted::Requests, "no route");
     slog::info!(ctx.logger, "request"; "id" => req.forward.id.as_str(), "outcome" => "no route",
-        "host" => req.host.as_str(), "path" => req.forward.path.as_str(), "routes_version" => version);
+        "host" => req.host.as_str(), "path" => req.forward.path.as_str(), "routes_version" => routes_version);
 }
 
 impl Trace {
@@ -61,40 +62,41 @@
         ctx: &Arc<Context>,
         forward: &Forward,
         route: &Arc<Route>,
-        version: u64,
+        routes_version: u64,
         arrived: Instant,
     ) -> Self {
-        let told = Told {
+        let record = Record {
             ctx: Arc::clone(ctx),
             id: forward.id.clone(),
             workspace: forward.workspace.clone(),
             route: Arc::clone(route),
-            version,
+            routes_version,
             arrived,
             target: None,
-            room: "none",
+            slot_source: "none",
             load: 0,
             offers: 0,
-            first_event: None,
-            first_at: None,
+            target_first_event: None,
+            first_event_at: None,
             status: None,
         };
         Self {
-            told: Some(told),
+            record: Some(record),
             failure: None,
         }
     }
 
-    /// Notes where the request is about to be sent, its place there being counted already.
-    pub(super) fn chose(&mut self, choice: &Choice) {
-        let Some(told) = &mut self.told else {
+    /// Records the target that the request is about to be sent to; its slot there is already
+    /// counted.
+    pub(super) fn record_choice(&mut self, choice: &Choice) {
+        let Some(record) = &mut self.record else {
             return;
         };
-        told.offers += 1;
-        let load = lock(&told.ctx.places).load(&choice.target);
-        told.load = load.total().saturating_sub(1);
-        told.target = Some(choice.target.clone());
-        told.room = match choice.slot_source {
+        record.offers += 1;
+        let load = lock(&record.ctx.places).load(&choice.target);
+        record.load = load.total().saturating_sub(1);
+        record.target = Some(choice.target.clone());
+        record.slot_source = match choice.slot_source {
             SlotSource::Free => "free",
             SlotSource::PreemptOwn => "own item cut",
             SlotSource::PreemptPeer(_) => "peer's item cut",
@@ -102,79 +104,82 @@
         };
     }
 
-    /// Tells that an offer failed, and which request it was if it may have run.
-    pub(super) fn offer_failed(
+    /// Logs a failed offer, with the request's fingerprint if it may have run.
+    pub(super) fn log_failed_offer(
         &self,
         target: &TargetId,
         err: NoReply,
         fingerprint: Option<Fingerprint>,
     ) {
-        let Some(told) = &self.told else {
+        let Some(record) = &self.record else {
             return;
         };
-        slog::info!(told.ctx.logger, "offer failed"; "id" => told.id.as_str(),
+        slog::info!(record.ctx.logger, "offer failed"; "id" => record.id.as_str(),
             "target" => target.as_str(), "reason" => err.reason(),
-            "may_have_run" => err.may_have_run(), "offers" => told.offers,
+            "may_have_run" => err.may_have_run(), "offers" => record.offers,
             "fingerprint" => fingerprint.map(fingerprint::to_hex),
-            "after_ms" => millis(told.arrived.elapsed()));
+            "after_ms" => millis(record.arrived.elapsed()));
     }
 
-    pub(super) fn broke_off(
+    /// Logs that a response was interrupted after the given event.
+    pub(super) fn log_broken_stream(
         &self,
         target: &TargetId,
         reason: &'static str,
-        last: Option<u64>,
+        last_event: Option<u64>,
         fingerprint: Fingerprint,
     ) {
-        let Some(told) = &self.told else {
+        let Some(record) = &self.record else {
             return;
         };
-        told.ctx.metrics.count(Counted::Offers, reason);
-        slog::info!(told.ctx.logger, "stream broke off"; "id" => told.id.as_str(),
-            "target" => target.as_str(), "reason" => reason, "last_event" => last,
-            "resumable" => told.route.resumable, "after_ms" => millis(told.arrived.elapsed()),
+        record.ctx.metrics.count(Counted::Offers, reason);
+        slog::info!(record.ctx.logger, "stream interrupted"; "id" => record.id.as_str(),
+            "target" => target.as_str(), "reason" => reason, "last_event" => last_event,
+            "resumable" => record.route.resumable, "after_ms" => millis(record.arrived.elapsed()),
             "fingerprint" => fingerprint::to_hex(fingerprint));
     }
 
-    /// Returns when the request arrived; now if all was told.
+    /// Returns when the request arrived; the current time if the record was logged already.
     pub(super) fn arrived(&self) -> Instant {
-        let told = self.told.as_ref();
-        told.map_or_else(Instant::now, |told| told.arrived)
+        let record = self.record.as_ref();
+        record.map_or_else(Instant::now, |record| record.arrived)
     }
 
     /// Returns the time since the request arrived.
     pub(super) fn age(&self) -> Duration {
-        let arrived = self.told.as_ref().map(|told| told.arrived);
+        let arrived = self.record.as_ref().map(|record| record.arrived);
         arrived.map_or(Duration::ZERO, |at| at.elapsed())
     }
 
     pub(super) fn first_event(&self) -> Option<Duration> {
-        self.told.as_ref().and_then(|told| told.first_event)
+        self.record
+            .as_ref()
+            .and_then(|record| record.target_first_event)
     }
 
-    pub(super) fn note_first_event(&mut self, took: Duration) {
-        if let Some(told) = &mut self.told {
-            told.first_event = Some(took);
-            told.first_at = Some(Instant::now());
+    pub(super) fn record_first_event(&mut self, took: Duration) {
+        if let Some(record) = &mut self.record {
+            record.target_first_event = Some(took);
+            record.first_event_at = Some(Instant::now());
         }
     }
 
-    pub(super) fn begun(&mut self, status: StatusCode) {
-        if let Some(told) = &mut self.told {
-            told.status = Some(status);
+    pub(super) fn record_status(&mut self, status: StatusCode) {
+        if let Some(record) = &mut self.record {
+            record.status = Some(status);
         }
     }
 
-    pub(super) fn whole(&mut self) {
-        if let Some(told) = self.told.take() {
-            told.tell("whole", None);
+    pub(super) fn complete(&mut self) {
+        if let Some(record) = self.record.take() {
+            record.log("whole", None);
         }
     }
 
-    pub(super) fn failed(&mut self, failure: &Failure) {
+    pub(super) fn fail(&mut self, failure: &Failure) {
         self.failure = Some(*failure);
-        if let Some(told) = self.told.take() {
-            told.tell(failure.label(), Some(failure));
+        if let Some(record) = self.record.take() {
+            record.log(failure.label(), Some(failure));
         }
     }
 
@@ -185,32 +190,34 @@
     }
 }
 
-impl Told {
-    fn tell(&self, outcome: &'static str, failure: Option<&Failure>) {
+impl Record {
+    fn log(&self, outcome: &'static str, failure: Option<&Failure>) {
         let metrics = &self.ctx.metrics;
         metrics.count(Counted::Requests, outcome);
-        let first = self.first_at.map(|at| at.duration_since(self.arrived));
+        let first = self
+            .first_event_at
+            .map(|at| at.duration_since(self.arrived));
         if let Some(first) = first {
             metrics.time(Timed::FirstEvent, &self.route.name, first);
         }
         if failure.is_none() {
-            metrics.time(Timed::Whole, &self.route.name, self.arrived.elapsed());
+            metrics.time(Timed::Complete, &self.route.name, self.arrived.elapsed());
         }
         slog::info!(self.ctx.logger, "request"; "id" => self.id.as_str(), "outcome" => outcome,
             "why" => failure.map(ToString::to_string),
             "workspace" => self.workspace.as_deref(),
-            "route" => self.route.name.as_str(), "routes_version" => self.version,
-            "target" => self.target.as_deref(), "room" => self.room, "load" => self.load,
+            "route" => self.route.name.as_str(), "routes_version" => self.routes_version,
+            "target" => self.target.as_deref(), "room" => self.slot_source, "load" => self.load,
             "offers" => self.offers, "status" => self.status.map(|s| s.as_u16()),
-            "first_ms" => first.map(millis), "target_first_ms" => self.first_event.map(millis),
+            "first_ms" => first.map(millis), "target_first_ms" => self.target_first_event.map(millis),
             "whole_ms" => millis(self.arrived.elapsed()));
     }
 }
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        if let Some(told) = self.told.take() {
-            told.tell("caller left", None);
+        if let Some(record) = self.record.take() {
+            record.log("caller left", None);
         }
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,21 +1,22 @@
-//! Keeps requests from targets that crash under them, see [`quarantine`].
+//! Applies the quarantine at a host: detects crashes of targets, and holds back requests that
+//! may have caused them. The rules are in [`quarantine`].
 //!
-//! A run that breaks off says little: the connection was reset, the answer was lost, or
-//! the target crashed. So a host looks at once whether anybody still listens there. If
-//! connections are refused the target has crashed, and all that ran there is suspected.
-//! Waiting until another request is refused there was rejected: a target that failed is
-//! left alone for 400 ms or more, and the suspects come again meanwhile.
+//! An interrupted run alone says little: the connection may have been reset, the response
+//! lost, or the target crashed. So the host probes the target's address at once. If the
+//! connection is refused, the target has crashed, and all requests that ran there become
+//! suspects. Waiting until another request is refused there was rejected: a target that failed
+//! is not used for 400 ms or more, and callers retry the suspects meanwhile.
 //!
-//! Fingerprints are worked out only while some request is suspected, or for a run that
-//! broke off. On a day without crashes all this costs a look at an empty table.
+//! Fingerprints are computed only while there are suspects, or for an interrupted run. Without
+//! crashes all this costs one check of an empty table.
 //!
-//! Not ideal: a target that is back within the time of a look is not seen to have
-//! crashed, nor is one whose machine goes silent with it.
+//! Limitations: a crash is missed if the target restarts before the probe, or if its whole
+//! machine stops responding.
 //!
 //! [`quarantine`]: notchwharf_routing::quarantine
 
-mod look;
-mod saved;
+mod probe;
+mod records;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,10 +29,10 @@
 use notchwharf_routing::quarantine::Change;
 use notchwharf_routing::quarantine::Report;
 
-pub(crate) use self::look::BrokenRun;
-use self::look::Looks;
-pub(crate) use self::look::check_crash;
-pub(crate) use self::saved::delete_expired;
+pub(crate) use self::probe::BrokenRun;
+use self::probe::Probes;
+pub(crate) use self::probe::check_crash;
+pub(crate) use self::records::delete_expired;
 use crate::backlog::Item;
 use crate::context::Context;
 use crate::fingerprint;
@@ -40,35 +41,35 @@
 use crate::peers::suspects;
 use crate::time::millis;
 
-/// Requests under which targets crashed, as this host knows them.
+/// The requests under which targets crashed, as known to this host.
 #[derive(Debug)]
 pub(crate) struct Suspects {
     pub(crate) gate: Arc<Gate>,
-    looks: Looks,
+    probes: Probes,
 }
 
 impl Suspects {
     pub(crate) fn new(host: &str) -> Self {
         Self {
             gate: Gate::new(host.to_owned()),
-            looks: Looks::default(),
+            probes: Probes::default(),
         }
     }
 }
 
-/// Starts to tell other hosts, and to remember what was blamed before this host started.
+/// Starts to send reports to other hosts, and to load what was blamed before this host started.
 pub(crate) fn start(ctx: &Arc<Context>) {
     tokio::spawn(suspects::tell(Arc::clone(ctx)));
-    tokio::spawn(saved::load(Arc::clone(ctx)));
+    tokio::spawn(records::load(Arc::clone(ctx)));
     tokio::spawn(suspects::catch_up(Arc::clone(ctx)));
 }
 
-/// Decides whether an item may be sent to a target now. What names it is worked out
-/// only if there are suspects.
+/// Decides whether an item may be sent to a target now. Its fingerprint is computed only if
+/// there are suspects.
 ///
 /// # Errors
 ///
-/// Returns why it must not.
+/// Returns why it may not.
 pub(crate) fn try_admit(ctx: &Context, item: &Item) -> Result<Option<RunGuard>, Blocked> {
     let gate = &ctx.suspects.gate;
     if gate.is_empty() {
@@ -77,8 +78,8 @@
     gate.try_admit_item(item.fingerprint(&ctx.decode))
 }
 
-/// Notes that a request has ended well, so that it is no suspect any more. What names
-/// it is worked out only if there are suspects.
+/// Records that a request succeeded, which clears it as a suspect. Its fingerprint is computed
+/// only if there are suspects.
 pub(crate) fn record_success(ctx: &Arc<Context>, fingerprint: impl FnOnce() -> Fingerprint) {
     let gate = &ctx.suspects.gate;
     if gate.is_empty() {
@@ -86,49 +87,50 @@
     }
     let fingerprint = fingerprint();
     if let Some(crashes) = gate.record_success(fingerprint) {
-        note_cleared(ctx, fingerprint, crashes);
+        clear(ctx, fingerprint, crashes);
     }
 }
 
-/// Notes that an item ran for a time, got on and was cut: if that is long enough, targets
-/// bear it.
-pub(crate) fn record_survival(ctx: &Arc<Context>, item: &Item, ran: Duration) {
+/// Records that an item ran for a time, made progress and was preempted. If it ran for long
+/// enough, it is cleared: targets evidently survive it.
+pub(crate) fn record_survival(ctx: &Arc<Context>, item: &Item, run_time: Duration) {
     let gate = &ctx.suspects.gate;
     if gate.is_empty() {
         return;
     }
     let fingerprint = item.fingerprint(&ctx.decode);
-    if let Some(crashes) = gate.record_survival(fingerprint, ran) {
-        note_cleared(ctx, fingerprint, crashes);
+    if let Some(crashes) = gate.record_survival(fingerprint, run_time) {
+        clear(ctx, fingerprint, crashes);
     }
 }
 
-fn note_cleared(ctx: &Arc<Context>, fingerprint: Fingerprint, crashes: u32) {
+/// Logs and counts that a request was cleared, and deletes its record.
+fn clear(ctx: &Arc<Context>, fingerprint: Fingerprint, crashes: u32) {
     slog::info!(ctx.logger, "request cleared"; "crashes" => crashes,
         "fingerprint" => fingerprint::to_hex(fingerprint));
     ctx.metrics.count(Counted::Changes, "request cleared");
-    saved::drop_cleared(ctx, fingerprint, crashes);
+    records::delete_record(ctx, fingerprint, crashes);
 }
 
-/// Takes in what a host tells of a suspect.
-pub(crate) fn merge_report(ctx: &Arc<Context>, host: &HostId, told: &Report) {
-    let Change::Blamed { crashes } = ctx.suspects.gate.merge_report(host, told) else {
+/// Merges a host's report on a suspect.
+pub(crate) fn merge_report(ctx: &Arc<Context>, host: &HostId, report: &Report) {
+    let Change::Blamed { crashes } = ctx.suspects.gate.merge_report(host, report) else {
         return;
     };
-    note_blamed(ctx, told.fingerprint, crashes, host);
-    // The host that saw the last crash may have died since.
-    let task = fingerprint::to_hex(told.fingerprint);
+    log_blamed(ctx, report.fingerprint, crashes, host);
+    // The host that detected the last crash may have failed since.
+    let task = fingerprint::to_hex(report.fingerprint);
     if peers::is_for_cell(ctx, &task) && ctx.peers.is_successor(ctx.host(), &task) {
-        saved::save(ctx, told.fingerprint);
+        records::save(ctx, report.fingerprint);
     }
 }
 
-/// Tells operators on which evidence a request is blamed.
-fn note_blamed(ctx: &Context, fingerprint: Fingerprint, crashes: u32, by: &str) {
-    let told = ctx.suspects.gate.report(fingerprint);
-    let ran_ms: Vec<String> = told
+/// Logs the evidence on which a request is blamed.
+fn log_blamed(ctx: &Context, fingerprint: Fingerprint, crashes: u32, by: &str) {
+    let report = ctx.suspects.gate.report(fingerprint);
+    let ran_ms: Vec<String> = report
         .iter()
-        .flat_map(|told| &told.crashes)
+        .flat_map(|report| &report.crashes)
         .map(|crash| millis(crash.run_time).to_string())
         .collect();
     slog::warn!(ctx.logger, "request blamed for crashes"; "crashes" => crashes,
--- /dev/null
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -0,0 +1,144 @@
+//! Probes a target after runs there were interrupted, to detect whether it crashed.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::time::Duration;
+use std::time::Instant;
+
+use notchwharf_routing::balancer::TargetId;
+use notchwharf_routing::fingerprint::Fingerprint;
+use notchwharf_routing::quarantine::Change;
+use notchwharf_routing::quarantine::Crash;
+use notchwharf_routing::quarantine::IncarnationId;
+use tokio::sync::oneshot;
+use xxhash_rust::xxh3::xxh3_64;
+
+use super::log_blamed;
+use super::records;
+use crate::RequestId;
+use crate::context::Context;
+use crate::fingerprint;
+use crate::metrics::Counted;
+use crate::ports::Presence;
+use crate::sync::lock;
+use crate::time::millis;
+
+/// How long an interrupted request waits for the probe: many round trips to a target. The crash
+/// should be recorded before the request's next run or its caller's next attempt; a target that
+/// doesn't respond at all is not worth a longer wait.
+const PROBE_WAIT: Duration = Duration::from_millis(30);
+
+/// An interrupted run.
+#[derive(Clone, Debug)]
+pub(crate) struct BrokenRun {
+    /// The fingerprint of the request or item.
+    pub(crate) fingerprint: Fingerprint,
+    /// The id of the attempt.
+    pub(crate) id: RequestId,
+    /// The target it ran at.
+    pub(crate) target: TargetId,
+    /// The target's address.
+    pub(crate) addr: SocketAddr,
+    /// How long it ran.
+    pub(crate) run_time: Duration,
+    /// When it was sent, if the target had started to respond: the target was running then.
+    pub(crate) sent_at: Option<Instant>,
+}
+
+/// An interrupted run that waits for the probe of its target.
+#[derive(Debug)]
+struct PendingRun {
+    run: BrokenRun,
+    detected_at: Instant,
+    /// Dropped when the probe is done.
+    _done: oneshot::Sender<()>,
+}
+
+/// Probes in progress, each with the runs that wait for it: one crash interrupts several.
+#[derive(Debug, Default)]
+pub(super) struct Probes(Mutex<HashMap<TargetId, Vec<PendingRun>>>);
+
+impl Probes {
+    /// Adds a run; returns whether its target is not being probed yet.
+    fn add(&self, pending: PendingRun) -> bool {
+        let mut probes = lock(&self.0);
+        let runs = probes.entry(pending.run.target.clone()).or_default();
+        runs.push(pending);
+        runs.len() == 1
+    }
+
+    fn take(&self, target: &str) -> Vec<PendingRun> {
+        lock(&self.0).remove(target).unwrap_or_default()
+    }
+}
+
+/// Checks whether a target crashed under an interrupted run. Waits a short time for the result.
+pub(crate) async fn check_crash(ctx: &Arc<Context>, run: BrokenRun) {
+    let (done_tx, done) = oneshot::channel();
+    let (target, addr) = (run.target.clone(), run.addr);
+    let pending = PendingRun {
+        run,
+        detected_at: Instant::now(),
+        _done: done_tx,
+    };
+    if ctx.suspects.probes.add(pending) {
+        // In its own task: the result counts even if the caller disconnects now.
+        tokio::spawn(probe(Arc::clone(ctx), target, addr));
+    }
+    // The request continues whether or not the probe is done.
+    let _ = tokio::time::timeout(PROBE_WAIT, done).await;
+}
+
+/// Probes a target. If it has crashed, records that for the runs that wait.
+async fn probe(ctx: Arc<Context>, target: TargetId, addr: SocketAddr) {
+    let presence = (ctx.targets.probe)(addr).await;
+    let pending_runs = ctx.suspects.probes.take(&target);
+    slog::info!(ctx.logger, "target probed"; "target" => target.as_str(),
+        "presence" => ?presence, "runs" => pending_runs.len());
+    if presence != Presence::Gone {
+        return;
+    }
+    ctx.metrics.count(Counted::Changes, "target crashed");
+    let incarnation = incarnation_of(&ctx, &target);
+    for pending in &pending_runs {
+        record_crash(&ctx, pending, incarnation);
+    }
+}
+
+fn record_crash(ctx: &Arc<Context>, pending: &PendingRun, incarnation: IncarnationId) {
+    let BrokenRun {
+        fingerprint,
+        run_time,
+        sent_at,
+        ..
+    } = pending.run;
+    let gate = &ctx.suspects.gate;
+    let crash = Crash {
+        // This host's list of targets may be stale: if the target responded after the
+        // incarnation in the list had ended, it has restarted.
+        incarnation: sent_at.map_or(incarnation, |sent_at| {
+            gate.incarnation_of_run(fingerprint, incarnation, sent_at)
+        }),
+        run_time,
+        detected_at: pending.detected_at,
+    };
+    let change = ctx.suspects.gate.record_crash(fingerprint, crash);
+    slog::info!(ctx.logger, "target crashed under a request"; "id" => pending.run.id.as_str(),
+        "target" => pending.run.target.as_str(), "ran_ms" => millis(run_time),
+        "crashes" => ctx.suspects.gate.crash_count(fingerprint),
+        "fingerprint" => fingerprint::to_hex(fingerprint));
+    if let Change::Blamed { crashes } = change {
+        log_blamed(ctx, fingerprint, crashes, ctx.host());
+        records::save(ctx, fingerprint);
+    }
+}
+
+/// Returns the id of a target's current incarnation. It is the same at all hosts, and differs
+/// after a restart under the same name.
+fn incarnation_of(ctx: &Context, target: &str) -> IncarnationId {
+    let balancer = lock(&ctx.places);
+    let started_unix_ms = balancer.spec(target).and_then(|spec| spec.started_unix_ms);
+    xxh3_64(format!("{target}/{}", started_unix_ms.unwrap_or_default()).as_bytes())
+}
--- a/crates/gateway/src/sse.rs
+++ b/crates/gateway/src/sse.rs
@@ -1,17 +1,17 @@
-//! Events of a stream, taken apart so that a stream can go on elsewhere.
+//! Parses server-sent events, so that an interrupted stream can be resumed at another target.
 //!
-//! Only whole events count: what a target sent of one when it broke off is
-//! dropped, and the next target is asked for what follows the last whole one.
+//! Only complete events are used: a partial event before an interruption is discarded, and the
+//! next target is asked to resume after the last complete one.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Event {
-    /// Its bytes, with the empty line that ends it.
+    /// The event's bytes, with the empty line that ends it.
     pub(crate) raw: Bytes,
-    /// Its number, if it has one.
+    /// The event's numeric id, if it has one.
     pub(crate) id: Option<u64>,
 }
 
@@ -27,24 +27,24 @@
     }
 }
 
-/// Bytes of a stream, in which whole events are found.
+/// A buffer of stream bytes that yields complete events.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Events {
     buf: BytesMut,
 }
 
 impl Events {
-    /// Adds bytes.
+    /// Appends bytes.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Returns whether no part of an event is left.
+    /// Returns whether no partial event is left.
     pub(crate) fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Forgets the part of an event that is left.
+    /// Discards the partial event that is left.
     pub(crate) fn clear(&mut self) {
         self.buf.clear();
     }
@@ -66,7 +66,8 @@
     }
 }
 
-/// Returns whether an event comes right after another.
+/// Returns whether an event id is the direct successor of the last one. The first event may
+/// have any id.
 pub(crate) fn is_next(last: Option<u64>, id: Option<u64>) -> bool {
     match (last, id) {
         (_, None) => false,
@@ -77,21 +78,21 @@
 
 /// Returns the length of the first event, up to the end of its empty line.
 fn event_len(buf: &[u8]) -> Option<usize> {
-    let mut line_from = 0;
+    let mut line_start = 0;
     let mut has_content = false;
-    while let Some(len) = buf[line_from..].iter().position(|b| *b == b'\n') {
-        let line = &buf[line_from..line_from + len];
-        line_from += len + 1;
+    while let Some(len) = buf[line_start..].iter().position(|b| *b == b'\n') {
+        let line = &buf[line_start..line_start + len];
+        line_start += len + 1;
         let is_empty = line.is_empty() || line == b"\r";
         if is_empty && has_content {
-            return Some(line_from);
+            return Some(line_start);
         }
         has_content |= !is_empty;
     }
     None
 }
 
-/// Returns the value of a line if it is one of the named field.
+/// Returns the value of a line if it is of the named field.
 fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -1,4 +1,4 @@
-//! Requests that run at targets, counted as long as they run.
+//! Counts requests at targets while they run.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 
 use crate::context::Context;
 use crate::sync::lock;
-use crate::waiting::Place;
+use crate::waiting::ReservedSlot;
 
 /// The kind of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,25 +20,26 @@
     Batch,
 }
 
-/// A request at a target; the count ends when it is dropped.
+/// A running request at a target, counted until this is dropped.
 #[derive(Debug)]
 pub(crate) struct Running {
     ctx: Arc<Context>,
     target: TargetId,
     class: Class,
-    /// Whose place it is, where workspaces share places.
+    /// The workspace that the slot is counted for, if workspaces share slots.
     workspace: Option<WorkspaceName>,
 }
 
 impl Running {
+    /// Counts a request that starts at a target.
     pub(crate) fn start(ctx: &Arc<Context>, target: &TargetId, class: Class) -> Self {
         let is_scarce = {
-            let mut places = lock(&ctx.places);
+            let mut balancer = lock(&ctx.places);
             match class {
-                Class::Online => places.begin_online(target, Instant::now()),
-                Class::Batch => places.begin_batch(target),
+                Class::Online => balancer.begin_online(target, Instant::now()),
+                Class::Batch => balancer.begin_batch(target),
             }
-            places.has_scarce_slots(target)
+            balancer.has_scarce_slots(target)
         };
         ctx.peers.tell_load(is_scarce);
         Self {
@@ -49,10 +50,10 @@
         }
     }
 
-    /// Returns an online request at a place that was found for it, and counted.
+    /// Returns an online request in a slot that was reserved, and counted, for it.
     pub(crate) fn in_slot(
         ctx: &Arc<Context>,
-        place: Place,
+        slot: ReservedSlot,
         workspace: Option<&str>,
         weight: f64,
     ) -> Self {
@@ -62,7 +63,7 @@
         ctx.peers.tell();
         Self {
             ctx: Arc::clone(ctx),
-            target: place.take(),
+            target: slot.commit(),
             class: Class::Online,
             workspace: workspace.map(str::to_owned),
         }
@@ -76,11 +77,11 @@
 impl Drop for Running {
     fn drop(&mut self) {
         let was_scarce = {
-            let mut places = lock(&self.ctx.places);
-            let was_scarce = places.has_scarce_slots(&self.target);
+            let mut balancer = lock(&self.ctx.places);
+            let was_scarce = balancer.has_scarce_slots(&self.target);
             match self.class {
-                Class::Online => places.end_online(&self.target),
-                Class::Batch => places.end_batch(&self.target),
+                Class::Online => balancer.end_online(&self.target),
+                Class::Batch => balancer.end_batch(&self.target),
             }
             was_scarce
         };
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -1,14 +1,15 @@
-//! Online requests that wait at this host for a place, see [`notchwharf_waiting`].
+//! Runs the wait queue of this host: gives requests target slots as these are freed. The order
+//! of requests is decided in [`notchwharf_waiting`].
 //!
-//! A request enters the line, and is told by a channel when a place is counted as its own
-//! or when it is refused. One task looks at the line whenever a place may have fallen free,
-//! here or by what a peer tells, so that no two requests see the same place. Letting each
-//! request look for itself was rejected: all would wake for one place.
+//! A request is enqueued, and receives a reserved slot or a refusal through a channel. One task
+//! processes the queue whenever a slot may have been freed, here or according to a peer, so
+//! that no two requests get the same slot. Letting each request check for itself was rejected:
+//! all would wake up for a single slot.
 
-mod handing;
-mod place;
-mod told;
-mod wanted;
+mod reserved_slot;
+mod slot_request;
+mod summary;
+mod transfer;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -40,344 +41,362 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-pub(crate) use self::place::Place;
-pub(crate) use self::wanted::Refused;
-pub(crate) use self::wanted::Standing;
-pub(crate) use self::wanted::Wanted;
+pub(crate) use self::reserved_slot::ReservedSlot;
+pub(crate) use self::slot_request::SchedulingParams;
+pub(crate) use self::slot_request::SlotError;
+pub(crate) use self::slot_request::SlotRequest;
 use crate::metrics::Counted;
 use crate::metrics::Metrics;
 use crate::sync::lock;
 use crate::time::millis;
 
-/// Time between two looks at the line without news: a place that was left to others may be
-/// taken after it, and whoever cannot begin in time any more is refused within it.
-const TICK: Duration = Duration::from_millis(4);
+/// Interval at which the queue is processed without a wake-up: within it, slots that were left
+/// to others become available again, and requests that can't start in time are refused.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Time for which places elsewhere are left to the requests that wait there, after a host
-/// there has told of them: some of its hosts tell this one several times within it.
-const SHORT: Duration = Duration::from_millis(300);
+/// How long slots of another data centre are left to the requests that wait there, after a
+/// host there reported waiting requests. This host receives several reports within that time.
+const REMOTE_QUEUE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the line takes of its host.
+/// The parts of the host that the queue uses.
 pub(crate) struct Dependencies {
     pub(crate) balancer: Arc<Mutex<Balancer>>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) logger: slog::Logger,
     pub(crate) data_centre: String,
-    /// Told that peers should know soon of a change.
+    /// Notified when a change should be sent to peers soon.
     pub(crate) status_changed: Arc<Notify>,
 }
 
-/// Online requests that wait at this host.
+/// The online requests that wait at this host.
 pub(crate) struct RequestQueue {
-    uses: Dependencies,
+    deps: Dependencies,
     state: Mutex<State>,
-    /// How many wait; what wakes the line asks this first.
+    /// The number of waiting requests, checked without the lock before a wake-up.
     count: AtomicUsize,
     wake: Notify,
-    /// Hosts that share the places near by.
-    hosts: AtomicU32,
-    /// Whether requests wait at hosts, as far as one has come.
-    is_on: AtomicBool,
+    /// The number of hosts that share the slots of this data centre.
+    host_count: AtomicU32,
+    /// Whether a request has been enqueued since the host started.
+    has_been_used: AtomicBool,
 }
 
 #[derive(Default)]
 struct State {
-    line: WaitQueue,
-    shares: SlotUsage,
-    turns: RetrySchedule,
-    /// When a host of another data centre last told that requests wait there.
-    short_at: HashMap<DataCentreId, Instant>,
+    queue: WaitQueue,
+    usage: SlotUsage,
+    retries: RetrySchedule,
+    /// When a host of another data centre last reported that requests wait there.
+    remote_queue_at: HashMap<DataCentreId, Instant>,
     entries: HashMap<Ticket, Entry>,
 }
 
 impl State {
-    /// Returns whether requests wait at targets elsewhere, as far as told.
-    fn is_short(&self, data_centre: &str, now: Instant) -> bool {
-        let at = self.short_at.get(data_centre);
-        at.is_some_and(|at| now.saturating_duration_since(*at) < SHORT)
+    /// Returns whether requests wait in another data centre, by recent reports.
+    fn has_remote_queue(&self, data_centre: &str, now: Instant) -> bool {
+        let at = self.remote_queue_at.get(data_centre);
+        at.is_some_and(|at| now.saturating_duration_since(*at) < REMOTE_QUEUE_TIMEOUT)
     }
 }
 
+/// A waiting request, and the channel for its outcome.
 struct Entry {
-    wanted: Wanted,
-    outcome: oneshot::Sender<Result<Place, Refused>>,
+    request: SlotRequest,
+    outcome: oneshot::Sender<Result<ReservedSlot, SlotError>>,
 }
 
-/// Takes a request out of the line when its caller leaves.
-struct Leave<'a> {
+/// Removes a request from the queue when its caller disconnects.
+struct RemoveOnDrop<'a> {
     waiting: &'a RequestQueue,
     ticket: Ticket,
 }
 
-impl Drop for Leave<'_> {
+impl Drop for RemoveOnDrop<'_> {
     fn drop(&mut self) {
         let mut state = lock(&self.waiting.state);
-        self.waiting.take_out(&mut state, self.ticket);
+        self.waiting.remove(&mut state, self.ticket);
     }
 }
 
 impl RequestQueue {
-    pub(crate) fn new(uses: Dependencies) -> Self {
+    pub(crate) fn new(deps: Dependencies) -> Self {
         Self {
-            uses,
+            deps,
             state: Mutex::default(),
             count: AtomicUsize::new(0),
             wake: Notify::new(),
-            hosts: AtomicU32::new(1),
-            is_on: AtomicBool::new(false),
+            host_count: AtomicU32::new(1),
+            has_been_used: AtomicBool::new(false),
         }
     }
 
-    /// Finds a place for a request, at once or when its turn has come.
+    /// Reserves a slot for a request, at once or when it is the first in the queue.
     ///
     /// # Errors
     ///
-    /// Returns why there is none in time.
-    pub(crate) async fn acquire_slot(&self, wanted: Wanted) -> Result<Place, Refused> {
-        self.is_on.store(true, Ordering::Relaxed);
-        let service = key(&wanted.service);
+    /// Returns why no slot is available in time.
+    pub(crate) async fn acquire_slot(
+        &self,
+        request: SlotRequest,
+    ) -> Result<ReservedSlot, SlotError> {
+        self.has_been_used.store(true, Ordering::Relaxed);
+        let service = key(&request.service);
         let (outcome, decided) = oneshot::channel();
         let (ticket, is_waiting) = {
             let now = Instant::now();
             let mut state = lock(&self.state);
-            let ticket = self.enter(&mut state, wanted, outcome, now)?;
-            self.serve(&mut state, service, now);
-            self.refuse_late(&mut state, service, now);
+            let ticket = self.enqueue(&mut state, request, outcome, now)?;
+            self.assign_slots(&mut state, service, now);
+            self.refuse_overdue(&mut state, service, now);
             (ticket, state.entries.contains_key(&ticket))
         };
-        let leave = Leave {
+        let guard = RemoveOnDrop {
             waiting: self,
             ticket,
         };
         if !is_waiting {
-            // Decided at once, so it never stood in the line.
-            return decided.await.unwrap_or(Err(Refused::NoTarget));
+            // Decided at once, so it doesn't count as having waited.
+            return decided.await.unwrap_or(Err(SlotError::NoTarget));
         }
-        self.uses.metrics.count(Counted::WaitQueue, "waits");
-        self.uses.status_changed.notify_one();
-        // From now on the line is looked at in time.
+        self.deps.metrics.count(Counted::WaitQueue, "waits");
+        self.deps.status_changed.notify_one();
+        // From now on the task processes the queue at its interval.
         self.wake.notify_one();
         let decided = decided.await;
-        drop(leave);
-        // The line drops nobody without a word but with itself.
-        decided.unwrap_or(Err(Refused::NoTarget))
+        drop(guard);
+        // The sender is dropped without an outcome only together with the queue.
+        decided.unwrap_or(Err(SlotError::NoTarget))
     }
 
-    /// Returns whether requests wait at hosts, as far as one has come here.
+    /// Returns whether a request has been enqueued here since the host started.
     pub(crate) fn has_been_used(&self) -> bool {
-        self.is_on.load(Ordering::Relaxed)
+        self.has_been_used.load(Ordering::Relaxed)
     }
 
-    fn enter(
+    /// Adds a request to the queue, if there is a target that it was not offered to.
+    fn enqueue(
         &self,
         state: &mut State,
-        wanted: Wanted,
-        outcome: oneshot::Sender<Result<Place, Refused>>,
+        request: SlotRequest,
+        outcome: oneshot::Sender<Result<ReservedSlot, SlotError>>,
         now: Instant,
-    ) -> Result<Ticket, Refused> {
-        let want = wanted.want(&self.uses.data_centre);
-        let places = lock(&self.uses.balancer);
-        if !places.has_untried(&want) {
-            return Err(Refused::NoTarget);
+    ) -> Result<Ticket, SlotError> {
+        let criteria = request.criteria(&self.deps.data_centre);
+        let balancer = lock(&self.deps.balancer);
+        if !balancer.has_untried(&criteria) {
+            return Err(SlotError::NoTarget);
         }
-        let pace = places.typical_first_event_time(&wanted.service);
-        drop(places);
-        let request = Request {
-            service: key(&wanted.service),
-            workspace: wanted.workspace.as_deref().map_or(0, key),
-            priority: wanted.standing.priority,
-            waiting_since: wanted.since,
-            start_deadline: wanted.due.checked_sub(pace).unwrap_or(now),
+        let first_event_time = balancer.typical_first_event_time(&request.service);
+        drop(balancer);
+        let queued = Request {
+            service: key(&request.service),
+            workspace: request.workspace.as_deref().map_or(0, key),
+            priority: request.scheduling.priority,
+            waiting_since: request.waiting_since,
+            start_deadline: request
+                .first_event_due
+                .checked_sub(first_event_time)
+                .unwrap_or(now),
         };
-        let ticket = state.line.enqueue(request, now);
-        state.entries.insert(ticket, Entry { wanted, outcome });
-        self.count.store(state.line.len(), Ordering::Relaxed);
+        let ticket = state.queue.enqueue(queued, now);
+        state.entries.insert(ticket, Entry { request, outcome });
+        self.count.store(state.queue.len(), Ordering::Relaxed);
         Ok(ticket)
     }
 
-    fn take_out(&self, state: &mut State, ticket: Ticket) -> Option<Entry> {
-        state.line.remove(ticket);
-        self.count.store(state.line.len(), Ordering::Relaxed);
+    /// Removes a request from the queue; none if it is not in the queue any more.
+    fn remove(&self, state: &mut State, ticket: Ticket) -> Option<Entry> {
+        state.queue.remove(ticket);
+        self.count.store(state.queue.len(), Ordering::Relaxed);
         state.entries.remove(&ticket)
     }
 
-    /// Lets the host look at the line: a place may have fallen free.
+    /// Makes the task process the queue, since a slot may have been freed.
     pub(crate) fn wake(&self) {
         if self.count.load(Ordering::Relaxed) > 0 {
             self.wake.notify_one();
         }
     }
 
-    /// Gives places to requests for a service, as long as it is their turn.
-    fn serve(&self, state: &mut State, service: ServiceKey, now: Instant) {
-        while let Some(first) = state.line.first(service, &state.shares) {
+    /// Assigns slots to waiting requests for a service, while the order allows it.
+    fn assign_slots(&self, state: &mut State, service: ServiceKey, now: Instant) {
+        while let Some(first) = state.queue.first(service, &state.usage) {
             let Some(entry) = state.entries.get(&first.ticket) else {
-                state.line.remove(first.ticket);
+                state.queue.remove(first.ticket);
                 continue;
             };
-            let want = entry.wanted.want(&self.uses.data_centre);
-            let mut places = lock(&self.uses.balancer);
-            let drain = places.availability(&want, now);
-            let open: Vec<FreeSlots> = drain.free.iter().copied().map(open).collect();
-            let per_s = drain.releases_per_s.unwrap_or_default();
-            let begin = state.line.may_start(&first, &open, per_s, now);
-            let spoken_for = |target, data_centre: &str| {
-                let is_short = state.is_short(data_centre, now);
-                if is_short {
+            let criteria = entry.request.criteria(&self.deps.data_centre);
+            let mut balancer = lock(&self.deps.balancer);
+            let availability = balancer.availability(&criteria, now);
+            let free: Vec<FreeSlots> = availability.free.iter().copied().map(free_slots).collect();
+            let releases_per_s = availability.releases_per_s.unwrap_or_default();
+            let decision = state.queue.may_start(&first, &free, releases_per_s, now);
+            let reserved = |target, data_centre: &str| {
+                let has_remote_queue = state.has_remote_queue(data_centre, now);
+                if has_remote_queue {
                     u32::MAX
                 } else {
-                    state.line.reserved(target, now)
+                    state.queue.reserved(target, now)
                 }
             };
-            let choice = match begin {
-                StartDecision::Any => places.choose_free(&want, spoken_for, now),
+            let choice = match decision {
+                StartDecision::Any => balancer.choose_free(&criteria, reserved, now),
                 StartDecision::At(target) => {
-                    let id = places.id_of(target);
-                    id.and_then(|id| places.choose_transferred(&want, id, now))
+                    let id = balancer.id_of(target);
+                    id.and_then(|id| balancer.choose_transferred(&criteria, id, now))
                 }
-                // Elsewhere there may be more than enough.
-                StartDecision::Wait if drain.has_local => {
-                    let spoken_for = |target, data_centre: &str| {
-                        let is_near = data_centre == self.uses.data_centre;
-                        if is_near {
+                // Another data centre may have free slots to spare.
+                StartDecision::Wait if availability.has_local => {
+                    let reserved = |target, data_centre: &str| {
+                        let is_local = data_centre == self.deps.data_centre;
+                        if is_local {
                             u32::MAX
                         } else {
-                            spoken_for(target, data_centre)
+                            reserved(target, data_centre)
                         }
                     };
-                    places.choose_free(&want, spoken_for, now)
+                    balancer.choose_free(&criteria, reserved, now)
                 }
                 StartDecision::Wait => None,
             };
             let Some(choice) = choice else {
                 return;
             };
-            self.begin_at(state, first.ticket, choice, places, now);
+            self.start_at(state, first.ticket, choice, balancer, now);
         }
     }
 
-    fn begin_at(
+    /// Reserves the chosen slot for a request and takes it out of the queue.
+    fn start_at(
         &self,
         state: &mut State,
         ticket: Ticket,
         choice: Choice,
-        mut places: MutexGuard<'_, Balancer>,
+        mut balancer: MutexGuard<'_, Balancer>,
         now: Instant,
     ) {
-        places.begin_online(&choice.target, now);
-        drop(places);
-        let place = Place {
+        balancer.begin_online(&choice.target, now);
+        drop(balancer);
+        let slot = ReservedSlot {
             choice,
-            places: Arc::clone(&self.uses.balancer),
-            changed: Arc::clone(&self.uses.status_changed),
-            is_taken: false,
+            balancer: Arc::clone(&self.deps.balancer),
+            status_changed: Arc::clone(&self.deps.status_changed),
+            is_committed: false,
         };
-        self.decide(state, ticket, Ok(place));
+        self.decide(state, ticket, Ok(slot));
     }
 
-    /// Refuses the requests for a service that cannot begin in time.
-    fn refuse_late(&self, state: &mut State, service: ServiceKey, now: Instant) {
-        let first = state.line.first(service, &state.shares);
+    /// Refuses the requests for a service that can't start in time.
+    fn refuse_overdue(&self, state: &mut State, service: ServiceKey, now: Instant) {
+        let first = state.queue.first(service, &state.usage);
         let Some(entry) = first.and_then(|first| state.entries.get(&first.ticket)) else {
             return;
         };
-        let want = entry.wanted.want(&self.uses.data_centre);
-        let drain = lock(&self.uses.balancer).availability(&want, now);
-        // Nobody has seen a request end yet: then time alone tells.
-        let per_s = drain.releases_per_s.unwrap_or(f64::INFINITY);
-        let expected = state
-            .line
-            .estimate_starts(service, per_s, &state.shares, now);
-        let hosts = self.hosts.load(Ordering::Relaxed);
-        for late in expected.into_iter().filter(|expected| expected.is_late) {
-            let retry_after = state.turns.next_retry_after(late.wait, per_s, hosts, now);
-            self.tell_refused(state, late, per_s, retry_after, now);
-            self.decide(state, late.ticket, Err(Refused::NoRoom { retry_after }));
+        let criteria = entry.request.criteria(&self.deps.data_centre);
+        let availability = lock(&self.deps.balancer).availability(&criteria, now);
+        // No release has been observed yet: then only the deadlines count.
+        let releases_per_s = availability.releases_per_s.unwrap_or(f64::INFINITY);
+        let estimates = state
+            .queue
+            .estimate_starts(service, releases_per_s, &state.usage, now);
+        let host_count = self.host_count.load(Ordering::Relaxed);
+        for overdue in estimates.into_iter().filter(|estimate| estimate.is_late) {
+            let retry_after =
+                state
+                    .retries
+                    .next_retry_after(overdue.wait, releases_per_s, host_count, now);
+            self.log_refusal(state, overdue, releases_per_s, retry_after, now);
+            self.decide(
+                state,
+                overdue.ticket,
+                Err(SlotError::NoSlotInTime { retry_after }),
+            );
         }
     }
 
-    fn tell_refused(
+    /// Logs a refusal with the figures that led to it.
+    fn log_refusal(
         &self,
         state: &State,
-        late: StartEstimate,
-        per_s: f64,
+        overdue: StartEstimate,
+        releases_per_s: f64,
         retry_after: Duration,
         now: Instant,
     ) {
-        let Some(Entry { wanted, .. }) = state.entries.get(&late.ticket) else {
+        let Some(Entry { request, .. }) = state.entries.get(&overdue.ticket) else {
             return;
         };
-        let workspace = wanted.workspace.as_deref();
-        let held = workspace.map(|name| state.shares.slots_in_use(key(name)));
-        let level = workspace.map(|name| state.shares.overuse_level(key(name)));
-        slog::info!(self.uses.logger, "request refused, no room in time";
-            "id" => wanted.id.as_str(), "workspace" => workspace,
-            "priority" => wanted.standing.priority, "held" => held, "level" => level,
-            "weight" => wanted.standing.weight, "ahead" => late.ahead, "drain_per_s" => per_s,
-            "wait_ms" => millis(late.wait), "left_ms" => millis(wanted.due - now.min(wanted.due)),
-            "waited_ms" => millis(now.saturating_duration_since(wanted.since)),
+        let workspace = request.workspace.as_deref();
+        let slots_in_use = workspace.map(|name| state.usage.slots_in_use(key(name)));
+        let overuse_level = workspace.map(|name| state.usage.overuse_level(key(name)));
+        slog::info!(self.deps.logger, "request refused, no slot free in time";
+            "id" => request.id.as_str(), "workspace" => workspace,
+            "priority" => request.scheduling.priority, "held" => slots_in_use, "level" => overuse_level,
+            "weight" => request.scheduling.weight, "ahead" => overdue.ahead, "drain_per_s" => releases_per_s,
+            "wait_ms" => millis(overdue.wait), "left_ms" => millis(request.first_event_due - now.min(request.first_event_due)),
+            "waited_ms" => millis(now.saturating_duration_since(request.waiting_since)),
             "retry_after_ms" => millis(retry_after));
     }
 
-    fn decide(&self, state: &mut State, ticket: Ticket, outcome: Result<Place, Refused>) {
-        let Some(entry) = self.take_out(state, ticket) else {
+    /// Takes a request out of the queue and sends it its outcome.
+    fn decide(&self, state: &mut State, ticket: Ticket, outcome: Result<ReservedSlot, SlotError>) {
+        let Some(entry) = self.remove(state, ticket) else {
             return;
         };
         let label = match outcome {
             Ok(_) => "begins",
             Err(_) => "refused",
         };
-        self.uses.metrics.count(Counted::WaitQueue, label);
-        // Its caller has left; a place is free again as it is dropped.
+        self.deps.metrics.count(Counted::WaitQueue, label);
+        // If the caller has disconnected, dropping the slot frees it.
         let _ = entry.outcome.send(outcome);
-        self.uses.status_changed.notify_one();
+        self.deps.status_changed.notify_one();
     }
 
-    /// Counts a place that a workspace's request takes here.
+    /// Counts a slot that a request of a workspace takes.
     pub(crate) fn record_start(&self, workspace: &str, weight: f64) {
-        lock(&self.state).shares.acquire(key(workspace), weight);
+        lock(&self.state).usage.acquire(key(workspace), weight);
     }
 
-    /// Counts the end of a workspace's request here.
+    /// Counts the end of a request of a workspace.
     pub(crate) fn record_end(&self, workspace: &str) {
-        lock(&self.state).shares.release(key(workspace));
+        lock(&self.state).usage.release(key(workspace));
     }
 
-    /// Notes how many hosts share the places near by.
-    pub(crate) fn set_host_count(&self, hosts: u32) {
-        self.hosts.store(hosts.max(1), Ordering::Relaxed);
+    /// Sets the number of hosts that share the slots of this data centre.
+    pub(crate) fn set_host_count(&self, host_count: u32) {
+        self.host_count.store(host_count.max(1), Ordering::Relaxed);
     }
 
-    fn look(&self) {
+    /// Assigns slots and refuses overdue requests, for all services.
+    fn process(&self) {
         let now = Instant::now();
         let mut state = lock(&self.state);
-        for service in state.line.services() {
-            self.serve(&mut state, service, now);
-            self.refuse_late(&mut state, service, now);
+        for service in state.queue.services() {
+            self.assign_slots(&mut state, service, now);
+            self.refuse_overdue(&mut state, service, now);
         }
-        let count = state.line.len();
+        let count = state.queue.len();
         drop(state);
-        self.uses.metrics.set("requests_waiting", count);
+        self.deps.metrics.set("requests_waiting", count);
     }
 }
 
-fn open((target, places): (TargetKey, u32)) -> FreeSlots {
-    FreeSlots {
-        target,
-        count: places,
-    }
+/// Converts a count of free slots of the balancer.
+fn free_slots((target, count): (TargetKey, u32)) -> FreeSlots {
+    FreeSlots { target, count }
 }
 
-/// Looks at the line until the host stops.
+/// Processes the queue until the host stops.
 pub(crate) async fn run(waiting: Arc<RequestQueue>, mut phase: watch::Receiver<Phase>) {
     while *phase.borrow() != Phase::Stopped {
         let is_idle = waiting.count.load(Ordering::Relaxed) == 0;
         tokio::select! {
             () = waiting.wake.notified() => {}
-            () = tokio::time::sleep(TICK), if !is_idle => {}
-            // Stopped, or with the host gone.
+            () = tokio::time::sleep(POLL_INTERVAL), if !is_idle => {}
+            // The phase has changed, or the host was dropped.
             changed = phase.changed() => if changed.is_err() { return; },
         }
-        waiting.look();
+        waiting.process();
     }
 }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -1,14 +1,10 @@
-//! Requests under which targets crash.
+//! Requests that crash targets.
 //!
-//! What users saw: 16 and 25 targets crashed one after the other, and half of the
-//! service was gone at once; with each went up to seven requests of others. The order of
-//! events: a target crashes under a request some 100 ms after it began to run it; its
-//! caller sends the same content again under another id, to another host; that host has
-//! never heard of it and sends it to another target, which crashes as well; meanwhile the
-//! first one is back. The cause: what is known of a request's broken runs lives in one
-//! attempt of its caller, at one host, and items of jobs do not even count them. The
-//! evidence: of 83 streams that broke off in the record all but one came with a new id
-//! and were offered to one target, at all hosts alike.
+//! Guards against a request that crashes one target after the other (16 and 25 were seen, half
+//! of a service at once, each with up to seven requests of others). A target crashes some
+//! 100 ms after it starts such a request, and the caller sends the same content again with
+//! another id to another host. If interrupted runs are counted per attempt and per host only,
+//! or not at all for items of jobs, each retry reaches another target.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod world;
@@ -30,15 +26,15 @@
 use world::targets::Act;
 use world::until;
 
-/// Targets that one request may end before it is known for what it is.
-const CRASHES_KNOWN: u32 = 3;
-/// Targets that it may end besides, while hosts tell one another.
-const CRASHES_UNTOLD: u32 = 3;
-/// How often the request comes.
+/// Targets that one request may crash before it is blamed.
+const CRASHES_BEFORE_BLAME: u32 = 3;
+/// Further targets that it may crash until the reports reach the other hosts.
+const CRASHES_BEFORE_REPORT: u32 = 3;
+/// How often the request is sent.
 const ATTEMPTS: u32 = 14;
-/// A run that shows that its target bears it.
+/// Duration of a run that shows that its target survives it.
 const LONG_RUN: Duration = Duration::from_millis(1_200);
-/// A body under which targets crash.
+/// A body that crashes targets.
 const DEADLY: &str = "deadly";
 
 async fn hosts(world: &World, names: &[&str]) -> Vec<Running> {
@@ -48,7 +44,7 @@
     }
     for host in &hosts {
         let others = names.len() - 1;
-        until("hosts know one another", || {
+        until("hosts know each other", || {
             host.ctx().peers_alive() == others
         })
         .await;
@@ -58,67 +54,67 @@
 
 #[rstest]
 #[case::a_stream_that_runs_once(ONCE)]
-#[case::a_stream_that_goes_on_elsewhere(RESUMABLE)]
+#[case::a_resumable_stream(RESUMABLE)]
 #[tokio::test]
-async fn a_request_under_which_targets_crash_is_soon_refused_everywhere(#[case] path: &str) {
+async fn a_request_that_crashes_targets_is_soon_refused_at_all_hosts(#[case] path: &str) {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     world.engines.set_deadly(DEADLY);
     let hosts = hosts(&world, &["a1", "b1", "c1"]).await;
     for (attempt, host) in (0..ATTEMPTS).zip(hosts.iter().cycle()) {
-        // Whatever comes of it.
+        // The outcome doesn't matter here.
         let _ = host.ask_with(path, &format!("r{attempt}"), DEADLY).await;
         world.engines.restart_all();
     }
     let crashes = world.engines.crashes();
     assert!(
-        crashes <= CRASHES_KNOWN + CRASHES_UNTOLD,
+        crashes <= CRASHES_BEFORE_BLAME + CRASHES_BEFORE_REPORT,
         "{crashes} targets crashed"
     );
 }
 
 #[tokio::test]
-async fn an_item_under_which_targets_crash_is_soon_run_no_more() {
+async fn an_item_that_crashes_targets_soon_stops_running() {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     let host = world.start_ready("a1").await;
     world.engines.set_deadly("body of 1");
     host.submit("j1", 3, 1).await.unwrap();
     host.results("j1", 2).await;
-    let begun = Instant::now();
-    until("the item has had its time", || {
+    let started = Instant::now();
+    until("the item may be abandoned", || {
         world.engines.restart_all();
-        begun.elapsed() > world::ABANDON_AFTER
+        started.elapsed() > world::ABANDON_AFTER
     })
     .await;
     let crashes = world.engines.crashes();
     assert!(
-        crashes <= CRASHES_KNOWN + CRASHES_UNTOLD,
+        crashes <= CRASHES_BEFORE_BLAME + CRASHES_BEFORE_REPORT,
         "{crashes} targets crashed"
     );
 }
 
-/// Lets a request crash as many targets as blame it.
+/// Lets a request crash as many targets as are needed to blame it.
 async fn blame(world: &World, host: &Running) {
-    for attempt in 0..CRASHES_KNOWN {
+    for attempt in 0..CRASHES_BEFORE_BLAME {
         let _ = host
             .ask_with(ONCE, &format!("blame{attempt}"), DEADLY)
             .await;
         world.engines.restart_all();
     }
-    assert_eq!(world.engines.crashes(), CRASHES_KNOWN);
+    assert_eq!(world.engines.crashes(), CRASHES_BEFORE_BLAME);
 }
 
-fn is_crashing<T>(answered: &Result<T, Failure>) -> bool {
-    matches!(answered, Err(Failure::Crashing { .. }))
+fn is_crashing<T>(result: &Result<T, Failure>) -> bool {
+    matches!(result, Err(Failure::Crashing { .. }))
 }
 
 async fn until_blamed(host: &Running) {
     let metrics = &host.ctx().metrics;
     let blamed = || metrics.counted(Counted::Changes, "request blamed") == 1;
-    until("the host knows", blamed).await;
+    until("the host knows of the blame", blamed).await;
 }
 
 #[tokio::test]
-async fn one_that_is_blamed_at_a_host_runs_at_none_and_others_are_served() {
+async fn a_request_blamed_at_one_host_runs_at_none_and_others_are_served() {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     world.engines.set_deadly(DEADLY);
     let hosts = hosts(&world, &["a1", "b1", "c1"]).await;
@@ -126,21 +122,21 @@
     for host in &hosts {
         until_blamed(host).await;
         for attempt in 0..5 {
-            let answered = host
+            let result = host
                 .ask_with(ONCE, &format!("again{attempt}"), DEADLY)
                 .await;
-            assert!(is_crashing(&answered), "{answered:?}");
+            assert!(is_crashing(&result), "{result:?}");
             assert_eq!(world.engines.runs(&format!("again{attempt}")), []);
         }
         for (path, body) in [(ONCE, "healthy"), (RESUMABLE, "healthy")] {
-            let answered = host.ask_with(path, "unlike", body).await;
-            assert!(answered.unwrap().body.is_some());
+            let result = host.ask_with(path, "unlike", body).await;
+            assert!(result.unwrap().body.is_some());
         }
     }
 }
 
 #[tokio::test]
-async fn a_host_that_starts_is_told_by_those_that_run() {
+async fn a_starting_host_gets_reports_from_running_hosts() {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     world.engines.set_deadly(DEADLY);
     let first = world.start_ready("a1").await;
@@ -149,55 +145,54 @@
     blame(&world, &first).await;
     let second = world.start_ready("b1").await;
     until_blamed(&second).await;
-    let answered = second.ask_with(ONCE, "again", DEADLY).await;
-    assert!(is_crashing(&answered), "{answered:?}");
+    let result = second.ask_with(ONCE, "again", DEADLY).await;
+    assert!(is_crashing(&result), "{result:?}");
 }
 
-/// What users saw: seven targets crashed under one request where three may, and three
-/// while hosts tell one another. A host was killed and started again before any other
-/// missed it, so none told it anything; the store, where what was blamed lies, was away.
-/// 76 ms after its start the request came to it, and crashed two more targets. The cause:
-/// a host that starts took what nobody had told it yet for nothing. The evidence: its log
-/// has the request's first offer before the first word of a peer.
+/// Guards against a restarted host that treats missing reports as if nothing was blamed. A host
+/// is killed and restarts before its peers detect the failure, so none sends it reports, and
+/// the store with the records is unavailable. A blamed request that arrives then (76 ms after
+/// the start) crashed two more targets, seven in all instead of the allowed six.
 #[tokio::test]
-async fn a_host_that_starts_again_at_once_asks_who_was_blamed() {
+async fn a_host_that_restarts_at_once_requests_reports_first() {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     world.engines.set_deadly(DEADLY);
     let mut hosts = hosts(&world, &["a1", "b1"]).await;
     blame(&world, &hosts[0]).await;
     hosts.remove(1).kill();
-    let away = world.store.door();
-    away.refuse_listings(Topic::Blamed);
-    let started = world.start_apart("b1", away, |_| {}).await;
-    until("it has routes", || started.ctx().table().is_some()).await;
-    let answered = started.ask_with(ONCE, "again", DEADLY).await;
-    assert!(is_crashing(&answered), "{answered:?}");
+    let unavailable = world.store.door();
+    unavailable.refuse_listings(Topic::Blamed);
+    let restarted = world.start_apart("b1", unavailable, |_| {}).await;
+    until("it has routes", || restarted.ctx().table().is_some()).await;
+    let result = restarted.ask_with(ONCE, "again", DEADLY).await;
+    assert!(is_crashing(&result), "{result:?}");
     assert_eq!(world.engines.runs("again"), []);
 }
 
 #[tokio::test]
-async fn hosts_that_all_start_again_know_who_was_blamed() {
+async fn blamed_requests_survive_a_restart_of_all_hosts() {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     world.engines.set_deadly(DEADLY);
     let first = world.start_ready("a1").await;
-    // Nor is it lost if the store is away for a moment.
+    // A short outage of the store must not lose the record either.
     world.store.script(Topic::Blamed, &[Fate::Refused]);
     blame(&world, &first).await;
     until("it is saved", || world.store.keys(Topic::Blamed) == 1).await;
     first.kill();
     let second = world.start_ready("a1").await;
     until_blamed(&second).await;
-    let answered = second.ask_with(ONCE, "again", DEADLY).await;
-    assert!(is_crashing(&answered), "{answered:?}");
+    let result = second.ask_with(ONCE, "again", DEADLY).await;
+    assert!(is_crashing(&result), "{result:?}");
 }
 
-/// Resets, lost and garbled answers break off as a crash does; the target listens still.
+/// Connection resets and lost or invalid responses look like a crash, but the target still
+/// listens.
 #[rstest]
-#[case::broken_off(Act::BreakAfter(1))]
-#[case::no_answer(Act::None(NoReply::Broken))]
-#[case::silent(Act::HangAfter(1))]
+#[case::connection_lost(Act::BreakAfter(1))]
+#[case::no_response(Act::None(NoReply::Broken))]
+#[case::stalled(Act::HangAfter(1))]
 #[tokio::test]
-async fn runs_that_break_off_at_targets_that_listen_count_for_nothing(#[case] act: Act) {
+async fn interrupted_runs_at_listening_targets_are_not_crashes(#[case] act: Act) {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     let host = world.start_ready("a1").await;
     for attempt in 0..8 {
@@ -205,12 +200,12 @@
         world.engines.script_request(&id, &[act]);
         let _ = host.ask_with(ONCE, &id, "healthy").await;
     }
-    let answered = host.ask_with(ONCE, "again", "healthy").await;
-    assert!(answered.unwrap().body.is_some());
+    let result = host.ask_with(ONCE, "again", "healthy").await;
+    assert!(result.unwrap().body.is_some());
 }
 
 #[tokio::test]
-async fn a_bystander_that_ends_well_is_cleared() {
+async fn a_suspect_that_succeeds_is_cleared() {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     let host = world.start_ready("a1").await;
     for attempt in 0..12 {
@@ -219,9 +214,9 @@
         if is_hit {
             world.engines.script_request(&id, &[Act::Crash]);
         }
-        let answered = host.ask_with(ONCE, &id, "healthy").await;
-        let is_whole = answered.unwrap().body.is_some();
-        assert_eq!(is_whole, !is_hit, "{id}");
+        let result = host.ask_with(ONCE, &id, "healthy").await;
+        let is_complete = result.unwrap().body.is_some();
+        assert_eq!(is_complete, !is_hit, "{id}");
         world.engines.restart_all();
     }
     let metrics = &host.ctx().metrics;
@@ -229,7 +224,7 @@
 }
 
 #[tokio::test]
-async fn one_that_ended_two_targets_runs_at_one_at_a_time() {
+async fn a_suspect_of_two_crashes_runs_at_one_target_at_a_time() {
     let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     let host = world.start_ready("a1").await;
     for attempt in 0..2 {
@@ -241,24 +236,24 @@
     world.engines.hold();
     let ask = |id: &'static str| host.ask_with(ONCE, id, "suspect");
     let release = async {
-        // All have been polled before this, so those that wait do so by now.
+        // All requests were polled before this, so the others are waiting by now.
         until("one runs", || world.engines.active() > 0).await;
         assert_eq!(world.engines.active(), 1);
         world.engines.go();
     };
     let (a, b, c, ()) = tokio::join!(ask("a"), ask("b"), ask("c"), release);
-    for answered in [a, b, c] {
-        assert!(answered.unwrap().body.is_some(), "healthy after all");
+    for result in [a, b, c] {
+        assert!(result.unwrap().body.is_some(), "It is healthy.");
     }
 }
 
-/// An item is cut for online requests again and again and ends late; a healthy one met
-/// three crashes in twenty seconds so, and was taken for the cause.
+/// Guards against blaming a healthy item. An item that is preempted repeatedly by online requests
+/// completes late; one was present at three crashes within twenty seconds.
 #[tokio::test]
-async fn an_item_that_ran_long_before_it_was_cut_is_no_suspect_any_more() {
+async fn an_item_that_ran_long_before_its_preemption_is_cleared() {
     let world = World::new(&["t1", "t2"]);
-    let patient = |s: &mut Settings| s.batch.stall_ms = 10_000;
-    let host = world.start_with("a1", patient).await;
+    let long_stall_timeout = |s: &mut Settings| s.batch.stall_ms = 10_000;
+    let host = world.start_with("a1", long_stall_timeout).await;
     host.until_ready().await;
     world.engines.script_request("j1-0", &[Act::Crash]);
     world.engines.hold();
@@ -269,14 +264,14 @@
     world.engines.restart_all();
     let runs = || world.engines.active_runs("j1-0") == 1;
     until("the item runs again", runs).await;
-    let begun = Instant::now();
-    let is_long = || begun.elapsed() > LONG_RUN;
+    let started = Instant::now();
+    let is_long = || started.elapsed() > LONG_RUN;
     until("it has run for long", is_long).await;
-    assert!(runs(), "and still does");
+    assert!(runs(), "It must still run.");
     let ask = |id: &'static str| host.ask(RESUMABLE, id);
     let release = async {
         let is_cleared = || metrics.counted(Counted::Changes, "request cleared") == 1;
-        until("it was cut and cleared", is_cleared).await;
+        until("it was preempted and cleared", is_cleared).await;
         world.engines.go();
     };
     let _ = tokio::join!(ask("a"), ask("b"), ask("c"), ask("d"), release);
--- a/crates/gateway/tests/online.rs
+++ b/crates/gateway/tests/online.rs
@@ -1,4 +1,4 @@
-//! Online requests, from the caller's side and the targets'.
+//! Online requests: what callers receive, and what runs at targets.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod world;
@@ -21,13 +21,13 @@
 use world::targets::whole;
 use world::until;
 
-const REFUSED: Act = Act::None(NoReply::Full);
-const UNREACHED: Act = Act::None(NoReply::NotSent("scripted"));
-const MOVED: Act = Act::None(NoReply::OtherTarget);
+const FULL: Act = Act::None(NoReply::Full);
+const NOT_SENT: Act = Act::None(NoReply::NotSent("scripted"));
+const OTHER_TARGET: Act = Act::None(NoReply::OtherTarget);
 const LOST: Act = Act::None(NoReply::Unknown("scripted"));
 
 #[tokio::test]
-async fn before_a_configuration_is_known_nothing_runs_and_the_caller_may_come_back() {
+async fn without_a_configuration_a_request_is_refused_as_not_ready() {
     let world = World::default();
     let host = world.start("a1").await;
     let err = host.ask(ONCE, "r1").await.unwrap_err();
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn a_path_without_a_route_is_told_so_only_from_a_configuration() {
+async fn a_path_without_a_route_is_refused_by_a_configuration() {
     let world = World::new(&["t1"]);
     let host = world.start_ready("a1").await;
     let err = host.ask("/nowhere/", "r1").await.unwrap_err();
@@ -43,27 +43,27 @@
 }
 
 #[rstest]
-#[case::full(REFUSED)]
-#[case::unreached(UNREACHED)]
-#[case::other_target_at_its_address(MOVED)]
+#[case::full(FULL)]
+#[case::not_sent(NOT_SENT)]
+#[case::other_target_at_its_address(OTHER_TARGET)]
 #[tokio::test]
-async fn what_did_not_run_is_offered_to_another_target(
+async fn a_request_that_did_not_run_is_offered_to_another_target(
     #[case] act: Act,
     #[values(ONCE, RESUMABLE)] path: &str,
 ) {
     let world = World::new(&["t1", "t2"]);
     let host = world.start_ready("a1").await;
     world.engines.script_request("r1", &[act]);
-    let answer = host.ask(path, "r1").await.unwrap();
-    assert_eq!(answer.text().unwrap(), whole("r1"));
+    let response = host.ask(path, "r1").await.unwrap();
+    assert_eq!(response.text().unwrap(), whole("r1"));
     assert_eq!(world.engines.runs("r1").len(), 1);
 }
 
 #[tokio::test]
-async fn what_no_target_takes_is_refused_as_not_run() {
+async fn a_request_that_every_target_refuses_is_not_run() {
     let world = World::new(&["t1", "t2"]);
     let host = world.start_ready("a1").await;
-    world.engines.script_request("r1", &[REFUSED, REFUSED]);
+    world.engines.script_request("r1", &[FULL, FULL]);
     let err = host.ask(ONCE, "r1").await.unwrap_err();
     assert!(matches!(err, Failure::NotRun { .. }), "{err:?}");
     assert_eq!(world.engines.runs("r1"), []);
@@ -72,10 +72,12 @@
 #[rstest]
 #[case::lost(LOST)]
 #[case::unsigned(Act::Unsigned)]
-#[case::refused_without_saying_that_nothing_ran(Act::Status(503))]
-#[case::too_many_without_saying_that_nothing_ran(Act::Status(429))]
+#[case::unavailable_without_confirming_that_nothing_ran(Act::Status(503))]
+#[case::too_many_requests_without_confirming_that_nothing_ran(Act::Status(429))]
 #[tokio::test]
-async fn what_may_have_run_is_not_sent_again_and_not_called_refused(#[case] act: Act) {
+async fn a_request_that_may_have_run_is_not_sent_again_and_has_an_unknown_outcome(
+    #[case] act: Act,
+) {
     let world = World::new(&["t1", "t2"]);
     let host = world.start_ready("a1").await;
     world.engines.script_request("r1", &[act]);
@@ -89,41 +91,44 @@
 #[case::unsigned(Act::Unsigned)]
 #[case::failed(Act::Status(500))]
 #[tokio::test]
-async fn what_may_run_twice_is_sent_again(#[case] act: Act) {
+async fn a_repeatable_request_is_sent_again(#[case] act: Act) {
     let world = World::new(&["t1", "t2"]);
     let host = world.start_ready("a1").await;
     world.engines.script_request("r1", &[act]);
-    let answer = host.ask(RESUMABLE, "r1").await.unwrap();
-    assert_eq!(answer.text().unwrap(), whole("r1"));
+    let response = host.ask(RESUMABLE, "r1").await.unwrap();
+    assert_eq!(response.text().unwrap(), whole("r1"));
 }
 
 #[tokio::test]
-async fn a_target_s_own_failure_is_passed_on_as_it_is() {
+async fn a_server_error_of_a_target_is_forwarded_unchanged() {
     let world = World::new(&["t1", "t2"]);
     let host = world.start_ready("a1").await;
     world.engines.script_request("r1", &[Act::Status(500)]);
-    let answer = host.ask(ONCE, "r1").await.unwrap();
-    assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
+    let response = host.ask(ONCE, "r1").await.unwrap();
+    assert_eq!(response.status, StatusCode::INTERNAL_SERVER_ERROR);
 }
 
 #[rstest]
 #[case::in_its_first_event(Act::BreakAfter(0))]
-#[case::in_its_midst(Act::BreakAfter(3))]
+#[case::in_a_middle_event(Act::BreakAfter(3))]
 #[case::in_its_last_event(Act::BreakAfter(EVENTS - 1))]
-#[case::by_falling_silent(Act::HangAfter(2))]
-#[case::by_leaving_out_an_event(Act::SkipAt(2))]
+#[case::by_stalling(Act::HangAfter(2))]
+#[case::by_skipping_an_event(Act::SkipAt(2))]
 #[tokio::test]
-async fn a_stream_that_breaks_off_goes_on_at_another_target(#[case] act: Act) {
+async fn an_interrupted_stream_is_resumed_at_another_target(#[case] act: Act) {
     let world = World::new(&["t1", "t2"]);
     let host = world.start_ready("a1").await;
     world.engines.script_request("r1", &[act]);
-    let answer = host.ask(RESUMABLE, "r1").await.unwrap();
-    assert_eq!(answer.text().unwrap(), whole("r1"));
+    let response = host.ask(RESUMABLE, "r1").await.unwrap();
+    assert_eq!(response.text().unwrap(), whole("r1"));
     let runs = world.engines.runs("r1");
     assert_eq!(runs.len(), 2);
     if runs[1].1.is_some() {
-        let from = answer.headers["x-from"].to_str().unwrap();
-        assert_eq!(from, runs[0].0, "The head is that of the first target.");
+        let from = response.headers["x-from"].to_str().unwrap();
+        assert_eq!(
+            from, runs[0].0,
+            "The headers are those of the first target."
+        );
     }
     until("the first target has stopped", || {
         world.engines.active() == 0
@@ -131,43 +136,45 @@
     .await;
 }
 
-/// Regression: an answer that came whole in its first piece was passed on
-/// without its head (sul-permissoes, hunt-bee8-3).
+/// Regression: a response whose body was complete in its first chunk was forwarded without its
+/// headers.
 #[rstest]
 #[tokio::test]
-async fn an_answer_that_comes_in_one_piece_has_its_head(#[values(ONCE, RESUMABLE)] path: &str) {
+async fn a_response_that_arrives_in_one_chunk_has_its_headers(
+    #[values(ONCE, RESUMABLE)] path: &str,
+) {
     let world = World::new(&["t1"]);
     let host = world.start_ready("a1").await;
     world.engines.script_request("r1", &[Act::AtOnce]);
-    let answer = host.ask(path, "r1").await.unwrap();
-    assert_eq!(answer.headers["x-from"], "t1");
-    assert_eq!(answer.text().unwrap(), whole("r1"));
+    let response = host.ask(path, "r1").await.unwrap();
+    assert_eq!(response.headers["x-from"], "t1");
+    assert_eq!(response.text().unwrap(), whole("r1"));
 }
 
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_ends_broken_off() {
+async fn an_interrupted_stream_that_is_not_resumable_ends_with_an_error() {
     let world = World::new(&["t1", "t2"]);
     let host = world.start_ready("a1").await;
     world.engines.script_request("r1", &[Act::BreakAfter(3)]);
-    let answer = host.ask(ONCE, "r1").await.unwrap();
-    assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(answer.text(), None, "It must not look whole.");
+    let response = host.ask(ONCE, "r1").await.unwrap();
+    assert_eq!(response.status, StatusCode::OK);
+    assert_eq!(response.text(), None, "It must not look complete.");
     assert_eq!(world.engines.runs("r1").len(), 1);
 }
 
 #[tokio::test]
-async fn a_stream_runs_on_as_many_targets_as_its_route_allows() {
+async fn a_stream_runs_at_most_as_often_as_its_route_allows() {
     let world = World::new(&["t1", "t2", "t3", "t4"]);
     let host = world.start_ready("a1").await;
     let act = Act::BreakAfter(1);
     world.engines.script_request("r1", &[act; 4]);
-    let answer = host.ask(RESUMABLE, "r1").await.unwrap();
-    assert_eq!(answer.text(), None);
+    let response = host.ask(RESUMABLE, "r1").await.unwrap();
+    assert_eq!(response.text(), None);
     assert_eq!(world.engines.runs("r1").len(), 3);
 }
 
 #[tokio::test]
-async fn a_request_s_time_ends_at_its_route_s_and_its_target_stops() {
+async fn a_request_times_out_with_its_route_and_its_target_stops() {
     let world = World::new(&["t1"]);
     let host = world.start_ready("a1").await;
     world.engines.script_request("r1", &[Act::Hang]);
@@ -179,34 +186,34 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_stops_its_target() {
+async fn a_disconnected_caller_stops_its_target() {
     let world = World::new(&["t1"]);
     let host = world.start_ready("a1").await;
     world.engines.hold();
-    let asked = online::serve(host.ctx(), request(ONCE, "r1"), Instant::now());
-    let mut answer = asked.await.unwrap();
-    answer.body.frame().await.unwrap().unwrap();
+    let serving = online::serve(host.ctx(), request(ONCE, "r1"), Instant::now());
+    let mut response = serving.await.unwrap();
+    response.body.frame().await.unwrap().unwrap();
     assert_eq!(world.engines.active_runs("r1"), 1);
-    drop(answer);
+    drop(response);
     until("the target has stopped", || world.engines.active() == 0).await;
 }
 
 #[tokio::test]
-async fn an_online_request_takes_the_place_of_an_item_and_the_item_goes_on_later() {
+async fn an_online_request_preempts_an_item_and_the_item_is_resumed_later() {
     let world = World::new(&["t1"]);
     let host = world.start_with("a1", |s| s.batch.reserve = 0).await;
     host.until_ready().await;
     world.engines.hold();
     host.submit("j1", 2, 10).await.unwrap();
-    until("both places are taken", || world.engines.active() == 2).await;
-    let asked = online::serve(host.ctx(), request(ONCE, "r1"), Instant::now());
-    let answer = asked.await.unwrap();
-    until("one item gave way", || {
+    until("both slots are in use", || world.engines.active() == 2).await;
+    let serving = online::serve(host.ctx(), request(ONCE, "r1"), Instant::now());
+    let response = serving.await.unwrap();
+    until("one item was preempted", || {
         world.engines.active_runs("j1-0") + world.engines.active_runs("j1-1") == 1
     })
     .await;
     world.engines.go();
-    let body = answer.body.collect().await.unwrap().to_bytes();
+    let body = response.body.collect().await.unwrap().to_bytes();
     assert_eq!(body, whole("r1"));
     let results = host.results("j1", 2).await;
     for result in results {
@@ -216,7 +223,7 @@
 }
 
 #[tokio::test]
-async fn an_online_request_takes_the_place_of_a_peer_s_item() {
+async fn an_online_request_preempts_an_item_of_a_peer() {
     let world = World::new(&["t1"]);
     let busy = world.start_with("a1", |s| s.batch.reserve = 0).await;
     let other = world.start_with("a2", |s| s.batch.reserve = 0).await;
@@ -224,32 +231,32 @@
     other.until_ready().await;
     world.engines.hold();
     busy.submit("j1", 2, 10).await.unwrap();
-    until("both places are taken", || world.engines.active() == 2).await;
-    until("the other host knows", || {
+    until("both slots are in use", || world.engines.active() == 2).await;
+    until("the other host knows the load", || {
         other.ctx().load_of("t1").batch == 2
     })
     .await;
-    let asked = online::serve(other.ctx(), request(ONCE, "r1"), Instant::now());
-    let answer = asked.await.unwrap();
-    until("one item gave way", || {
+    let serving = online::serve(other.ctx(), request(ONCE, "r1"), Instant::now());
+    let response = serving.await.unwrap();
+    until("one item was preempted", || {
         world.engines.active_runs("j1-0") + world.engines.active_runs("j1-1") == 1
     })
     .await;
     world.engines.go();
-    assert!(answer.body.collect().await.is_ok());
+    assert!(response.body.collect().await.is_ok());
     busy.results("j1", 2).await;
 }
 
 #[tokio::test]
-async fn a_host_that_leaves_finishes_the_answers_it_has_begun() {
+async fn a_leaving_host_completes_the_responses_it_has_started() {
     let world = World::new(&["t1"]);
     let host = world.start_ready("a1").await;
     world.engines.hold();
     let in_flight = host.ctx().in_flight.enter();
-    let asked = online::serve(host.ctx(), request(ONCE, "r1"), Instant::now());
-    let answer = asked.await.unwrap();
+    let serving = online::serve(host.ctx(), request(ONCE, "r1"), Instant::now());
+    let response = serving.await.unwrap();
     let leaving = tokio::spawn(host.leave());
-    let body = tokio::spawn(answer.body.collect());
+    let body = tokio::spawn(response.body.collect());
     tokio::time::sleep(Duration::from_millis(5)).await;
     world.engines.go();
     let body = body.await.unwrap().unwrap().to_bytes();
@@ -258,17 +265,14 @@
     assert!(leaving.await.unwrap());
 }
 
-/// What users would see: a job was run as one request that nobody sent. It came to a host
-/// that had just started and had no routes yet, so it was taken for an online request;
-/// then the routes came, and the request went to a target.
+/// Guards against a job that runs as one request that nobody sent. A host that has just started
+/// has no routes yet and reads the job as an online request; once the routes are loaded, the
+/// request would be sent to a target.
 #[tokio::test]
-async fn a_job_that_is_taken_for_an_online_request_reaches_no_target() {
+async fn a_job_that_is_read_as_an_online_request_reaches_no_target() {
     let world = World::new(&["t1"]);
     let host = world.start_ready("a1").await;
-    let answered = host.ask(world::JOBS, "j1").await;
-    assert!(
-        matches!(answered, Err(Failure::NotRun { .. })),
-        "{answered:?}"
-    );
+    let result = host.ask(world::JOBS, "j1").await;
+    assert!(matches!(result, Err(Failure::NotRun { .. })), "{result:?}");
     assert_eq!(world.engines.runs("j1"), []);
 }
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -1,15 +1,11 @@
-//! A large fleet that starts as a whole.
+//! A large fleet that starts all at once.
 //!
-//! What users saw: after all 295 hosts had lost power for a second, jobs that had been
-//! accepted could not be read for the rest of the day, nor were any new ones accepted.
-//! Order of events: the hosts were back after 1.4 s and each asked the store for the
-//! newest record of every key, of the jobs and of routes, targets and hosts; the store
-//! reads out 80 MB a second for all of them together, and what they asked for comes to
-//! some 500 MB, worked out from the records; answers came later than the 700 ms that a call may take; hosts gave up and
-//! asked again at once, while the store still read out what nobody waited for. Cause:
-//! every host lists what all need, and nothing makes them ask less when answers do not
-//! come. Evidence: in the twelve seconds that followed, 5,100 listings of the job records
-//! timed out, and of the 295 hosts none had loaded them.
+//! Guards against a store that is overloaded by listings when a whole fleet restarts. Each of
+//! 295 hosts listed the newest records of jobs, routes, targets and hosts: some 500 MB in all
+//! from a store that reads 80 MB a second. The calls exceeded their timeout of 700 ms, and hosts
+//! retried at once while the store still worked on the old calls. In twelve seconds 5,100
+//! listings of the job records timed out and no host had loaded them; for the rest of the day
+//! jobs could neither be read nor accepted.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod world;
@@ -23,19 +19,19 @@
 use world::until;
 
 const DATA_CENTRES: usize = 2;
-/// Hosts of a data centre, which are a cell.
+/// Hosts per data centre; they form one cell.
 const HOSTS: usize = 8;
 /// Hosts of a cell that list from the store.
 const LISTERS: usize = 3;
 
-/// Starts the fleet; hosts reach the store through the doors that are given for them.
-async fn start(world: &World, door_of: impl Fn(usize) -> ScriptedStore) -> Vec<Running> {
+/// Starts the fleet; each host uses its own handle of the store.
+async fn start(world: &World, store_of: impl Fn(usize) -> ScriptedStore) -> Vec<Running> {
     let mut hosts = Vec::new();
     for number in 0..DATA_CENTRES * HOSTS {
-        let place = number / HOSTS;
-        let name = format!("h{place}-{number}");
-        let started = world.start_apart(&name, door_of(number), |settings| {
-            settings.host.data_centre = format!("d{place}");
+        let data_centre = number / HOSTS;
+        let name = format!("h{data_centre}-{number}");
+        let started = world.start_apart(&name, store_of(number), |settings| {
+            settings.host.data_centre = format!("d{data_centre}");
             settings.peers.cell_hosts_max = u32::try_from(HOSTS).unwrap();
         });
         hosts.push(started.await);
@@ -49,8 +45,8 @@
     }
 }
 
-/// Returns a world whose fleet has done a job and lost power.
-async fn after_a_loss_of_power() -> World {
+/// Returns a world whose fleet has completed a job and was then killed.
+async fn after_a_power_loss() -> World {
     let world = World::new(&["t1", "t2"]);
     world.store.set_page(500);
     let hosts = start(&world, |_| world.store.clone()).await;
@@ -62,16 +58,16 @@
 }
 
 #[tokio::test]
-async fn a_fleet_that_starts_again_does_not_list_once_for_each_host() {
-    let world = after_a_loss_of_power().await;
+async fn a_restarted_fleet_does_not_list_once_per_host() {
+    let world = after_a_power_loss().await;
     let topics = [Topic::Jobs, Topic::Config, Topic::Targets];
     let before = topics.map(|topic| world.store.listings(topic));
     let hosts = start(&world, |_| world.store.clone()).await;
     until_all_serve(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
         let listings = world.store.listings(topic) - before;
-        let most = DATA_CENTRES * LISTERS;
-        assert!(listings <= most, "{topic:?}: {listings} listings");
+        let max_listings = DATA_CENTRES * LISTERS;
+        assert!(listings <= max_listings, "{topic:?}: {listings} listings");
     }
     for host in &hosts {
         assert_eq!(host.results("j1", 4).await.len(), 4);
@@ -79,43 +75,43 @@
 }
 
 #[tokio::test]
-async fn hosts_list_for_themselves_if_those_that_should_cannot() {
-    let world = after_a_loss_of_power().await;
-    let closed = world.store.door();
-    closed.close(true);
-    let open = world.store.clone();
-    // All hosts of a data centre but the last are turned away.
-    let door_of = |number: usize| match number < HOSTS - 1 {
-        true => closed.clone(),
-        false => open.clone(),
+async fn hosts_list_for_themselves_if_the_listers_cannot() {
+    let world = after_a_power_loss().await;
+    let unreachable = world.store.door();
+    unreachable.close(true);
+    let reachable = world.store.clone();
+    // All hosts of a data centre but the last are refused by the store.
+    let store_of = |number: usize| match number < HOSTS - 1 {
+        true => unreachable.clone(),
+        false => reachable.clone(),
     };
-    let hosts = start(&world, door_of).await;
-    until("the last one has the records", || {
+    let hosts = start(&world, store_of).await;
+    until("the last host has the records", || {
         hosts[HOSTS - 1].ctx().journal.is_loaded()
     })
     .await;
     assert_eq!(hosts[HOSTS - 1].results("j1", 4).await.len(), 4);
-    closed.close(false);
+    unreachable.close(false);
     until_all_serve(&hosts).await;
 }
 
 /// Guards against every host listing for itself when its first listing of the hosts times
 /// out.
 #[tokio::test]
-async fn a_fleet_whose_host_list_is_late_does_not_list_once_for_each_host() {
-    let world = after_a_loss_of_power().await;
+async fn a_fleet_whose_host_list_is_late_does_not_list_once_per_host() {
+    let world = after_a_power_loss().await;
     let topics = [Topic::Jobs, Topic::Config, Topic::Targets];
     let before = topics.map(|topic| world.store.listings(topic));
     let hosts = start(&world, |_| {
-        let door = world.store.door();
-        door.time_out_first_listing(Topic::Hosts, Duration::from_millis(700));
-        door
+        let store = world.store.door();
+        store.time_out_first_listing(Topic::Hosts, Duration::from_millis(700));
+        store
     })
     .await;
     until_all_serve(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
         let listings = world.store.listings(topic) - before;
-        let most = DATA_CENTRES * LISTERS;
-        assert!(listings <= most, "{topic:?}: {listings} listings");
+        let max_listings = DATA_CENTRES * LISTERS;
+        assert!(listings <= max_listings, "{topic:?}: {listings} listings");
     }
 }
--- a/crates/gateway/tests/waiting.rs
+++ b/crates/gateway/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! Online requests that wait at hosts while all places are taken: whole hosts, and failures
-//! of theirs. The order itself is played in `notchwharf-waiting`.
+//! Online requests that wait at hosts while all slots are in use, with whole hosts and failures
+//! of hosts. The order of requests is simulated in the tests of `notchwharf-waiting`.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod world;
@@ -18,12 +18,12 @@
 use world::targets::whole;
 use world::until;
 
-/// Places of a target.
-const PLACES: usize = 2;
+/// The slots of a target.
+const SLOTS: usize = 2;
 
-type Asked = JoinHandle<Result<Whole, Failure>>;
+type PendingResponse = JoinHandle<Result<Whole, Failure>>;
 
-/// Returns a world of one target whose configuration tells workspaces apart.
+/// Returns a world of one target whose configuration has workspaces.
 fn world() -> World {
     let world = World::new(&["t1"]);
     world.configure_keys(2, &[("k1", "choir"), ("k2", "band")]);
@@ -31,76 +31,76 @@
     world
 }
 
-fn ask(host: &Arc<Running>, key: &'static str, id: &'static str) -> Asked {
+fn send(host: &Arc<Running>, key: &'static str, id: &'static str) -> PendingResponse {
     let host = Arc::clone(host);
     tokio::spawn(async move { host.ask_at(TIMELY, key, id).await })
 }
 
-fn waits(host: &Running) -> u64 {
+fn waited_count(host: &Running) -> u64 {
     host.ctx().metrics.counted(Counted::WaitQueue, "waits")
 }
 
 /// Sends a request, and returns once it waits.
-async fn ask_waiting(host: &Arc<Running>, key: &'static str, id: &'static str) -> Asked {
-    let before = waits(host);
-    let asked = ask(host, key, id);
-    until("the request waits", || waits(host) > before).await;
-    asked
+async fn send_waiting(host: &Arc<Running>, key: &'static str, id: &'static str) -> PendingResponse {
+    let before = waited_count(host);
+    let pending = send(host, key, id);
+    until("the request waits", || waited_count(host) > before).await;
+    pending
 }
 
-/// Starts a host that does not take silent streams elsewhere.
+/// Starts a host that doesn't resume stalled streams at another target.
 async fn start(world: &World, name: &str) -> Arc<Running> {
-    let patient = |settings: &mut Settings| settings.online.stall_ms = 60_000;
-    let host = world.start_with(name, patient).await;
+    let long_stall_timeout = |settings: &mut Settings| settings.online.stall_ms = 60_000;
+    let host = world.start_with(name, long_stall_timeout).await;
     host.until_ready().await;
     Arc::new(host)
 }
 
-/// Takes all places of the target.
-async fn fill(world: &World, host: &Arc<Running>) -> Vec<Asked> {
-    let asked = vec![ask(host, "k1", "r1"), ask(host, "k1", "r2")];
-    until("all places are taken", || world.engines.active() == PLACES).await;
-    asked
+/// Uses all slots of the target.
+async fn fill(world: &World, host: &Arc<Running>) -> Vec<PendingResponse> {
+    let pending = vec![send(host, "k1", "r1"), send(host, "k1", "r2")];
+    until("all slots are in use", || world.engines.active() == SLOTS).await;
+    pending
 }
 
-/// Starts two hosts that know that all places are taken.
-async fn two_hosts() -> (World, [Arc<Running>; 2], Vec<Asked>) {
+/// Starts two hosts that know that all slots are in use.
+async fn two_hosts() -> (World, [Arc<Running>; 2], Vec<PendingResponse>) {
     let world = world();
     let a1 = start(&world, "a1").await;
     let a2 = start(&world, "a2").await;
     until("hosts know each other", || a1.ctx().peers_alive() == 1).await;
     until("hosts know each other", || a2.ctx().peers_alive() == 1).await;
     let first = fill(&world, &a1).await;
-    until("the other host knows", || {
-        a2.ctx().load_of("t1").online as usize == PLACES
+    until("the other host knows the load", || {
+        a2.ctx().load_of("t1").online as usize == SLOTS
     })
     .await;
     (world, [a1, a2], first)
 }
 
-async fn assert_whole(asked: Asked, id: &str) {
-    let answer = asked.await.unwrap().unwrap();
-    assert_eq!(answer.text().unwrap(), whole(id));
+async fn assert_complete(pending: PendingResponse, id: &str) {
+    let response = pending.await.unwrap().unwrap();
+    assert_eq!(response.text().unwrap(), whole(id));
 }
 
 #[tokio::test]
-async fn requests_wait_at_their_hosts_until_places_fall_free() {
+async fn requests_wait_at_their_hosts_until_slots_are_freed() {
     let (world, [a1, a2], first) = two_hosts().await;
-    let here = ask_waiting(&a1, "k1", "r3").await;
-    let there = ask_waiting(&a2, "k2", "r4").await;
-    assert_eq!(world.engines.active(), PLACES);
+    let local = send_waiting(&a1, "k1", "r3").await;
+    let remote = send_waiting(&a2, "k2", "r4").await;
+    assert_eq!(world.engines.active(), SLOTS);
     assert_eq!(world.engines.runs("r3"), []);
     assert_eq!(world.engines.runs("r4"), []);
     world.engines.go();
-    for (asked, id) in first.into_iter().zip(["r1", "r2"]) {
-        assert_whole(asked, id).await;
+    for (pending, id) in first.into_iter().zip(["r1", "r2"]) {
+        assert_complete(pending, id).await;
     }
-    assert_whole(here, "r3").await;
-    assert_whole(there, "r4").await;
+    assert_complete(local, "r3").await;
+    assert_complete(remote, "r4").await;
 }
 
 #[tokio::test]
-async fn what_cannot_begin_in_time_is_refused_as_not_run() {
+async fn a_request_that_cannot_start_in_time_is_not_run() {
     let world = world();
     let host = start(&world, "a1").await;
     let first = fill(&world, &host).await;
@@ -115,47 +115,47 @@
     assert_eq!(reason, "no room in time");
     assert!(!retry_after.is_zero());
     world.engines.go();
-    for (asked, id) in first.into_iter().zip(["r1", "r2"]) {
-        assert_whole(asked, id).await;
+    for (pending, id) in first.into_iter().zip(["r1", "r2"]) {
+        assert_complete(pending, id).await;
     }
     assert_eq!(world.engines.runs("r3"), []);
 }
 
-/// A caller leaves while its request waits: those behind it get its place.
+/// A caller disconnects while its request waits: the next request gets the slot.
 #[tokio::test]
-async fn a_caller_that_leaves_holds_no_place() {
+async fn a_disconnected_caller_holds_no_slot() {
     let world = world();
     let host = start(&world, "a1").await;
     let first = fill(&world, &host).await;
-    let gone = ask_waiting(&host, "k2", "r3").await;
-    gone.abort();
-    assert!(gone.await.is_err());
-    let next = ask_waiting(&host, "k2", "r4").await;
+    let cancelled = send_waiting(&host, "k2", "r3").await;
+    cancelled.abort();
+    assert!(cancelled.await.is_err());
+    let next = send_waiting(&host, "k2", "r4").await;
     world.engines.go();
-    for (asked, id) in first.into_iter().zip(["r1", "r2"]) {
-        assert_whole(asked, id).await;
+    for (pending, id) in first.into_iter().zip(["r1", "r2"]) {
+        assert_complete(pending, id).await;
     }
-    assert_whole(next, "r4").await;
+    assert_complete(next, "r4").await;
     assert_eq!(world.engines.runs("r3"), []);
-    until("all places are free", || {
+    until("all slots are free", || {
         host.ctx().load_of("t1").online == 0
     })
     .await;
 }
 
-/// A host dies while a request of it is first: the place that is handed to it is lost on
-/// the way, and the request behind it begins all the same.
+/// A host fails while its request is the first: the slot that is transferred to it is lost, and
+/// the next request starts nevertheless.
 #[tokio::test]
-async fn a_place_that_is_handed_to_a_host_that_died_is_taken_by_the_next() {
+async fn a_slot_that_is_transferred_to_a_failed_host_goes_to_the_next_request() {
     let (world, [a1, a2], first) = two_hosts().await;
-    let lost = ask_waiting(&a2, "k2", "r3").await;
-    let next = ask_waiting(&a1, "k2", "r4").await;
-    // From now on it says nothing, and its request stays in the line that it told.
+    let lost = send_waiting(&a2, "k2", "r3").await;
+    let next = send_waiting(&a1, "k2", "r4").await;
+    // From now on it sends nothing, and its last summary still contains its request.
     a2.ctx().phase.send_replace(Phase::Stopped);
     world.engines.go();
-    for (asked, id) in first.into_iter().zip(["r1", "r2"]) {
-        assert_whole(asked, id).await;
+    for (pending, id) in first.into_iter().zip(["r1", "r2"]) {
+        assert_complete(pending, id).await;
     }
-    assert_whole(next, "r4").await;
+    assert_complete(next, "r4").await;
     lost.abort();
 }
