--- a/crates/gateway/src/online.rs
+++ b/crates/gateway/src/online.rs
@@ -62,8 +62,8 @@
     pub affinity: u64,
 }
 
-/// A target's response, to be forwarded to the caller.
-pub struct Response {
+/// A target's response as it is forwarded to the caller.
+pub struct Answer {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -72,9 +72,9 @@
     pub body: Body,
 }
 
-impl std::fmt::Debug for Response {
+impl std::fmt::Debug for Answer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Response")
+        f.debug_struct("Answer")
             .field("status", &self.status)
             .finish_non_exhaustive()
     }
@@ -89,7 +89,7 @@
     ctx: &Arc<Context>,
     mut req: Request,
     arrived: Instant,
-) -> Result<Response, Failure> {
+) -> Result<Answer, Failure> {
     let Identified { table, caller } = identify_caller(ctx, &req, arrived).await?;
     let route = find_route(ctx, &table, &req)?;
     access::set_workspace(ctx, &mut req.forward.headers, &caller);
--- a/crates/gateway/src/online/body.rs
+++ b/crates/gateway/src/online/body.rs
@@ -17,7 +17,7 @@
 use hyper::header::CONTENT_LENGTH;
 use notchwharf_config::routes::Kind;
 
-use super::Response;
+use super::Answer;
 use super::dispatch::Dispatch;
 use super::dispatch::StartedResponse;
 use crate::error::Failure;
@@ -82,7 +82,7 @@
 
     /// Returns the response. A resumable stream is returned only once its first event has
     /// arrived: until then the caller has seen no headers, and another target's may be used.
-    pub(super) async fn start(mut self) -> Result<Response, Failure> {
+    pub(super) async fn start(mut self) -> Result<Answer, Failure> {
         if self.events.is_some() {
             match self.next().await {
                 Some(Ok(bytes)) => self.first_event = Some(bytes),
@@ -96,7 +96,7 @@
             headers.remove(CONTENT_LENGTH);
         }
         self.dispatch.trace.record_status(status);
-        Ok(Response {
+        Ok(Answer {
             status,
             headers,
             body: self.into_body(),
--- a/crates/gateway/src/online/dispatch.rs
+++ b/crates/gateway/src/online/dispatch.rs
@@ -15,8 +15,8 @@
 use notchwharf_routing::fingerprint::Fingerprint;
 use notchwharf_startup::Dependency;
 
+use super::Answer;
 use super::Request;
-use super::Response;
 use super::body::ResponseBody;
 use super::trace::Trace;
 use crate::context::Context;
@@ -106,7 +106,7 @@
     }
 
     /// Sends the request until a target responds, and forwards the response.
-    pub(super) async fn run(mut self) -> Result<Response, Failure> {
+    pub(super) async fn run(mut self) -> Result<Answer, Failure> {
         match self.send(None).await {
             Ok(response) => ResponseBody::new(self, response).start().await,
             Err(failure) => {
