--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -1,10 +1,20 @@
 //! Keys and workspaces' jobs at a host that does not reach the store while a peer does.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 
+use harness::HOST;
+use harness::Harness;
+use harness::KEY_HEADER;
+use harness::RunningHost;
+use harness::close_connection;
+use harness::start_two_hosts;
+use harness::store::ScriptedStore;
+use harness::submission;
+use harness::targets::full_response;
+use harness::wait_until;
 use hyper::HeaderMap;
 use notchwharf_gateway::access;
 use notchwharf_gateway::access::RequestHead;
@@ -12,31 +22,21 @@
 use notchwharf_gateway::error::Failure;
 use notchwharf_gateway::error::JobError;
 use notchwharf_gateway::jobs;
-use world::HOST;
-use world::KEY;
-use world::Running;
-use world::World;
-use world::close;
-use world::start_with_a_door;
-use world::store::ScriptedStore;
-use world::submission;
-use world::targets::whole;
-use world::until;
 
 /// A host that knows keys and does not reach the store any more, and one that does.
-async fn start(world: &World) -> (Running, ScriptedStore, Running) {
-    world.configure_keys(2, &[("k1", "choir"), ("k2", "choir"), ("k3", "strings")]);
-    let (cut, door, open) = start_with_a_door(world).await;
-    close(&cut, &door).await;
-    (cut, door, open)
+async fn start(harness: &Harness) -> (RunningHost, ScriptedStore, RunningHost) {
+    harness.configure_keys(2, &[("k1", "choir"), ("k2", "choir"), ("k3", "strings")]);
+    let (cut, connection, open) = start_two_hosts(harness).await;
+    close_connection(&cut, &connection).await;
+    (cut, connection, open)
 }
 
-fn is_refused_as_not_run(answered: &Result<world::Whole, Failure>) -> bool {
+fn is_refused_as_not_run(answered: &Result<harness::Response, Failure>) -> bool {
     matches!(answered, Err(Failure::NotRun { .. }))
 }
 
-async fn until_version(host: &Running, version: u64) {
-    until("the configuration is there", || {
+async fn until_version(host: &RunningHost, version: u64) {
+    wait_until("the configuration is there", || {
         host.ctx().table().is_some_and(|t| t.version() == version)
     })
     .await;
@@ -44,27 +44,29 @@
 
 #[tokio::test]
 async fn a_key_is_taken_away_and_added_at_a_host_that_hears_of_it_from_a_peer_alone() {
-    let world = World::new(&["t1"]);
-    let (cut, _door, open) = start(&world).await;
-    let answer = cut.ask_as("k1", "before").await.unwrap();
-    assert_eq!(answer.text().unwrap(), whole("before"));
-    world.configure_keys(3, &[("k2", "choir"), ("k4", "strings")]);
+    let harness = Harness::new(&["t1"]);
+    let (cut, _door, open) = start(&harness).await;
+    let answer = cut.send_with_key("k1", "before").await.unwrap();
+    assert_eq!(answer.text().unwrap(), full_response("before"));
+    harness.configure_keys(3, &[("k2", "choir"), ("k4", "strings")]);
     until_version(&cut, 3).await;
     // It cannot know that no newer configuration has the key again.
-    assert!(is_refused_as_not_run(&cut.ask_as("k1", "gone").await));
-    let denied = open.ask_as("k1", "gone").await.unwrap_err();
+    assert!(is_refused_as_not_run(
+        &cut.send_with_key("k1", "gone").await
+    ));
+    let denied = open.send_with_key("k1", "gone").await.unwrap_err();
     assert_eq!(denied, Failure::Unauthorized(AuthError::Removed));
-    let never = open.ask_as("k9", "never").await.unwrap_err();
+    let never = open.send_with_key("k9", "never").await.unwrap_err();
     assert_eq!(never, Failure::Unauthorized(AuthError::Unknown));
     for id in ["gone", "never"] {
-        assert!(world.engines.runs(id).is_empty());
+        assert!(harness.targets.runs(id).is_empty());
     }
-    assert!(cut.ask_as("k4", "added").await.is_ok());
+    assert!(cut.send_with_key("k4", "added").await.is_ok());
 }
 
-async fn job_of(host: &Running, key: &str) -> String {
+async fn job_of(host: &RunningHost, key: &str) -> String {
     let mut headers = HeaderMap::new();
-    headers.insert(KEY, format!("Key {key}").parse().unwrap());
+    headers.insert(KEY_HEADER, format!("Key {key}").parse().unwrap());
     let presented = RequestHead {
         id: "j1",
         host: HOST,
@@ -79,8 +81,8 @@
 
 #[tokio::test]
 async fn a_job_passed_on_between_hosts_stays_its_workspace_s() {
-    let world = World::new(&["t1"]);
-    let (cut, _door, open) = start(&world).await;
+    let harness = Harness::new(&["t1"]);
+    let (cut, _door, open) = start(&harness).await;
     let job = job_of(&cut, "k1").await;
     let mut submitted = submission("j1", 2, 10);
     submitted.job.clone_from(&job);
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -5,37 +5,37 @@
 //! crashes targets, and nine targets crashed where six may.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::net::SocketAddr;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::free_addr;
+use harness::store::ScriptedStore;
+use harness::wait_until;
 use rstest::rstest;
 use tokio::io::AsyncReadExt as _;
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
-use world::Running;
-use world::World;
-use world::free_addr;
-use world::store::ScriptedStore;
-use world::until;
 
 /// Starts a host with the given store connection and seeds.
 async fn start(
-    world: &World,
+    harness: &Harness,
     name: &str,
-    door: &ScriptedStore,
+    connection: &ScriptedStore,
     contact: SocketAddr,
     seeds: &[SocketAddr],
-) -> Running {
-    let started = world.start_apart(name, door.clone(), |settings| {
+) -> RunningHost {
+    let started = harness.start_with_store(name, connection.clone(), |settings| {
         settings.host.contact_listen = Some(contact);
         settings.host.seeds = seeds.to_vec();
     });
     started.await
 }
 
-async fn until_all_connected(hosts: &[Running]) {
-    until("each host hears all others", || {
+async fn until_all_connected(hosts: &[RunningHost]) {
+    wait_until("each host hears all others", || {
         let mut hosts_heard = hosts.iter().map(|host| host.ctx().peers_alive());
         hosts_heard.all(|heard| heard == hosts.len() - 1)
     })
@@ -50,37 +50,37 @@
 async fn hosts_of_a_new_fleet_discover_one_another_without_a_store(
     #[case] seeds: fn(&[SocketAddr]) -> Vec<SocketAddr>,
 ) {
-    let world = World::new(&["t1"]);
-    let door = world.store.door();
-    door.close(true);
+    let harness = Harness::new(&["t1"]);
+    let connection = harness.store.connection();
+    connection.set_closed(true);
     let contacts = [(); 4].map(|()| free_addr());
     let mut hosts = Vec::new();
     for (number, contact) in contacts.into_iter().enumerate() {
         let name = format!("a{number}");
-        hosts.push(start(&world, &name, &door, contact, &seeds(&contacts)).await);
+        hosts.push(start(&harness, &name, &connection, contact, &seeds(&contacts)).await);
     }
     until_all_connected(&hosts).await;
 }
 
 #[tokio::test]
 async fn hosts_discovered_through_a_seed_follow_the_list_once_available() {
-    let world = World::new(&["t1"]);
-    let door = world.store.door();
-    door.close(true);
+    let harness = Harness::new(&["t1"]);
+    let connection = harness.store.connection();
+    connection.set_closed(true);
     let contact = free_addr();
-    let mut hosts = vec![start(&world, "a0", &door, contact, &[]).await];
-    hosts.push(start(&world, "a1", &door, free_addr(), &[contact]).await);
+    let mut hosts = vec![start(&harness, "a0", &connection, contact, &[]).await];
+    hosts.push(start(&harness, "a1", &connection, free_addr(), &[contact]).await);
     until_all_connected(&hosts).await;
-    door.close(false);
+    connection.set_closed(false);
     for host in &hosts {
-        host.until_ready().await;
+        host.wait_ready().await;
     }
-    until("both are in the list", || {
+    wait_until("both are in the list", || {
         hosts.iter().all(|host| host.ctx().peers_listed() == 1)
     })
     .await;
     hosts.pop().unwrap().kill();
-    until("the other's end is noticed", || {
+    wait_until("the other's end is noticed", || {
         hosts[0].ctx().peers_alive() == 0
     })
     .await;
@@ -92,10 +92,10 @@
 #[case::a_length_beyond_the_end(&[0x7f, b'a'])]
 #[tokio::test]
 async fn invalid_introductions_are_refused(#[case] body: &[u8]) {
-    let world = World::new(&["t1"]);
+    let harness = Harness::new(&["t1"]);
     let contact = free_addr();
-    let host = start(&world, "a0", &world.store.clone(), contact, &[]).await;
-    host.until_ready().await;
+    let host = start(&harness, "a0", &harness.store.clone(), contact, &[]).await;
+    host.wait_ready().await;
     let mut socket = TcpStream::connect(contact).await.unwrap();
     let head = format!(
         "POST /contacts HTTP/1.1\r\nhost: peer\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -11,24 +11,24 @@
 //! and were offered to one target, at all hosts alike.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 use std::time::Instant;
 
+use harness::Harness;
+use harness::NON_RESUMABLE;
+use harness::RESUMABLE;
+use harness::RunningHost;
+use harness::store::AppendOutcome;
+use harness::targets::Action;
+use harness::wait_until;
 use notchwharf_config::gateway::Settings;
 use notchwharf_gateway::error::Failure;
 use notchwharf_gateway::metrics::Counted;
 use notchwharf_gateway::ports::NoReply;
 use notchwharf_gateway::ports::Topic;
 use rstest::rstest;
-use world::ONCE;
-use world::RESUMABLE;
-use world::Running;
-use world::World;
-use world::store::Fate;
-use world::targets::Act;
-use world::until;
 
 /// Targets that one request may end before it is known for what it is.
 const CRASHES_KNOWN: u32 = 3;
@@ -41,14 +41,14 @@
 /// A body under which targets crash.
 const DEADLY: &str = "deadly";
 
-async fn hosts(world: &World, names: &[&str]) -> Vec<Running> {
+async fn hosts(harness: &Harness, names: &[&str]) -> Vec<RunningHost> {
     let mut hosts = Vec::new();
     for name in names {
-        hosts.push(world.start_ready(name).await);
+        hosts.push(harness.start_ready(name).await);
     }
     for host in &hosts {
         let others = names.len() - 1;
-        until("hosts know one another", || {
+        wait_until("hosts know one another", || {
             host.ctx().peers_alive() == others
         })
         .await;
@@ -57,19 +57,21 @@
 }
 
 #[rstest]
-#[case::a_stream_that_runs_once(ONCE)]
+#[case::a_stream_that_runs_once(NON_RESUMABLE)]
 #[case::a_stream_that_goes_on_elsewhere(RESUMABLE)]
 #[tokio::test]
 async fn a_request_under_which_targets_crash_is_soon_refused_everywhere(#[case] path: &str) {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    world.engines.set_deadly(DEADLY);
-    let hosts = hosts(&world, &["a1", "b1", "c1"]).await;
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    harness.targets.crash_on_body(DEADLY);
+    let hosts = hosts(&harness, &["a1", "b1", "c1"]).await;
     for (attempt, host) in (0..ATTEMPTS).zip(hosts.iter().cycle()) {
         // Whatever comes of it.
-        let _ = host.ask_with(path, &format!("r{attempt}"), DEADLY).await;
-        world.engines.restart_all();
+        let _ = host
+            .send_with_body(path, &format!("r{attempt}"), DEADLY)
+            .await;
+        harness.targets.restart_all();
     }
-    let crashes = world.engines.crashes();
+    let crashes = harness.targets.crash_count();
     assert!(
         crashes <= CRASHES_KNOWN + CRASHES_UNTOLD,
         "{crashes} targets crashed"
@@ -78,18 +80,18 @@
 
 #[tokio::test]
 async fn an_item_under_which_targets_crash_is_soon_run_no_more() {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    let host = world.start_ready("a1").await;
-    world.engines.set_deadly("body of 1");
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    let host = harness.start_ready("a1").await;
+    harness.targets.crash_on_body("body of 1");
     host.submit("j1", 3, 1).await.unwrap();
     host.results("j1", 2).await;
     let begun = Instant::now();
-    until("the item has had its time", || {
-        world.engines.restart_all();
-        begun.elapsed() > world::ABANDON_AFTER
+    wait_until("the item has had its time", || {
+        harness.targets.restart_all();
+        begun.elapsed() > harness::ABANDON_AFTER
     })
     .await;
-    let crashes = world.engines.crashes();
+    let crashes = harness.targets.crash_count();
     assert!(
         crashes <= CRASHES_KNOWN + CRASHES_UNTOLD,
         "{crashes} targets crashed"
@@ -97,43 +99,43 @@
 }
 
 /// Lets a request crash as many targets as blame it.
-async fn blame(world: &World, host: &Running) {
+async fn blame(harness: &Harness, host: &RunningHost) {
     for attempt in 0..CRASHES_KNOWN {
         let _ = host
-            .ask_with(ONCE, &format!("blame{attempt}"), DEADLY)
+            .send_with_body(NON_RESUMABLE, &format!("blame{attempt}"), DEADLY)
             .await;
-        world.engines.restart_all();
+        harness.targets.restart_all();
     }
-    assert_eq!(world.engines.crashes(), CRASHES_KNOWN);
+    assert_eq!(harness.targets.crash_count(), CRASHES_KNOWN);
 }
 
 fn is_crashing<T>(answered: &Result<T, Failure>) -> bool {
     matches!(answered, Err(Failure::Crashing { .. }))
 }
 
-async fn until_blamed(host: &Running) {
+async fn until_blamed(host: &RunningHost) {
     let metrics = &host.ctx().metrics;
     let blamed = || metrics.counted(Counted::Changes, "request blamed") == 1;
-    until("the host knows", blamed).await;
+    wait_until("the host knows", blamed).await;
 }
 
 #[tokio::test]
 async fn one_that_is_blamed_at_a_host_runs_at_none_and_others_are_served() {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    world.engines.set_deadly(DEADLY);
-    let hosts = hosts(&world, &["a1", "b1", "c1"]).await;
-    blame(&world, &hosts[0]).await;
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    harness.targets.crash_on_body(DEADLY);
+    let hosts = hosts(&harness, &["a1", "b1", "c1"]).await;
+    blame(&harness, &hosts[0]).await;
     for host in &hosts {
         until_blamed(host).await;
         for attempt in 0..5 {
             let answered = host
-                .ask_with(ONCE, &format!("again{attempt}"), DEADLY)
+                .send_with_body(NON_RESUMABLE, &format!("again{attempt}"), DEADLY)
                 .await;
             assert!(is_crashing(&answered), "{answered:?}");
-            assert_eq!(world.engines.runs(&format!("again{attempt}")), []);
+            assert_eq!(harness.targets.runs(&format!("again{attempt}")), []);
         }
-        for (path, body) in [(ONCE, "healthy"), (RESUMABLE, "healthy")] {
-            let answered = host.ask_with(path, "unlike", body).await;
+        for (path, body) in [(NON_RESUMABLE, "healthy"), (RESUMABLE, "healthy")] {
+            let answered = host.send_with_body(path, "unlike", body).await;
             assert!(answered.unwrap().body.is_some());
         }
     }
@@ -141,15 +143,17 @@
 
 #[tokio::test]
 async fn a_host_that_starts_is_told_by_those_that_run() {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    world.engines.set_deadly(DEADLY);
-    let first = world.start_ready("a1").await;
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    harness.targets.crash_on_body(DEADLY);
+    let first = harness.start_ready("a1").await;
     // The store has no record that another host could read.
-    world.store.script(Topic::Blamed, &[Fate::Refused; 100]);
-    blame(&world, &first).await;
-    let second = world.start_ready("b1").await;
+    harness
+        .store
+        .script(Topic::Blamed, &[AppendOutcome::Refused; 100]);
+    blame(&harness, &first).await;
+    let second = harness.start_ready("b1").await;
     until_blamed(&second).await;
-    let answered = second.ask_with(ONCE, "again", DEADLY).await;
+    let answered = second.send_with_body(NON_RESUMABLE, "again", DEADLY).await;
     assert!(is_crashing(&answered), "{answered:?}");
 }
 
@@ -161,68 +165,73 @@
 /// has the request's first offer before the first word of a peer.
 #[tokio::test]
 async fn a_host_that_starts_again_at_once_asks_who_was_blamed() {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    world.engines.set_deadly(DEADLY);
-    let mut hosts = hosts(&world, &["a1", "b1"]).await;
-    blame(&world, &hosts[0]).await;
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    harness.targets.crash_on_body(DEADLY);
+    let mut hosts = hosts(&harness, &["a1", "b1"]).await;
+    blame(&harness, &hosts[0]).await;
     hosts.remove(1).kill();
-    let away = world.store.door();
+    let away = harness.store.connection();
     away.refuse_listings(Topic::Blamed);
-    let started = world.start_apart("b1", away, |_| {}).await;
-    until("it has routes", || started.ctx().table().is_some()).await;
-    let answered = started.ask_with(ONCE, "again", DEADLY).await;
+    let started = harness.start_with_store("b1", away, |_| {}).await;
+    wait_until("it has routes", || started.ctx().table().is_some()).await;
+    let answered = started.send_with_body(NON_RESUMABLE, "again", DEADLY).await;
     assert!(is_crashing(&answered), "{answered:?}");
-    assert_eq!(world.engines.runs("again"), []);
+    assert_eq!(harness.targets.runs("again"), []);
 }
 
 #[tokio::test]
 async fn hosts_that_all_start_again_know_who_was_blamed() {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    world.engines.set_deadly(DEADLY);
-    let first = world.start_ready("a1").await;
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    harness.targets.crash_on_body(DEADLY);
+    let first = harness.start_ready("a1").await;
     // Nor is it lost if the store is away for a moment.
-    world.store.script(Topic::Blamed, &[Fate::Refused]);
-    blame(&world, &first).await;
-    until("it is saved", || world.store.keys(Topic::Blamed) == 1).await;
+    harness
+        .store
+        .script(Topic::Blamed, &[AppendOutcome::Refused]);
+    blame(&harness, &first).await;
+    wait_until("it is saved", || {
+        harness.store.key_count(Topic::Blamed) == 1
+    })
+    .await;
     first.kill();
-    let second = world.start_ready("a1").await;
+    let second = harness.start_ready("a1").await;
     until_blamed(&second).await;
-    let answered = second.ask_with(ONCE, "again", DEADLY).await;
+    let answered = second.send_with_body(NON_RESUMABLE, "again", DEADLY).await;
     assert!(is_crashing(&answered), "{answered:?}");
 }
 
 /// Resets, lost and garbled answers break off as a crash does; the target listens still.
 #[rstest]
-#[case::broken_off(Act::BreakAfter(1))]
-#[case::no_answer(Act::None(NoReply::Broken))]
-#[case::silent(Act::HangAfter(1))]
+#[case::broken_off(Action::BreakAfter(1))]
+#[case::no_answer(Action::NoReply(NoReply::Broken))]
+#[case::silent(Action::HangAfter(1))]
 #[tokio::test]
-async fn runs_that_break_off_at_targets_that_listen_count_for_nothing(#[case] act: Act) {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    let host = world.start_ready("a1").await;
+async fn runs_that_break_off_at_targets_that_listen_count_for_nothing(#[case] act: Action) {
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    let host = harness.start_ready("a1").await;
     for attempt in 0..8 {
         let id = format!("r{attempt}");
-        world.engines.script_request(&id, &[act]);
-        let _ = host.ask_with(ONCE, &id, "healthy").await;
+        harness.targets.script_request(&id, &[act]);
+        let _ = host.send_with_body(NON_RESUMABLE, &id, "healthy").await;
     }
-    let answered = host.ask_with(ONCE, "again", "healthy").await;
+    let answered = host.send_with_body(NON_RESUMABLE, "again", "healthy").await;
     assert!(answered.unwrap().body.is_some());
 }
 
 #[tokio::test]
 async fn a_bystander_that_ends_well_is_cleared() {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    let host = world.start_ready("a1").await;
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    let host = harness.start_ready("a1").await;
     for attempt in 0..12 {
         let id = format!("r{attempt}");
         let is_hit = attempt % 3 != 2;
         if is_hit {
-            world.engines.script_request(&id, &[Act::Crash]);
+            harness.targets.script_request(&id, &[Action::Crash]);
         }
-        let answered = host.ask_with(ONCE, &id, "healthy").await;
+        let answered = host.send_with_body(NON_RESUMABLE, &id, "healthy").await;
         let is_whole = answered.unwrap().body.is_some();
         assert_eq!(is_whole, !is_hit, "{id}");
-        world.engines.restart_all();
+        harness.targets.restart_all();
     }
     let metrics = &host.ctx().metrics;
     assert_eq!(metrics.counted(Counted::Changes, "request cleared"), 4);
@@ -230,21 +239,21 @@
 
 #[tokio::test]
 async fn one_that_ended_two_targets_runs_at_one_at_a_time() {
-    let world = World::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    let host = world.start_ready("a1").await;
+    let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
+    let host = harness.start_ready("a1").await;
     for attempt in 0..2 {
         let id = format!("r{attempt}");
-        world.engines.script_request(&id, &[Act::Crash]);
-        let _ = host.ask_with(ONCE, &id, "suspect").await;
-        world.engines.restart_all();
+        harness.targets.script_request(&id, &[Action::Crash]);
+        let _ = host.send_with_body(NON_RESUMABLE, &id, "suspect").await;
+        harness.targets.restart_all();
     }
-    world.engines.hold();
-    let ask = |id: &'static str| host.ask_with(ONCE, id, "suspect");
+    harness.targets.hold();
+    let ask = |id: &'static str| host.send_with_body(NON_RESUMABLE, id, "suspect");
     let release = async {
         // All have been polled before this, so those that wait do so by now.
-        until("one runs", || world.engines.active() > 0).await;
-        assert_eq!(world.engines.active(), 1);
-        world.engines.go();
+        wait_until("one runs", || harness.targets.active() > 0).await;
+        assert_eq!(harness.targets.active(), 1);
+        harness.targets.release();
     };
     let (a, b, c, ()) = tokio::join!(ask("a"), ask("b"), ask("c"), release);
     for answered in [a, b, c] {
@@ -256,28 +265,28 @@
 /// three crashes in twenty seconds so, and was taken for the cause.
 #[tokio::test]
 async fn an_item_that_ran_long_before_it_was_cut_is_no_suspect_any_more() {
-    let world = World::new(&["t1", "t2"]);
+    let harness = Harness::new(&["t1", "t2"]);
     let patient = |s: &mut Settings| s.batch.stall_ms = 10_000;
-    let host = world.start_with("a1", patient).await;
-    host.until_ready().await;
-    world.engines.script_request("j1-0", &[Act::Crash]);
-    world.engines.hold();
+    let host = harness.start_with("a1", patient).await;
+    host.wait_ready().await;
+    harness.targets.script_request("j1-0", &[Action::Crash]);
+    harness.targets.hold();
     host.submit("j1", 1, 1).await.unwrap();
     let metrics = &host.ctx().metrics;
     let is_suspect = || metrics.counted(Counted::Changes, "target crashed") == 1;
-    until("a target crashes", is_suspect).await;
-    world.engines.restart_all();
-    let runs = || world.engines.active_runs("j1-0") == 1;
-    until("the item runs again", runs).await;
+    wait_until("a target crashes", is_suspect).await;
+    harness.targets.restart_all();
+    let runs = || harness.targets.active_runs("j1-0") == 1;
+    wait_until("the item runs again", runs).await;
     let begun = Instant::now();
     let is_long = || begun.elapsed() > LONG_RUN;
-    until("it has run for long", is_long).await;
+    wait_until("it has run for long", is_long).await;
     assert!(runs(), "and still does");
-    let ask = |id: &'static str| host.ask(RESUMABLE, id);
+    let ask = |id: &'static str| host.send(RESUMABLE, id);
     let release = async {
         let is_cleared = || metrics.counted(Counted::Changes, "request cleared") == 1;
-        until("it was cut and cleared", is_cleared).await;
-        world.engines.go();
+        wait_until("it was cut and cleared", is_cleared).await;
+        harness.targets.release();
     };
     let _ = tokio::join!(ask("a"), ask("b"), ask("c"), ask("d"), release);
     assert_eq!(host.results("j1", 1).await.len(), 1);
--- a/crates/gateway/tests/world/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -1,8 +1,8 @@
-//! A scripted store and scripted targets around whole hosts.
+//! Runs complete hosts against a scripted store and scripted targets.
 //!
-//! Hosts are real and speak to one another on loopback; what they meet behind
-//! the ports is here, and does what the test says. Nothing sleeps for a fixed
-//! time: tests wait until something is so.
+//! Hosts are real and communicate over loopback; this module implements their ports, with the
+//! failures that a test scripts. Tests poll for a condition instead of sleeping for a fixed
+//! time.
 #![allow(
     dead_code,
     unreachable_pub,
@@ -53,57 +53,57 @@
 
 pub use self::ports::free_addr;
 use self::store::ScriptedStore;
-use self::targets::Engines;
+use self::targets::ScriptedTargets;
 
-/// How long a test waits for something to be so.
+/// Timeout of [`wait_until`] and [`RunningHost::results`].
 pub const WAIT_MAX: Duration = Duration::from_secs(20);
-/// The host that requests name.
+/// The `Host` of requests.
 pub const HOST: &str = "a.example";
-/// The header in which requests carry keys.
-pub const KEY: &str = "x-key";
-/// The header in which targets are told the workspace.
-pub const WORKSPACE: &str = "x-workspace";
-/// A stream that may be resumed.
+/// The header that carries the caller's key.
+pub const KEY_HEADER: &str = "x-key";
+/// The header that carries the workspace to targets.
+pub const WORKSPACE_HEADER: &str = "x-workspace";
+/// Path prefix of the route of resumable streams.
 pub const RESUMABLE: &str = "/resumable/";
-/// A stream that may not.
-pub const ONCE: &str = "/once/";
-/// A stream whose first event callers hope for within a time.
-pub const TIMELY: &str = "/timely/";
-/// That time: many times what a busy machine takes.
+/// Path prefix of the route of streams that cannot be resumed.
+pub const NON_RESUMABLE: &str = "/once/";
+/// Path prefix of the route of streams with an objective for the first event.
+pub const WITH_OBJECTIVE: &str = "/timely/";
+/// Objective of that route: many times what a busy machine takes.
 pub const OBJECTIVE: Duration = Duration::from_secs(3);
-/// Jobs.
+/// Path prefix of the route of jobs.
 pub const JOBS: &str = "/jobs/";
-/// Tokens that may wait on the route of jobs.
+/// Limit on waiting tokens of the route of jobs.
 pub const TOKENS_MAX: u64 = 1_000;
-/// Time after which an item may be given up.
+/// Time after which an item may be abandoned.
 pub const ABANDON_AFTER: Duration = Duration::from_millis(1_500);
-/// The longest time of a stream that may not be resumed.
-pub const ONCE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of streams that cannot be resumed.
+pub const NON_RESUMABLE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What hosts have in common.
+/// The store and the targets that the hosts of a test share.
 #[derive(Clone, Default)]
-pub struct World {
+pub struct Harness {
     pub store: ScriptedStore,
-    pub engines: Engines,
+    pub targets: ScriptedTargets,
 }
 
-impl World {
-    /// Returns a world with a configuration and targets of two places each.
+impl Harness {
+    /// Creates a harness with a configuration and targets of two slots each.
     pub fn new(targets: &[&str]) -> Self {
-        let world = Self::default();
-        world.configure(1, true);
+        let harness = Self::default();
+        harness.configure(1, true);
         for target in targets {
-            world.store.put_target(target, "up");
+            harness.store.put_target(target, "up");
         }
-        world
+        harness
     }
 
-    /// Puts a configuration in force; without jobs it has no route for them.
+    /// Writes a configuration; without jobs it has no route for them.
     pub fn configure(&self, version: u64, with_jobs: bool) {
         self.store.put_config(&format!("{version} {with_jobs}"));
     }
 
-    /// Puts a configuration in force in which workspaces have keys, and keys alone help.
+    /// Writes a configuration in which requests are identified by the keys of workspaces.
     pub fn configure_keys(&self, version: u64, keys: &[(&str, &str)]) {
         let keys = keys
             .iter()
@@ -114,22 +114,23 @@
     }
 
     /// Starts a host.
-    pub async fn start(&self, name: &str) -> Running {
+    pub async fn start(&self, name: &str) -> RunningHost {
         self.start_with(name, |_| {}).await
     }
 
     /// Starts a host with other settings.
-    pub async fn start_with(&self, name: &str, change: impl FnOnce(&mut Settings)) -> Running {
-        self.start_apart(name, self.store.clone(), change).await
+    pub async fn start_with(&self, name: &str, change: impl FnOnce(&mut Settings)) -> RunningHost {
+        self.start_with_store(name, self.store.clone(), change)
+            .await
     }
 
-    /// Starts a host that reaches the store through another door.
-    pub async fn start_apart(
+    /// Starts a host that reaches the store through another connection.
+    pub async fn start_with_store(
         &self,
         name: &str,
         store: ScriptedStore,
         change: impl FnOnce(&mut Settings),
-    ) -> Running {
+    ) -> RunningHost {
         let text = format!(r#"{{"host": {{"name": "{name}", "data_centre": "d"}}}}"#);
         let mut settings = gateway::parse(text.as_bytes()).unwrap();
         settings.host.peer_listen = free_addr();
@@ -143,36 +144,36 @@
         change(&mut settings);
         let ports = Ports {
             store: store.port(),
-            targets: self.engines.port(),
+            targets: self.targets.port(),
             decode: Decode {
                 config: decode_config,
                 evacuation: |key| key.strip_prefix("evacuate/"),
                 target: decode_target,
                 size: |_| Size::default(),
                 caller: |_| b"",
-                key: world_key,
-                set_workspace: world_mark,
+                key: parse_key,
+                set_workspace,
             },
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let host = Host::start(settings, ports, logger).await.unwrap();
-        Running { host }
+        RunningHost { host }
     }
 
     /// Starts a host and waits until it serves.
-    pub async fn start_ready(&self, name: &str) -> Running {
+    pub async fn start_ready(&self, name: &str) -> RunningHost {
         let running = self.start(name).await;
-        running.until_ready().await;
+        running.wait_ready().await;
         running
     }
 }
 
-/// A host that runs.
-pub struct Running {
+/// A running host.
+pub struct RunningHost {
     host: Host,
 }
 
-impl Running {
+impl RunningHost {
     pub fn ctx(&self) -> &Arc<Context> {
         self.host.context()
     }
@@ -181,60 +182,70 @@
         self.host.leave().await
     }
 
-    /// Ends the host without a word.
+    /// Stops the host without a graceful shutdown.
     pub fn kill(self) {
         use notchwharf_listen::Phase;
         self.ctx().phase.send_replace(Phase::Stopped);
     }
 
-    pub async fn until_ready(&self) {
-        until("the host serves", || {
+    pub async fn wait_ready(&self) {
+        wait_until("the host serves", || {
             let ctx = self.ctx();
             ctx.table().is_some() && ctx.journal.is_loaded() && ctx.targets_known() > 0
         })
         .await;
     }
 
-    /// Sends a request and returns its whole answer.
-    pub async fn ask(&self, path: &str, id: &str) -> Result<Whole, Failure> {
-        self.send(request(path, id)).await
+    /// Sends a request and returns the response.
+    pub async fn send(&self, path: &str, id: &str) -> Result<Response, Failure> {
+        self.send_request(request(path, id)).await
     }
 
-    async fn send(&self, req: online::Request) -> Result<Whole, Failure> {
-        let answer = online::serve(self.ctx(), req, Instant::now()).await?;
-        let body = answer.body.collect().await;
-        Ok(Whole {
-            status: answer.status,
-            headers: answer.headers,
+    async fn send_request(&self, req: online::Request) -> Result<Response, Failure> {
+        let response = online::serve(self.ctx(), req, Instant::now()).await?;
+        let body = response.body.collect().await;
+        Ok(Response {
+            status: response.status,
+            headers: response.headers,
             body: body.ok().map(http_body_util::Collected::to_bytes),
         })
     }
 
-    /// Sends a request with a key and returns its whole answer.
-    pub async fn ask_as(&self, key: &str, id: &str) -> Result<Whole, Failure> {
-        self.ask_at(ONCE, key, id).await
+    /// Sends a request with a key and returns the response.
+    pub async fn send_with_key(&self, key: &str, id: &str) -> Result<Response, Failure> {
+        self.send_to_with_key(NON_RESUMABLE, key, id).await
     }
 
-    /// Sends a request with a key to a route and returns its whole answer.
-    pub async fn ask_at(&self, path: &str, key: &str, id: &str) -> Result<Whole, Failure> {
+    /// Sends a request with a key to a route and returns the response.
+    pub async fn send_to_with_key(
+        &self,
+        path: &str,
+        key: &str,
+        id: &str,
+    ) -> Result<Response, Failure> {
         let mut req = request(path, id);
         let value = format!("Key {key}").parse().unwrap();
-        req.forward.headers.insert(KEY, value);
-        self.send(req).await
+        req.forward.headers.insert(KEY_HEADER, value);
+        self.send_request(req).await
     }
 
-    /// Sends a request with a body and returns its whole answer.
-    pub async fn ask_with(&self, path: &str, id: &str, body: &str) -> Result<Whole, Failure> {
+    /// Sends a request with a body and returns the response.
+    pub async fn send_with_body(
+        &self,
+        path: &str,
+        id: &str,
+        body: &str,
+    ) -> Result<Response, Failure> {
         let mut req = request(path, id);
         req.forward.body = Bytes::from(body.to_owned());
-        self.send(req).await
+        self.send_request(req).await
     }
 
     pub async fn submit(&self, job: &str, items: u32, tokens: u32) -> Result<(), JobError> {
         jobs::submit(self.ctx(), submission(job, items, tokens)).await
     }
 
-    /// Reads all results of a job once it has so many.
+    /// Waits until a job has this many results and returns all of them.
     pub async fn results(&self, job: &str, count: usize) -> Vec<ItemResult> {
         let started = Instant::now();
         loop {
@@ -244,7 +255,7 @@
             {
                 return read.results.clone();
             }
-            // A reading that finds something does not wait.
+            // A read that finds results returns at once.
             tokio::time::sleep(Duration::from_millis(2)).await;
             let took = started.elapsed();
             assert!(took < WAIT_MAX, "{count} results of {job}: {read:?}");
@@ -252,34 +263,37 @@
     }
 }
 
-/// A host whose way to the store can be closed, and one whose way stays open.
-pub async fn start_with_a_door(world: &World) -> (Running, ScriptedStore, Running) {
-    let door = world.store.door();
-    let cut = world.start_apart("a1", door.clone(), |_| {}).await;
-    cut.until_ready().await;
-    let open = world.start_ready("a2").await;
-    until("both know each other", || {
-        cut.ctx().peers_alive() == 1 && open.ctx().peers_alive() == 1
+/// Starts two hosts: one with a store connection of its own, which the test can close, and
+/// one whose connection stays open. Returns the first with its connection, and the second.
+pub async fn start_two_hosts(harness: &Harness) -> (RunningHost, ScriptedStore, RunningHost) {
+    let connection = harness.store.connection();
+    let closable = harness
+        .start_with_store("a1", connection.clone(), |_| {})
+        .await;
+    closable.wait_ready().await;
+    let open = harness.start_ready("a2").await;
+    wait_until("the hosts have discovered each other", || {
+        closable.ctx().peers_alive() == 1 && open.ctx().peers_alive() == 1
     })
     .await;
-    (cut, door, open)
+    (closable, connection, open)
 }
 
-/// Closes a host's way to the store, and waits until it knows.
-pub async fn close(host: &Running, door: &ScriptedStore) {
-    door.close(true);
-    until("the store is lost", || !host.ctx().is_store_up()).await;
+/// Closes a host's store connection and waits until the host has detected it.
+pub async fn close_connection(host: &RunningHost, connection: &ScriptedStore) {
+    connection.set_closed(true);
+    wait_until("the store is unavailable", || !host.ctx().is_store_up()).await;
 }
 
-/// A whole answer; without a body it broke off.
+/// A response with its collected body; `None` if the body broke off.
 #[derive(Debug)]
-pub struct Whole {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Option<Bytes>,
 }
 
-impl Whole {
+impl Response {
     pub fn text(&self) -> Option<String> {
         let body = self.body.as_ref()?;
         Some(String::from_utf8(body.to_vec()).unwrap())
@@ -323,24 +337,31 @@
     }
 }
 
-fn world_key(headers: &HeaderMap) -> Result<&str, KeyError> {
-    let values = headers.get_all(KEY).iter();
+fn parse_key(headers: &HeaderMap) -> Result<&str, KeyError> {
+    let values = headers.get_all(KEY_HEADER).iter();
     access::parse_key("Key", values.map(hyper::header::HeaderValue::as_bytes))
 }
 
-fn world_mark(headers: &mut HeaderMap, workspace: Option<&str>) {
-    headers.remove(KEY);
-    headers.remove(WORKSPACE);
+fn set_workspace(headers: &mut HeaderMap, workspace: Option<&str>) {
+    headers.remove(KEY_HEADER);
+    headers.remove(WORKSPACE_HEADER);
     if let Some(workspace) = workspace {
-        headers.insert(WORKSPACE, workspace.parse().unwrap());
+        headers.insert(WORKSPACE_HEADER, workspace.parse().unwrap());
     }
 }
 
-/// Waits until something is so.
-pub async fn until(what: &str, mut is_so: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+///
+/// # Panics
+///
+/// Panics if it does not hold within [`WAIT_MAX`].
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !is_so() {
-        assert!(started.elapsed() < WAIT_MAX, "waited in vain until {what}");
+    while !condition() {
+        assert!(
+            started.elapsed() < WAIT_MAX,
+            "timed out waiting until {what}"
+        );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -359,10 +380,10 @@
         };
         let mut routes = vec![
             stream(RESUMABLE, true),
-            stream(ONCE, false),
-            stream(TIMELY, true),
+            stream(NON_RESUMABLE, false),
+            stream(WITH_OBJECTIVE, true),
         ];
-        routes[1].timeout = ONCE_TIMEOUT;
+        routes[1].timeout = NON_RESUMABLE_TIMEOUT;
         routes[2].objective = OBJECTIVE;
         if with_jobs == "true" {
             routes.push(jobs());
--- a/crates/gateway/tests/world/store.rs
+++ b/crates/gateway/tests/harness/store.rs
@@ -1,4 +1,4 @@
-//! A store that does what the test says.
+//! An in-memory store whose failures are scripted by the test.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -20,103 +20,110 @@
 use super::targets::addr_of;
 
 pub const CONFIG_KEY: &str = "configuration";
-/// Keys in one page, unless a test says otherwise; few, so that tests turn pages.
-const PAGE: usize = 3;
+/// Default number of keys in a page, so small that listings have several pages.
+const PAGE_LEN: usize = 3;
 
-/// What happens to an append.
+/// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It is done and answered.
+pub enum AppendOutcome {
+    /// The append takes effect and is acknowledged.
     Done,
-    /// It is refused.
+    /// The append is refused.
     Refused,
-    /// It is not done, and nobody says so.
-    LostBefore,
-    /// It is done, and nobody says so.
-    LostAfter,
-    /// It is done later, and nobody says so.
-    Late(Duration),
+    /// The request is lost: no effect and an unknown outcome.
+    RequestLost,
+    /// The response is lost: the append takes effect with an unknown outcome.
+    ResponseLost,
+    /// The append takes effect after a delay with an unknown outcome.
+    Delayed(Duration),
 }
 
 #[derive(Default)]
-struct Part {
+struct Partition {
     records: Vec<StoredRecord>,
+    /// The first offset that is still in the history.
     first: u64,
 }
 
 struct State {
-    parts: HashMap<(Topic, u32), Part>,
-    page: usize,
-    fates: HashMap<Topic, VecDeque<Fate>>,
-    listings: HashMap<Topic, usize>,
-    listed: HashMap<Topic, usize>,
-    readings: HashMap<Topic, usize>,
-    broken: HashMap<Topic, usize>,
+    partitions: HashMap<(Topic, u32), Partition>,
+    page_len: usize,
+    append_outcomes: HashMap<Topic, VecDeque<AppendOutcome>>,
+    pages_read: HashMap<Topic, usize>,
+    records_listed: HashMap<Topic, usize>,
+    reads: HashMap<Topic, usize>,
+    reads_to_fail: HashMap<Topic, usize>,
+    /// Entries that are written after the next page of a listing that has more pages.
     between_pages: HashMap<Topic, Entry>,
 }
 
 impl Default for State {
     fn default() -> Self {
         Self {
-            parts: HashMap::new(),
-            page: PAGE,
-            fates: HashMap::new(),
-            listings: HashMap::new(),
-            listed: HashMap::new(),
-            readings: HashMap::new(),
-            broken: HashMap::new(),
+            partitions: HashMap::new(),
+            page_len: PAGE_LEN,
+            append_outcomes: HashMap::new(),
+            pages_read: HashMap::new(),
+            records_listed: HashMap::new(),
+            reads: HashMap::new(),
+            reads_to_fail: HashMap::new(),
             between_pages: HashMap::new(),
         }
     }
 }
 
-/// The store, or one door to it.
+/// A connection to the store. The failures of listings and of the connection are its own; the
+/// data and the outcomes of appends are shared.
 #[derive(Clone, Default)]
 pub struct ScriptedStore {
     state: Arc<Mutex<State>>,
-    /// Closed, it refuses every call that comes through it.
+    /// Whether every call over this connection is refused.
     is_closed: Arc<Mutex<bool>>,
-    /// A topic that cannot be listed through it.
-    unlisted: Arc<Mutex<Option<Topic>>>,
-    /// A topic whose next listing through it times out, and the delay until it does.
+    /// A topic whose listings over this connection are refused.
+    refused_listing: Arc<Mutex<Option<Topic>>>,
+    /// A topic whose next listing over this connection times out, and after which delay.
     timed_out_listing: Arc<Mutex<Option<(Topic, Duration)>>>,
 }
 
 impl ScriptedStore {
-    /// Returns another door to the same store.
-    pub fn door(&self) -> Self {
+    /// Returns another connection to the same store.
+    pub fn connection(&self) -> Self {
         Self {
             state: Arc::clone(&self.state),
             is_closed: Arc::default(),
-            unlisted: Arc::default(),
+            refused_listing: Arc::default(),
             timed_out_listing: Arc::default(),
         }
     }
 
-    /// Makes the first listing of a topic through this door time out after a delay.
+    /// Makes the next listing of a topic over this connection time out after a delay.
     pub fn time_out_first_listing(&self, topic: Topic, delay: Duration) {
         *self.timed_out_listing.lock().unwrap() = Some((topic, delay));
     }
 
-    /// Lets no listing of a topic through this door.
+    /// Refuses all listings of a topic over this connection.
     pub fn refuse_listings(&self, topic: Topic) {
-        *self.unlisted.lock().unwrap() = Some(topic);
+        *self.refused_listing.lock().unwrap() = Some(topic);
     }
 
-    pub fn close(&self, is_closed: bool) {
+    /// Sets whether every call over this connection is refused.
+    pub fn set_closed(&self, is_closed: bool) {
         *self.is_closed.lock().unwrap() = is_closed;
     }
 
-    /// Sets what happens to the next appends to a topic.
-    pub fn script(&self, topic: Topic, fates: &[Fate]) {
+    /// Sets the outcomes of the next appends to a topic.
+    pub fn script(&self, topic: Topic, outcomes: &[AppendOutcome]) {
         let mut state = self.state.lock().unwrap();
-        state.fates.insert(topic, fates.iter().copied().collect());
+        state
+            .append_outcomes
+            .insert(topic, outcomes.iter().copied().collect());
     }
 
-    /// Drops all history; the newest record of each key stays.
-    pub fn expire(&self) {
-        for part in self.state.lock().unwrap().parts.values_mut() {
-            part.first = part.records.len() as u64;
+    /// Removes the whole history, so that offsets written so far cannot be read; the newest
+    /// record of each key can still be listed.
+    pub fn expire_history(&self) {
+        for partition in self.state.lock().unwrap().partitions.values_mut() {
+            partition.first = partition.records.len() as u64;
         }
     }
 
@@ -135,24 +142,24 @@
         self.put(Topic::Targets, target, Some(&text));
     }
 
-    pub fn drop_target(&self, target: &str) {
+    pub fn delete_target(&self, target: &str) {
         self.put(Topic::Targets, target, None);
     }
 
-    /// Returns the records of the job stream.
-    pub fn job_records(&self) -> usize {
+    /// Returns the number of records in the job log.
+    pub fn job_record_count(&self) -> usize {
         let state = self.state.lock().unwrap();
-        let part = state.parts.get(&(Topic::Jobs, 0));
-        part.map_or(0, |part| part.records.len())
+        let partition = state.partitions.get(&(Topic::Jobs, 0));
+        partition.map_or(0, |partition| partition.records.len())
     }
 
-    /// Breaks the next reading of a topic off, or the one that waits.
-    pub fn break_reading(&self, topic: Topic) {
+    /// Fails the waiting read of a topic, or else the next one.
+    pub fn fail_next_read(&self, topic: Topic) {
         let mut state = self.state.lock().unwrap();
-        *state.broken.entry(topic).or_default() += 1;
+        *state.reads_to_fail.entry(topic).or_default() += 1;
     }
 
-    /// Puts a target once the next page of a listing that has more was read.
+    /// Writes a target once the next page of a listing that has more pages has been read.
     pub fn put_target_between_pages(&self, target: &str, text: &str) {
         let entry = Entry {
             key: target.to_owned(),
@@ -162,35 +169,39 @@
         state.between_pages.insert(Topic::Targets, entry);
     }
 
-    /// Returns how many readings of a topic were begun.
-    pub fn readings(&self, topic: Topic) -> usize {
+    /// Returns the number of reads of a topic that were started.
+    pub fn read_count(&self, topic: Topic) -> usize {
         let state = self.state.lock().unwrap();
-        state.readings.get(&topic).copied().unwrap_or_default()
+        state.reads.get(&topic).copied().unwrap_or_default()
     }
 
-    /// Returns how often pages of a topic were read.
-    pub fn listings(&self, topic: Topic) -> usize {
+    /// Returns the number of pages of a topic that were read.
+    pub fn pages_read(&self, topic: Topic) -> usize {
         let state = self.state.lock().unwrap();
-        state.listings.get(&topic).copied().unwrap_or_default()
+        state.pages_read.get(&topic).copied().unwrap_or_default()
     }
 
-    /// Returns how many records of a topic all its pages held.
-    pub fn listed(&self, topic: Topic) -> usize {
+    /// Returns the number of records in all pages of a topic that were read.
+    pub fn records_listed(&self, topic: Topic) -> usize {
         let state = self.state.lock().unwrap();
-        state.listed.get(&topic).copied().unwrap_or_default()
+        state
+            .records_listed
+            .get(&topic)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// Sets how many keys a page holds.
-    pub fn set_page(&self, keys: usize) {
-        self.state.lock().unwrap().page = keys;
+    /// Sets the number of keys in a page.
+    pub fn set_page_len(&self, keys: usize) {
+        self.state.lock().unwrap().page_len = keys;
     }
 
-    /// Returns the keys of a topic that have a value, over all partitions.
-    pub fn keys(&self, topic: Topic) -> usize {
+    /// Returns the number of keys of a topic that have a value, over all partitions.
+    pub fn key_count(&self, topic: Topic) -> usize {
         let state = self.state.lock().unwrap();
-        let parts = state.parts.iter().filter(|((known, _), _)| *known == topic);
+        let partitions = state.partitions.iter().filter(|((of, _), _)| *of == topic);
         let mut keys = std::collections::HashSet::new();
-        for record in parts.flat_map(|(_, part)| &part.records) {
+        for record in partitions.flat_map(|(_, partition)| &partition.records) {
             match record.entry.value {
                 Some(_) => keys.insert(&record.entry.key),
                 None => keys.remove(&record.entry.key),
@@ -209,11 +220,11 @@
 
     fn append_now(&self, topic: Topic, part: u32, entries: Vec<Entry>) -> u64 {
         let mut state = self.state.lock().unwrap();
-        let part = state.parts.entry((topic, part)).or_default();
-        let first = part.records.len() as u64;
+        let partition = state.partitions.entry((topic, part)).or_default();
+        let first = partition.records.len() as u64;
         let stored = (first..).zip(entries);
         let stored = stored.map(|(offset, entry)| StoredRecord { offset, entry });
-        part.records.extend(stored);
+        partition.records.extend(stored);
         first
     }
 
@@ -223,60 +234,60 @@
         part: u32,
         entries: Vec<Entry>,
     ) -> Result<u64, StoreError> {
-        self.is_open()?;
-        let fate = {
+        self.check_open()?;
+        let outcome = {
             let mut state = self.state.lock().unwrap();
-            let fates = state.fates.entry(topic).or_default();
-            fates.pop_front().unwrap_or(Fate::Done)
+            let outcomes = state.append_outcomes.entry(topic).or_default();
+            outcomes.pop_front().unwrap_or(AppendOutcome::Done)
         };
-        let lost = Err(StoreError::Unknown("scripted"));
-        match fate {
-            Fate::Done => Ok(self.append_now(topic, part, entries)),
-            Fate::Refused => Err(StoreError::Refused("scripted")),
-            Fate::LostBefore => lost,
-            Fate::LostAfter => {
+        let unknown = Err(StoreError::Unknown("scripted"));
+        match outcome {
+            AppendOutcome::Done => Ok(self.append_now(topic, part, entries)),
+            AppendOutcome::Refused => Err(StoreError::Refused("scripted")),
+            AppendOutcome::RequestLost => unknown,
+            AppendOutcome::ResponseLost => {
                 self.append_now(topic, part, entries);
-                lost
+                unknown
             }
-            Fate::Late(time) => {
+            AppendOutcome::Delayed(delay) => {
                 let store = self.clone();
                 tokio::spawn(async move {
-                    tokio::time::sleep(time).await;
+                    tokio::time::sleep(delay).await;
                     store.append_now(topic, part, entries);
                 });
-                lost
+                unknown
             }
         }
     }
 
-    fn is_open(&self) -> Result<(), StoreError> {
+    fn check_open(&self) -> Result<(), StoreError> {
         if *self.is_closed.lock().unwrap() {
             return Err(StoreError::Refused("closed"));
         }
         Ok(())
     }
 
-    fn count_reading(&self, topic: Topic) {
+    fn count_read(&self, topic: Topic) {
         let mut state = self.state.lock().unwrap();
-        *state.readings.entry(topic).or_default() += 1;
+        *state.reads.entry(topic).or_default() += 1;
     }
 
-    fn is_whole(&self, topic: Topic) -> Result<(), StoreError> {
+    fn check_read(&self, topic: Topic) -> Result<(), StoreError> {
         let mut state = self.state.lock().unwrap();
-        let broken = state.broken.entry(topic).or_default();
-        if *broken == 0 {
+        let to_fail = state.reads_to_fail.entry(topic).or_default();
+        if *to_fail == 0 {
             return Ok(());
         }
-        *broken -= 1;
+        *to_fail -= 1;
         Err(StoreError::Unknown("connection fell silent"))
     }
 
     async fn read(&self, read: Read) -> Result<Tail, StoreError> {
         let deadline = tokio::time::Instant::now() + read.wait;
-        self.count_reading(read.topic);
+        self.count_read(read.topic);
         loop {
-            self.is_open()?;
-            self.is_whole(read.topic)?;
+            self.check_open()?;
+            self.check_read(read.topic)?;
             let tail = self.tail(read)?;
             if !tail.records.is_empty() || tokio::time::Instant::now() >= deadline {
                 return Ok(tail);
@@ -287,14 +298,14 @@
 
     fn tail(&self, read: Read) -> Result<Tail, StoreError> {
         let mut state = self.state.lock().unwrap();
-        let part = state.parts.entry((read.topic, read.part)).or_default();
-        if read.from < part.first {
+        let partition = state.partitions.entry((read.topic, read.part)).or_default();
+        if read.from < partition.first {
             return Err(StoreError::Expired);
         }
         let from = usize::try_from(read.from).unwrap();
         Ok(Tail {
-            end: part.records.len() as u64,
-            records: part.records.get(from..).unwrap_or_default().to_vec(),
+            end: partition.records.len() as u64,
+            records: partition.records.get(from..).unwrap_or_default().to_vec(),
         })
     }
 
@@ -324,27 +335,27 @@
     }
 
     fn page(&self, topic: Topic, part: u32, after: Option<&str>) -> Result<Page, StoreError> {
-        self.is_open()?;
-        if *self.unlisted.lock().unwrap() == Some(topic) {
+        self.check_open()?;
+        if *self.refused_listing.lock().unwrap() == Some(topic) {
             return Err(StoreError::Refused("scripted"));
         }
         let mut state = self.state.lock().unwrap();
-        *state.listings.entry(topic).or_default() += 1;
-        let most = state.page;
-        let part = state.parts.entry((topic, part)).or_default();
+        *state.pages_read.entry(topic).or_default() += 1;
+        let page_len = state.page_len;
+        let partition = state.partitions.entry((topic, part)).or_default();
         let mut newest: BTreeMap<&str, &StoredRecord> = BTreeMap::new();
-        for record in &part.records {
+        for record in &partition.records {
             newest.insert(&record.entry.key, record);
         }
         let following = newest.into_values().filter(|r| {
-            let is_behind = after.is_none_or(|after| r.entry.key.as_str() > after);
-            is_behind && r.entry.value.is_some()
+            let is_after = after.is_none_or(|after| r.entry.key.as_str() > after);
+            is_after && r.entry.value.is_some()
         });
-        let mut records: Vec<StoredRecord> = following.take(most + 1).cloned().collect();
-        let has_more = records.len() > most;
-        records.truncate(most);
-        let end = part.records.len() as u64;
-        *state.listed.entry(topic).or_default() += records.len();
+        let mut records: Vec<StoredRecord> = following.take(page_len + 1).cloned().collect();
+        let has_more = records.len() > page_len;
+        records.truncate(page_len);
+        let end = partition.records.len() as u64;
+        *state.records_listed.entry(topic).or_default() += records.len();
         Ok(Page {
             end,
             records,
--- a/crates/gateway/tests/world/targets.rs
+++ b/crates/gateway/tests/harness/targets.rs
@@ -1,4 +1,4 @@
-//! Targets that do what the test says.
+//! Targets whose responses and crashes are scripted by the test.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -24,124 +24,130 @@
 use notchwharf_gateway::ports::Reply;
 use notchwharf_gateway::ports::Targets;
 
-/// Events of a whole answer.
+/// Number of events in a complete response.
 pub const EVENTS: u64 = 6;
 
-/// Time for which a target runs a request before it crashes under it: a tenth of what was
-/// seen, and many times what news takes between hosts.
+/// Time for which a target runs a request before it crashes: many times what an update takes
+/// between hosts. Real targets ran such requests ten times as long.
 const CRASH_AFTER: Duration = Duration::from_millis(10);
 
-/// What a target does with a request.
+/// How a target handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// It runs the request.
+pub enum Action {
+    /// Runs the request.
     Run,
-    /// It runs so much of it, then breaks off in the middle of an event.
+    /// Sends this many events, then ends the response in the middle of the next one.
     BreakAfter(u64),
-    /// It runs so much of it and says no more.
+    /// Sends this many events, then nothing more.
     HangAfter(u64),
-    /// It answers only when it is dropped.
+    /// Never responds.
     Hang,
-    /// It answers with a status.
+    /// Responds with a status and an empty body.
     Status(u16),
-    /// It leaves out an event.
+    /// Omits an event.
     SkipAt(u64),
-    /// It runs the request, and its answer comes in one piece.
-    AtOnce,
-    /// It answers well and does not sign.
+    /// Runs the request and sends the complete response in one frame.
+    SingleFrame,
+    /// Responds successfully without a signature.
     Unsigned,
-    /// It crashes once its answer has begun.
+    /// Crashes once the response has started.
     Crash,
-    /// It gives no answer, for this reason.
-    None(NoReply),
+    /// Fails without a response.
+    NoReply(NoReply),
 }
 
 #[derive(Default)]
 struct State {
-    acts: HashMap<String, VecDeque<Act>>,
-    by_request: HashMap<String, VecDeque<Act>>,
+    by_target: HashMap<String, VecDeque<Action>>,
+    by_request: HashMap<String, VecDeque<Action>>,
+    /// The target and the request of each run, and the event after which it resumed.
     runs: Vec<(String, String, Option<u64>)>,
+    /// Current runs by target and request.
     active: HashMap<(String, String), usize>,
-    is_slow: bool,
-    /// Bodies of requests under which a target crashes once its answer has begun.
-    deadly: HashSet<Bytes>,
-    /// Targets that have crashed and are not back yet.
+    is_held: bool,
+    /// Bodies of requests that crash a target once its response has started.
+    crashing_bodies: HashSet<Bytes>,
+    /// Targets that crashed and have not been restarted.
     down: HashSet<String>,
-    /// How often each target has crashed.
+    /// Number of crashes by target.
     crashes: HashMap<String, u32>,
 }
 
 /// All targets.
 #[derive(Clone, Default)]
-pub struct Engines {
+pub struct ScriptedTargets {
     state: Arc<Mutex<State>>,
 }
 
-/// Counts a run as long as somebody reads it.
+/// Counts a run as active until its response is dropped.
 struct Active {
-    engines: Engines,
+    targets: ScriptedTargets,
     key: (String, String),
 }
 
 impl Drop for Active {
     fn drop(&mut self) {
-        let mut state = self.engines.state.lock().unwrap();
+        let mut state = self.targets.state.lock().unwrap();
         *state.active.entry(self.key.clone()).or_default() -= 1;
     }
 }
 
-impl Engines {
-    /// Sets what a target does with the next requests.
-    pub fn script(&self, target: &str, acts: &[Act]) {
-        let acts = acts.iter().copied().collect();
-        self.state.lock().unwrap().acts.insert(target.into(), acts);
+impl ScriptedTargets {
+    /// Sets how a target handles its next requests.
+    pub fn script(&self, target: &str, actions: &[Action]) {
+        let actions = actions.iter().copied().collect();
+        self.state
+            .lock()
+            .unwrap()
+            .by_target
+            .insert(target.into(), actions);
     }
 
-    /// Sets what targets do with the next offers of a request.
-    pub fn script_request(&self, request: &str, acts: &[Act]) {
-        let acts = acts.iter().copied().collect();
+    /// Sets how targets handle the next attempts of a request.
+    pub fn script_request(&self, request: &str, actions: &[Action]) {
+        let actions = actions.iter().copied().collect();
         self.state
             .lock()
             .unwrap()
             .by_request
-            .insert(request.into(), acts);
+            .insert(request.into(), actions);
     }
 
-    /// Makes answers take until [`Self::go`].
+    /// Holds responses after their second event until [`Self::release`].
     pub fn hold(&self) {
-        self.state.lock().unwrap().is_slow = true;
+        self.state.lock().unwrap().is_held = true;
     }
 
-    pub fn go(&self) {
-        self.state.lock().unwrap().is_slow = false;
+    /// Lets held responses continue.
+    pub fn release(&self) {
+        self.state.lock().unwrap().is_held = false;
     }
 
-    /// Makes targets crash under requests with a body.
-    pub fn set_deadly(&self, body: &str) {
+    /// Makes requests with a body crash the targets that run them.
+    pub fn crash_on_body(&self, body: &str) {
         let body = Bytes::from(body.to_owned());
-        self.state.lock().unwrap().deadly.insert(body);
+        self.state.lock().unwrap().crashing_bodies.insert(body);
     }
 
-    /// Makes a target crash: all that it runs breaks off, and it refuses
-    /// connections.
+    /// Crashes a target: its responses break off and it refuses connections.
     pub fn crash(&self, target: &str) {
         let mut state = self.state.lock().unwrap();
         *state.crashes.entry(target.to_owned()).or_default() += 1;
         state.down.insert(target.to_owned());
     }
 
-    /// Lets a target that crashed serve again.
+    /// Restarts a target that crashed.
     pub fn restart(&self, target: &str) {
         self.state.lock().unwrap().down.remove(target);
     }
 
-    /// Lets all targets that crashed serve again.
+    /// Restarts all targets that crashed.
     pub fn restart_all(&self) {
         self.state.lock().unwrap().down.clear();
     }
 
-    /// Returns how often targets have crashed.
-    pub fn crashes(&self) -> u32 {
+    /// Returns the number of crashes of all targets.
+    pub fn crash_count(&self) -> u32 {
         self.state.lock().unwrap().crashes.values().sum()
     }
 
@@ -158,7 +164,7 @@
         state.crashes.get(target).copied().unwrap_or(0)
     }
 
-    /// Returns the targets at which a request ran, and after which event.
+    /// Returns the targets that ran a request, each with the event after which it resumed.
     pub fn runs(&self, request: &str) -> Vec<(String, Option<u64>)> {
         let state = self.state.lock().unwrap();
         let runs = state.runs.iter().filter(|(_, id, _)| id == request);
@@ -166,12 +172,12 @@
             .collect()
     }
 
-    /// Returns how many requests run now.
+    /// Returns the number of runs in progress.
     pub fn active(&self) -> usize {
         self.state.lock().unwrap().active.values().sum()
     }
 
-    /// Returns how often a request runs now.
+    /// Returns the number of runs of a request in progress.
     pub fn active_runs(&self, request: &str) -> usize {
         let state = self.state.lock().unwrap();
         let runs = state.active.iter().filter(|((_, id), _)| id == request);
@@ -179,111 +185,113 @@
     }
 
     pub fn port(&self) -> Targets {
-        let engines = self.clone();
-        let looked_at = self.clone();
+        let targets = self.clone();
+        let probed = self.clone();
         Targets {
             probe: Arc::new(move |addr| {
-                let presence = looked_at.presence(addr);
+                let presence = probed.presence(addr);
                 async move { presence }.boxed()
             }),
             call: Arc::new(move |call| {
-                let engines = engines.clone();
-                async move { engines.call(call).await }.boxed()
+                let targets = targets.clone();
+                async move { targets.call(call).await }.boxed()
             }),
         }
     }
 
     async fn call(&self, call: Call) -> Result<Reply, NoReply> {
-        let act = {
+        let action = {
             let mut state = self.state.lock().unwrap();
             if state.down.contains(&call.target) {
                 return Err(NoReply::NotSent("connection refused"));
             }
             let scripted = state.by_request.get_mut(&call.request.id);
             let scripted = scripted.and_then(VecDeque::pop_front);
-            let acts = state.acts.entry(call.target.clone()).or_default();
-            scripted.or_else(|| acts.pop_front()).unwrap_or(Act::Run)
+            let of_target = state.by_target.entry(call.target.clone()).or_default();
+            scripted
+                .or_else(|| of_target.pop_front())
+                .unwrap_or(Action::Run)
         };
-        if let Act::None(why) = act {
-            if why.may_have_run() {
-                self.note(&call);
+        if let Action::NoReply(reason) = action {
+            if reason.may_have_run() {
+                self.record_run(&call);
             }
-            return Err(why);
+            return Err(reason);
         }
-        let active = self.note(&call);
-        match act {
-            Act::Hang => {
+        let active = self.record_run(&call);
+        match action {
+            Action::Hang => {
                 std::future::pending::<()>().await;
                 drop(active);
                 Err(NoReply::Unknown("never"))
             }
-            Act::AtOnce => {
-                let body = Full::new(Bytes::from(whole(&call.request.id)));
+            Action::SingleFrame => {
+                let body = Full::new(Bytes::from(full_response(&call.request.id)));
                 let mut reply = reply(200, true, body);
                 reply.headers.insert("x-from", call.target.parse().unwrap());
                 Ok(reply)
             }
-            Act::Status(status) => Ok(reply(status, true, Full::new(Bytes::new()))),
-            Act::Unsigned => Ok(reply(200, false, Full::new(Bytes::from("data: x\n\n")))),
+            Action::Status(status) => Ok(reply(status, true, Full::new(Bytes::new()))),
+            Action::Unsigned => Ok(reply(200, false, Full::new(Bytes::from("data: x\n\n")))),
             _ => {
-                let is_deadly = self
+                let is_crashing = self
                     .state
                     .lock()
                     .unwrap()
-                    .deadly
+                    .crashing_bodies
                     .contains(&call.request.body);
-                let act = if is_deadly { Act::Crash } else { act };
-                Ok(self.stream(&call, act, active))
+                let action = if is_crashing { Action::Crash } else { action };
+                Ok(self.stream(&call, action, active))
             }
         }
     }
 
-    fn note(&self, call: &Call) -> Active {
+    fn record_run(&self, call: &Call) -> Active {
         let mut state = self.state.lock().unwrap();
         let key = (call.target.clone(), call.request.id.clone());
         let run = (key.0.clone(), key.1.clone(), call.resume_after);
         state.runs.push(run);
         *state.active.entry(key.clone()).or_default() += 1;
         Active {
-            engines: self.clone(),
+            targets: self.clone(),
             key,
         }
     }
 
-    fn stream(&self, call: &Call, act: Act, active: Active) -> Reply {
+    fn stream(&self, call: &Call, action: Action, active: Active) -> Reply {
         let first = call.resume_after.map_or(0, |event| event + 1);
         let id = call.request.id.clone();
         let target = call.target.clone();
         let crashes = self.crashes_of(&target);
-        let engines = self.clone();
+        let targets = self.clone();
         let state = (first, active);
         let frames = stream::unfold(Some(state), move |state| {
-            let engines = engines.clone();
+            let targets = targets.clone();
             let id = id.clone();
             let target = target.clone();
             async move {
                 let (event, active) = state?;
-                engines.until_released(event).await;
-                if act == Act::Crash {
+                targets.wait_released(event).await;
+                if action == Action::Crash {
                     tokio::time::sleep(CRASH_AFTER).await;
-                    engines.crash(&target);
+                    targets.crash(&target);
                 }
-                if engines.crashes_of(&target) != crashes {
+                if targets.crashes_of(&target) != crashes {
                     drop(active);
                     let broken = std::io::Error::other("connection reset");
                     return Some((Err(broken), None));
                 }
-                match act {
-                    Act::BreakAfter(events) if event - first >= events => {
+                match action {
+                    Action::BreakAfter(events) if event - first >= events => {
                         let half = Bytes::from(format!("id: {event}\nda"));
                         drop(active);
                         return Some((Ok(Frame::data(half)), None));
                     }
-                    Act::HangAfter(events) if event - first >= events => {
+                    Action::HangAfter(events) if event - first >= events => {
                         std::future::pending::<()>().await;
                         return None;
                     }
-                    Act::SkipAt(skipped) if event == skipped => {
+                    Action::SkipAt(skipped) if event == skipped => {
                         let next = Bytes::from(self::event(&id, event + 1));
                         return Some((Ok(Frame::data(next)), Some((event + 2, active))));
                     }
@@ -306,15 +314,15 @@
         reply
     }
 
-    /// Waits before each event but the first two while answers are held.
-    async fn until_released(&self, event: u64) {
-        while event >= 2 && self.state.lock().unwrap().is_slow {
+    /// Waits before each event but the first two while responses are held.
+    async fn wait_released(&self, event: u64) {
+        while event >= 2 && self.state.lock().unwrap().is_held {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 }
 
-/// Returns where a target answers; nobody listens there in fact.
+/// Returns the address of a target. Nothing listens there: it only identifies the target.
 pub fn addr_of(target: &str) -> SocketAddr {
     let hash = |hash: u16, byte: u8| hash.wrapping_mul(31).wrapping_add(byte.into());
     let port = target.bytes().fold(1, hash);
@@ -330,17 +338,17 @@
     }
 }
 
-/// Returns an event of a request's answer.
+/// Returns an event of the response to a request, encoded.
 pub fn event(request: &str, number: u64) -> String {
     format!("id: {number}\ndata: {request} {number}\n\n")
 }
 
-/// Returns the whole answer to a request.
-pub fn whole(request: &str) -> String {
+/// Returns the complete response to a request, encoded.
+pub fn full_response(request: &str) -> String {
     (0..EVENTS).map(|number| event(request, number)).collect()
 }
 
-/// Returns the text of an item whose answer is whole.
+/// Returns the text of an item whose response is complete.
 pub fn item_text(request: &str) -> String {
     let lines: Vec<String> = (0..EVENTS).map(|n| format!("{request} {n}")).collect();
     lines.join("\n")
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -12,14 +12,14 @@
 //! that a call may take. Evidence: the calls and records that the tests count.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::targets::item_text;
 use notchwharf_gateway::jobs;
 use notchwharf_gateway::ports::Topic;
 use rstest::rstest;
-use world::Running;
-use world::World;
-use world::targets::item_text;
 
 const JOBS: usize = 24;
 const ITEMS: u32 = 5;
@@ -30,25 +30,25 @@
     format!("job-{job}")
 }
 
-/// Returns a world in which jobs were done before the store dropped its history, and a
+/// Returns a harness in which jobs were done before the store dropped its history, and a
 /// host that started after that.
-async fn after_the_history(page: usize) -> (World, Running) {
-    let world = World::new(&["t1", "t2", "t3"]);
-    world.store.set_page(page);
-    let first = world.start_ready("a1").await;
+async fn after_the_history(page: usize) -> (Harness, RunningHost) {
+    let harness = Harness::new(&["t1", "t2", "t3"]);
+    harness.store.set_page_len(page);
+    let first = harness.start_ready("a1").await;
     for job in 0..JOBS {
         first.submit(&name(job), ITEMS, 1).await.unwrap();
     }
     for job in 0..JOBS {
         first.results(&name(job), ITEMS as usize).await;
     }
-    world.store.expire();
+    harness.store.expire_history();
     first.kill();
-    let second = world.start_ready("a2").await;
-    (world, second)
+    let second = harness.start_ready("a2").await;
+    (harness, second)
 }
 
-async fn read_all(host: &Running) {
+async fn read_all(host: &RunningHost) {
     for job in 0..JOBS {
         let results = host.results(&name(job), ITEMS as usize).await;
         assert_eq!(results.len(), ITEMS as usize);
@@ -63,47 +63,47 @@
 #[case::pages_are_turned(2)]
 #[tokio::test]
 async fn jobs_are_read_whole_after_the_history(#[case] page: usize) {
-    let (_world, host) = after_the_history(page).await;
+    let (_harness, host) = after_the_history(page).await;
     read_all(&host).await;
 }
 
 #[tokio::test]
 async fn a_job_s_results_are_read_together_after_the_history() {
-    let (world, host) = after_the_history(PAGE).await;
+    let (harness, host) = after_the_history(PAGE).await;
     read_all(&host).await;
-    let pages = world.store.listings(Topic::Results);
+    let pages = harness.store.pages_read(Topic::Results);
     assert!(pages <= JOBS, "{pages} pages for {JOBS} jobs");
 }
 
 #[tokio::test]
 async fn reading_a_job_after_the_history_does_not_grow_with_all_other_jobs() {
-    let (world, host) = after_the_history(PAGE).await;
+    let (harness, host) = after_the_history(PAGE).await;
     read_all(&host).await;
     let wanted = JOBS * ITEMS as usize;
-    let listed = world.store.listed(Topic::Results);
+    let listed = harness.store.records_listed(Topic::Results);
     assert!(listed <= 2 * wanted, "{listed} records for {wanted}");
 }
 
 #[tokio::test]
 async fn bodies_are_read_after_the_history_for_what_they_hold() {
-    let world = World::new(&["t1"]);
-    world.store.set_page(PAGE);
-    let first = world.start_ready("a1").await;
-    world.engines.hold();
+    let harness = Harness::new(&["t1"]);
+    harness.store.set_page_len(PAGE);
+    let first = harness.start_ready("a1").await;
+    harness.targets.hold();
     for job in 0..JOBS {
         first.submit(&name(job), ITEMS, 1).await.unwrap();
     }
-    world.store.expire();
-    let second = world
+    harness.store.expire_history();
+    let second = harness
         .start_with("a2", |settings| settings.peers.down_ms = 60_000)
         .await;
-    second.until_ready().await;
-    let before = world.store.listed(Topic::Payloads);
+    second.wait_ready().await;
+    let before = harness.store.records_listed(Topic::Payloads);
     for job in 0..JOBS {
         let item = format!("{}-2", name(job));
         let body = jobs::body(second.ctx(), &name(job), &item).await.unwrap();
         assert_eq!(body, "body of 2");
     }
-    let listed = world.store.listed(Topic::Payloads) - before;
+    let listed = harness.store.records_listed(Topic::Payloads) - before;
     assert!(listed <= 2 * JOBS, "{listed} payloads for {JOBS}");
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,12 +1,16 @@
 //! What a host makes of datagrams from peers, sent by hand.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use std::time::Instant;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::WAIT_MAX;
+use harness::wait_until;
 use notchwharf_config::gateway::Settings;
 use notchwharf_gateway::metrics::Counted;
 use notchwharf_proto::messages;
@@ -16,10 +20,6 @@
 use notchwharf_routing::balancer::key_of;
 use rstest::rstest;
 use tokio::net::UdpSocket;
-use world::Running;
-use world::WAIT_MAX;
-use world::World;
-use world::until;
 
 /// Time between two words of a host without news.
 const BEAT: Duration = Duration::from_millis(20);
@@ -65,25 +65,25 @@
 
 #[tokio::test]
 async fn a_peer_whose_clock_was_set_back_before_it_started_again_is_heard() {
-    let world = World::new(&["t1"]);
-    let host = world.start_ready("a1").await;
+    let harness = Harness::new(&["t1"]);
+    let host = harness.start_ready("a1").await;
     let peer = Peer::of(host.ctx().settings.host.peer_listen).await;
     peer.says("b1", 1_000, 50, &[]).await;
-    until("the peer is heard", || host.ctx().peers_alive() == 1).await;
-    until("its silence is noticed", || host.ctx().peers_alive() == 0).await;
+    wait_until("the peer is heard", || host.ctx().peers_alive() == 1).await;
+    wait_until("its silence is noticed", || host.ctx().peers_alive() == 0).await;
     // It starts again, two seconds earlier by its clock.
     peer.says("b1", 500, 1, &[("t1", 2)]).await;
-    until("the peer is heard again", || host.ctx().peers_alive() == 1).await;
+    wait_until("the peer is heard again", || host.ctx().peers_alive() == 1).await;
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
 #[tokio::test]
 async fn old_news_of_a_peer_that_is_alive_does_not_count() {
-    let world = World::new(&["t1", "t2"]);
-    let host = world
+    let harness = Harness::new(&["t1", "t2"]);
+    let host = harness
         .start_with("a1", |settings| settings.peers.down_ms = 60_000)
         .await;
-    host.until_ready().await;
+    host.wait_ready().await;
     let peer = Peer::of(host.ctx().settings.host.peer_listen).await;
     peer.says("b1", 1_000, 2, &[("t1", 2)]).await;
     for (incarnation, number) in [(500, 9), (1_000, 1), (1_000, 2)] {
@@ -91,30 +91,31 @@
     }
     // What another says is read after all of that.
     peer.says("c1", 1, 1, &[("t2", 1)]).await;
-    until("all is read", || host.ctx().load_of("t2").online == 1).await;
+    wait_until("all is read", || host.ctx().load_of("t2").online == 1).await;
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
 /// Returns hosts of one data centre that know where a host in another or the
 /// same one was, which has just fallen silent.
 async fn hosts_and_a_silent_one(
-    world: &World,
+    harness: &Harness,
     near: usize,
     data_centre: &'static str,
-) -> Vec<Running> {
+) -> Vec<RunningHost> {
     let place = |settings: &mut Settings| settings.host.data_centre = data_centre.into();
-    let far = world.start_with("x1", place).await;
+    let far = harness.start_with("x1", place).await;
     let mut hosts = Vec::new();
     for number in 0..near {
-        hosts.push(world.start_ready(&format!("a{number}")).await);
+        hosts.push(harness.start_ready(&format!("a{number}")).await);
     }
-    until("all know each other", || {
-        let knows = |h: &Running| h.ctx().peers_alive() == near && h.ctx().peers_listed() == near;
+    wait_until("all know each other", || {
+        let knows =
+            |h: &RunningHost| h.ctx().peers_alive() == near && h.ctx().peers_listed() == near;
         hosts.iter().all(knows)
     })
     .await;
     far.kill();
-    until("the silence is noticed", || {
+    wait_until("the silence is noticed", || {
         hosts.iter().all(|h| h.ctx().peers_alive() == near - 1)
     })
     .await;
@@ -123,15 +124,15 @@
 
 #[tokio::test]
 async fn news_that_another_host_passes_on_counts() {
-    let world = World::new(&["t1"]);
-    let hosts = hosts_and_a_silent_one(&world, 1, "e").await;
+    let harness = Harness::new(&["t1"]);
+    let hosts = hosts_and_a_silent_one(&harness, 1, "e").await;
     let host = &hosts[0];
     let peer = Peer::of(host.ctx().settings.host.peer_listen).await;
     let unknown = status("y1", u64::MAX, 1, &[("t1", 5)]);
     let known = status("x1", u64::MAX, 1, &[("t1", 2)]);
     peer.sends(&PeerMessage::PassedOn(vec![unknown, known]))
         .await;
-    until("it is heard", || host.ctx().peers_alive() == 1).await;
+    wait_until("it is heard", || host.ctx().peers_alive() == 1).await;
     // Where the other host is nobody knows yet, so it does not count.
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
@@ -144,15 +145,15 @@
     #[case] data_centre: &'static str,
     #[case] is_passed_on: bool,
 ) {
-    let world = World::new(&["t1"]);
-    let hosts = hosts_and_a_silent_one(&world, 5, data_centre).await;
+    let harness = Harness::new(&["t1"]);
+    let hosts = hosts_and_a_silent_one(&harness, 5, data_centre).await;
     let told = Peer::of(hosts[0].ctx().settings.host.peer_listen).await;
     let metrics = &hosts[0].ctx().metrics;
     let passed_on = || metrics.counted(Counted::Datagrams, "passed on");
     // Until the list is read nobody knows who is near.
     let passed_on_before = passed_on();
     told.says("x1", u64::MAX, 1, &[("t1", 2)]).await;
-    until("the one that was told knows", || {
+    wait_until("the one that was told knows", || {
         hosts[0].ctx().load_of("t1").online == 2
     })
     .await;
@@ -176,28 +177,28 @@
 
 #[tokio::test]
 async fn many_hosts_in_two_data_centres_know_what_each_runs() {
-    let world = World::new(&["t1", "t2"]);
+    let harness = Harness::new(&["t1", "t2"]);
     let mut hosts = Vec::new();
     for number in 0..20 {
         let data_centre = if number % 2 == 0 { "d" } else { "e" };
         let place = |settings: &mut Settings| settings.host.data_centre = data_centre.into();
-        hosts.push(world.start_with(&format!("a{number}"), place).await);
+        hosts.push(harness.start_with(&format!("a{number}"), place).await);
     }
     for host in &hosts {
-        host.until_ready().await;
+        host.wait_ready().await;
     }
-    until("all know each other", || {
+    wait_until("all know each other", || {
         hosts.iter().all(|h| h.ctx().peers_alive() == 19)
     })
     .await;
-    world.engines.hold();
+    harness.targets.hold();
     let asked = hosts[0].ctx().clone();
     let asked = tokio::spawn(async move {
-        let request = world::request(world::RESUMABLE, "r1");
+        let request = harness::request(harness::RESUMABLE, "r1");
         notchwharf_gateway::online::serve(&asked, request, Instant::now()).await
     });
     let answer = asked.await.unwrap().unwrap();
-    until("all know of the request", || {
+    wait_until("all know of the request", || {
         hosts.iter().all(|h| {
             let loads = ["t1", "t2"].map(|target| h.ctx().load_of(target).online);
             loads.iter().sum::<u32>() == 1
@@ -205,7 +206,7 @@
     })
     .await;
     drop(answer);
-    until("all know of its end", || {
+    wait_until("all know of its end", || {
         hosts.iter().all(|h| {
             ["t1", "t2"]
                 .iter()
@@ -219,8 +220,8 @@
 /// when the peer, which may be frozen, does not.
 #[tokio::test]
 async fn items_wait_for_a_peer_s_that_are_due_first_and_not_for_ever() {
-    let world = World::new(&["t1"]);
-    let a1 = world.start_ready("a1").await;
+    let harness = Harness::new(&["t1"]);
+    let a1 = harness.start_ready("a1").await;
     let peer = Peer::of(a1.ctx().settings.host.peer_listen).await;
     let first = PeerMessage::Status(Status {
         waiting: vec![messages::WaitingItems {
@@ -234,7 +235,7 @@
         tokio::task::yield_now().await;
     }
     a1.submit("j1", 1, 10).await.unwrap();
-    until("it sees what comes first", || {
+    wait_until("it sees what comes first", || {
         a1.ctx().metrics.text().contains("items_ahead\"} 7")
     })
     .await;
--- a/crates/gateway/tests/spread.rs
+++ b/crates/gateway/tests/spread.rs
@@ -5,10 +5,14 @@
 //! never came to serve.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::store::ScriptedStore;
+use harness::wait_until;
 use notchwharf_gateway::ports::Topic;
 use notchwharf_proto::messages;
 use notchwharf_proto::messages::PeerMessage;
@@ -18,10 +22,6 @@
 use notchwharf_proto::records::Targets;
 use rstest::rstest;
 use tokio::net::UdpSocket;
-use world::Running;
-use world::World;
-use world::store::ScriptedStore;
-use world::until;
 
 const DATA_CENTRES: usize = 2;
 /// Hosts per data centre, which form a cell.
@@ -29,33 +29,33 @@
 
 /// A fleet in cells, with a separate connection to the store per host.
 struct Fleet {
-    world: World,
-    hosts: Vec<Running>,
-    doors: Vec<ScriptedStore>,
+    harness: Harness,
+    hosts: Vec<RunningHost>,
+    connections: Vec<ScriptedStore>,
 }
 
 impl Fleet {
     async fn start(targets: &[&str]) -> Self {
-        let world = World::new(targets);
-        let (mut hosts, mut doors) = (Vec::new(), Vec::new());
+        let harness = Harness::new(targets);
+        let (mut hosts, mut connections) = (Vec::new(), Vec::new());
         for number in 0..DATA_CENTRES * HOSTS {
             let place = number / HOSTS;
-            let door = world.store.door();
+            let connection = harness.store.connection();
             let name = format!("h{place}-{number}");
-            let started = world.start_apart(&name, door.clone(), |settings| {
+            let started = harness.start_with_store(&name, connection.clone(), |settings| {
                 settings.host.data_centre = format!("d{place}");
                 settings.peers.cell_hosts_max = u32::try_from(HOSTS).unwrap();
             });
             hosts.push(started.await);
-            doors.push(door);
+            connections.push(connection);
         }
         let fleet = Self {
-            world,
+            harness,
             hosts,
-            doors,
+            connections,
         };
         for host in &fleet.hosts {
-            host.until_ready().await;
+            host.wait_ready().await;
         }
         fleet.until_one_reads(HOSTS).await;
         fleet
@@ -72,7 +72,7 @@
     }
 
     async fn until_one_reads(&self, hosts: usize) {
-        until("the list is known and one host reads", || {
+        wait_until("the list is known and one host reads", || {
             let first = self.hosts.iter().filter(|host| {
                 let ctx = host.ctx();
                 ctx.settings.host.data_centre == "d0"
@@ -84,7 +84,7 @@
     }
 
     async fn until_all_know(&self, target: &str) {
-        until("all hosts know a target", || {
+        wait_until("all hosts know a target", || {
             let mut hosts = self.hosts.iter();
             hosts.all(|host| host.ctx().is_target_known(target))
         })
@@ -95,22 +95,22 @@
 #[tokio::test]
 async fn records_read_by_one_host_reach_all() {
     let fleet = Fleet::start(&["t1", "t2"]).await;
-    let store = &fleet.world.store;
+    let store = &fleet.harness.store;
     store.put_target("t3", "up");
     fleet.until_all_know("t3").await;
     store.put_target("t1", "leaving");
-    until("all know that it leaves", || {
+    wait_until("all know that it leaves", || {
         fleet.hosts.iter().all(|host| host.ctx().is_leaving("t1"))
     })
     .await;
-    store.drop_target("t2");
-    until("all know that it is gone", || {
+    store.delete_target("t2");
+    wait_until("all know that it is gone", || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| !host.ctx().is_target_known("t2"))
     })
     .await;
-    fleet.world.configure(5, true);
-    until("the configuration is in force at all", || {
+    fleet.harness.configure(5, true);
+    wait_until("the configuration is in force at all", || {
         let mut tables = fleet.hosts.iter().map(|host| host.ctx().table().unwrap());
         tables.all(|table| table.version() == 5)
     })
@@ -121,13 +121,13 @@
 #[tokio::test]
 async fn readings_scale_with_data_centres_not_hosts() {
     let fleet = Fleet::start(&["t1"]).await;
-    let store = &fleet.world.store;
-    let before = store.readings(Topic::Targets);
+    let store = &fleet.harness.store;
+    let before = store.read_count(Topic::Targets);
     for number in 0..10 {
         store.put_target(&format!("n{number}"), "up");
         fleet.until_all_know(&format!("n{number}")).await;
     }
-    let readings = store.readings(Topic::Targets) - before;
+    let readings = store.read_count(Topic::Targets) - before;
     // Each record ends a waiting reading; without records, readings end once a second.
     let limit = DATA_CENTRES * (10 + 20);
     assert!(readings <= limit, "{readings} readings");
@@ -149,11 +149,11 @@
     };
     let before = asked();
     for _ in 0..20 {
-        fleet.world.store.put_target("t1", "up");
-        fleet.world.store.put_target("t2", "up");
+        fleet.harness.store.put_target("t1", "up");
+        fleet.harness.store.put_target("t2", "up");
     }
     let ctx = fleet.hosts[other].ctx();
-    until("the host knows how far the log goes", || {
+    wait_until("the host knows how far the log goes", || {
         ctx.targets_read_to() >= 42
     })
     .await;
@@ -165,9 +165,9 @@
     let mut fleet = Fleet::start(&["t1"]).await;
     let reader = fleet.readers()[0];
     fleet.hosts.remove(reader).kill();
-    fleet.world.store.put_target("t2", "up");
+    fleet.harness.store.put_target("t2", "up");
     fleet.until_all_know("t2").await;
-    until("one host reads again", || fleet.readers().len() == 1).await;
+    wait_until("one host reads again", || fleet.readers().len() == 1).await;
 }
 
 #[rstest]
@@ -180,37 +180,40 @@
     let reader = fleet.readers()[0];
     let others = (0..HOSTS).filter(|number| *number != reader);
     for number in [reader].into_iter().chain(others).take(refused) {
-        fleet.doors[number].close(true);
+        fleet.connections[number].set_closed(true);
     }
-    fleet.world.store.put_target("t2", "up");
+    fleet.harness.store.put_target("t2", "up");
     fleet.until_all_know("t2").await;
-    fleet.world.store.drop_target("t2");
-    until("all know that it is gone", || {
+    fleet.harness.store.delete_target("t2");
+    wait_until("all know that it is gone", || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| !host.ctx().is_target_known("t2"))
     })
     .await;
-    fleet.doors.iter().for_each(|door| door.close(false));
-    fleet.world.store.put_target("t3", "up");
+    fleet
+        .connections
+        .iter()
+        .for_each(|connection| connection.set_closed(false));
+    fleet.harness.store.put_target("t3", "up");
     fleet.until_all_know("t3").await;
-    until("the first one reads again", || fleet.readers() == [reader]).await;
+    wait_until("the first one reads again", || fleet.readers() == [reader]).await;
 }
 
 #[tokio::test]
 async fn a_host_behind_the_retained_log_is_sent_all_entries() {
     let fleet = Fleet::start(&["t1"]).await;
     let reader = fleet.readers()[0];
-    fleet.doors[reader].close(true);
-    until("the store is lost", || {
+    fleet.connections[reader].set_closed(true);
+    wait_until("the store is lost", || {
         !fleet.hosts[reader].ctx().is_store_up()
     })
     .await;
-    fleet.world.store.put_target("t2", "up");
-    fleet.world.store.drop_target("t1");
-    fleet.world.store.expire();
-    fleet.doors[reader].close(false);
+    fleet.harness.store.put_target("t2", "up");
+    fleet.harness.store.delete_target("t1");
+    fleet.harness.store.expire_history();
+    fleet.connections[reader].set_closed(false);
     fleet.until_all_know("t2").await;
-    until("what went meanwhile is gone", || {
+    wait_until("what went meanwhile is gone", || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| !host.ctx().is_target_known("t1"))
     })
@@ -259,11 +262,14 @@
     let addr = other.ctx().settings.host.peer_listen;
     socket.send_to(&bytes, addr).await.unwrap();
     // The next announcement of the reader must still be applied.
-    fleet.world.store.put_target("t3", "up");
+    fleet.harness.store.put_target("t3", "up");
     fleet.until_all_know("t3").await;
     assert!(other.ctx().is_target_known("t1"));
-    tokio::time::timeout(Duration::from_secs(20), other.ask(world::ONCE, "r1"))
-        .await
-        .unwrap()
-        .unwrap();
+    tokio::time::timeout(
+        Duration::from_secs(20),
+        other.send(harness::NON_RESUMABLE, "r1"),
+    )
+    .await
+    .unwrap()
+    .unwrap();
 }
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -12,15 +12,15 @@
 //! timed out, and of the 295 hosts none had loaded them.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::store::ScriptedStore;
+use harness::wait_until;
 use notchwharf_gateway::ports::Topic;
-use world::Running;
-use world::World;
-use world::store::ScriptedStore;
-use world::until;
 
 const DATA_CENTRES: usize = 2;
 /// Hosts of a data centre, which are a cell.
@@ -28,13 +28,16 @@
 /// Hosts of a cell that list from the store.
 const LISTERS: usize = 3;
 
-/// Starts the fleet; hosts reach the store through the doors that are given for them.
-async fn start(world: &World, door_of: impl Fn(usize) -> ScriptedStore) -> Vec<Running> {
+/// Starts the fleet; hosts reach the store through the connections that are given for them.
+async fn start(
+    harness: &Harness,
+    connection_of: impl Fn(usize) -> ScriptedStore,
+) -> Vec<RunningHost> {
     let mut hosts = Vec::new();
     for number in 0..DATA_CENTRES * HOSTS {
         let place = number / HOSTS;
         let name = format!("h{place}-{number}");
-        let started = world.start_apart(&name, door_of(number), |settings| {
+        let started = harness.start_with_store(&name, connection_of(number), |settings| {
             settings.host.data_centre = format!("d{place}");
             settings.peers.cell_hosts_max = u32::try_from(HOSTS).unwrap();
         });
@@ -43,33 +46,33 @@
     hosts
 }
 
-async fn until_all_serve(hosts: &[Running]) {
+async fn until_all_serve(hosts: &[RunningHost]) {
     for host in hosts {
-        host.until_ready().await;
+        host.wait_ready().await;
     }
 }
 
-/// Returns a world whose fleet has done a job and lost power.
-async fn after_a_loss_of_power() -> World {
-    let world = World::new(&["t1", "t2"]);
-    world.store.set_page(500);
-    let hosts = start(&world, |_| world.store.clone()).await;
+/// Returns a harness whose fleet has done a job and lost power.
+async fn after_a_loss_of_power() -> Harness {
+    let harness = Harness::new(&["t1", "t2"]);
+    harness.store.set_page_len(500);
+    let hosts = start(&harness, |_| harness.store.clone()).await;
     until_all_serve(&hosts).await;
     hosts[0].submit("j1", 4, 10).await.unwrap();
     hosts[0].results("j1", 4).await;
-    hosts.into_iter().for_each(Running::kill);
-    world
+    hosts.into_iter().for_each(RunningHost::kill);
+    harness
 }
 
 #[tokio::test]
 async fn a_fleet_that_starts_again_does_not_list_once_for_each_host() {
-    let world = after_a_loss_of_power().await;
+    let harness = after_a_loss_of_power().await;
     let topics = [Topic::Jobs, Topic::Config, Topic::Targets];
-    let before = topics.map(|topic| world.store.listings(topic));
-    let hosts = start(&world, |_| world.store.clone()).await;
+    let before = topics.map(|topic| harness.store.pages_read(topic));
+    let hosts = start(&harness, |_| harness.store.clone()).await;
     until_all_serve(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
-        let listings = world.store.listings(topic) - before;
+        let listings = harness.store.pages_read(topic) - before;
         let most = DATA_CENTRES * LISTERS;
         assert!(listings <= most, "{topic:?}: {listings} listings");
     }
@@ -80,22 +83,22 @@
 
 #[tokio::test]
 async fn hosts_list_for_themselves_if_those_that_should_cannot() {
-    let world = after_a_loss_of_power().await;
-    let closed = world.store.door();
-    closed.close(true);
-    let open = world.store.clone();
+    let harness = after_a_loss_of_power().await;
+    let closed = harness.store.connection();
+    closed.set_closed(true);
+    let open = harness.store.clone();
     // All hosts of a data centre but the last are turned away.
-    let door_of = |number: usize| match number < HOSTS - 1 {
+    let connection_of = |number: usize| match number < HOSTS - 1 {
         true => closed.clone(),
         false => open.clone(),
     };
-    let hosts = start(&world, door_of).await;
-    until("the last one has the records", || {
+    let hosts = start(&harness, connection_of).await;
+    wait_until("the last one has the records", || {
         hosts[HOSTS - 1].ctx().journal.is_loaded()
     })
     .await;
     assert_eq!(hosts[HOSTS - 1].results("j1", 4).await.len(), 4);
-    closed.close(false);
+    closed.set_closed(false);
     until_all_serve(&hosts).await;
 }
 
@@ -103,18 +106,18 @@
 /// out.
 #[tokio::test]
 async fn a_fleet_whose_host_list_is_late_does_not_list_once_for_each_host() {
-    let world = after_a_loss_of_power().await;
+    let harness = after_a_loss_of_power().await;
     let topics = [Topic::Jobs, Topic::Config, Topic::Targets];
-    let before = topics.map(|topic| world.store.listings(topic));
-    let hosts = start(&world, |_| {
-        let door = world.store.door();
-        door.time_out_first_listing(Topic::Hosts, Duration::from_millis(700));
-        door
+    let before = topics.map(|topic| harness.store.pages_read(topic));
+    let hosts = start(&harness, |_| {
+        let connection = harness.store.connection();
+        connection.time_out_first_listing(Topic::Hosts, Duration::from_millis(700));
+        connection
     })
     .await;
     until_all_serve(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
-        let listings = world.store.listings(topic) - before;
+        let listings = harness.store.pages_read(topic) - before;
         let most = DATA_CENTRES * LISTERS;
         assert!(listings <= most, "{topic:?}: {listings} listings");
     }
