--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -6,11 +6,11 @@
 pub(crate) use notchwharf_routing::fingerprint::to_hex;
 
 use crate::ports::Decode;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 
 /// Returns the fingerprint of a request to a host. It covers the workspace and not the key:
 /// otherwise a caller with two keys could crash twice as many targets.
-pub(crate) fn of(decode: &Decode, host: &str, forward: &Forward) -> Fingerprint {
+pub(crate) fn of(decode: &Decode, host: &str, forward: &ForwardedRequest) -> Fingerprint {
     fingerprint::of(&Content {
         host,
         method: forward.method.as_str(),
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -40,7 +40,7 @@
 use crate::context::Context;
 use crate::error::Failure;
 use crate::metrics::Counted;
-use crate::peers::ForLimits;
+use crate::peers::QuotaPeer;
 use crate::sync::lock;
 use crate::time::millis;
 
@@ -352,8 +352,8 @@
     if !lock(&ctx.limits.limiter).has_limits() {
         return Vec::new();
     }
-    let peers = ctx.peers.for_limits();
-    let keys = |matches: fn(&ForLimits) -> bool| -> Vec<HostKey> {
+    let peers = ctx.peers.quota_peers();
+    let keys = |matches: fn(&QuotaPeer) -> bool| -> Vec<HostKey> {
         let chosen = peers.iter().filter(|peer| matches(peer));
         chosen.map(|peer| peer.key).collect()
     };
--- a/crates/gateway/src/limits/allowance.rs
+++ b/crates/gateway/src/limits/allowance.rs
@@ -15,7 +15,7 @@
 use crate::ports::Entry;
 use crate::ports::Read;
 use crate::ports::StoreError;
-use crate::ports::Stored;
+use crate::ports::StoredRecord;
 use crate::ports::Topic;
 use crate::store::Store;
 use crate::time::unix_ms;
@@ -38,7 +38,7 @@
 ) -> Result<Option<Instant>, StoreError> {
     let key = slot.to_string();
     let listing = store.all_newest(Topic::Limits, PARTITION).await?;
-    let is_of_slot = |record: &&Stored| record.entry.key == key;
+    let is_of_slot = |record: &&StoredRecord| record.entry.key == key;
     let last = listing.records.iter().rev().find(is_of_slot);
     // An unreadable record may be of any time.
     let last_unix_ms = last.map(|record| decode(record).unwrap_or(u64::MAX));
@@ -75,6 +75,6 @@
     Ok(Some(requested_at))
 }
 
-fn decode(record: &Stored) -> Option<u64> {
+fn decode(record: &StoredRecord) -> Option<u64> {
     postcard::from_bytes(record.entry.value.as_deref()?).ok()
 }
--- a/crates/gateway/src/online.rs
+++ b/crates/gateway/src/online.rs
@@ -34,7 +34,7 @@
 use crate::limits::Permit;
 use crate::metrics::Counted;
 use crate::ports::Body;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 use crate::waiting::SchedulingParams;
 
 use self::dispatch::Dispatch;
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The request as it is forwarded.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// The host that it names.
     pub host: String,
     /// How long the caller waits.
--- a/crates/gateway/src/online/body.rs
+++ b/crates/gateway/src/online/body.rs
@@ -179,7 +179,7 @@
         if self.dispatch.trace.first_event().is_none() && !bytes.is_empty() {
             let took = response.sent_at.elapsed();
             self.dispatch.trace.record_first_event(took);
-            lock(&self.dispatch.ctx.places).record_success(response.running.target(), Some(took));
+            lock(&self.dispatch.ctx.balancer).record_success(response.running.target(), Some(took));
         }
         let Some(events) = &mut self.events else {
             self.record_last_bytes(&bytes);
@@ -234,7 +234,7 @@
                 let ctx = Arc::clone(&self.dispatch.ctx);
                 quarantine::record_success(&ctx, || self.dispatch.fingerprint());
             }
-            let mut balancer = lock(&self.dispatch.ctx.places);
+            let mut balancer = lock(&self.dispatch.ctx.balancer);
             if status.is_server_error() {
                 balancer.record_request_failure(response.running.target(), Instant::now());
             } else {
@@ -271,7 +271,7 @@
         self.dispatch
             .trace
             .log_broken_stream(&target, reason, self.last_event, fingerprint);
-        lock(&self.dispatch.ctx.places).record_connection_failure(&target, Instant::now());
+        lock(&self.dispatch.ctx.balancer).record_connection_failure(&target, Instant::now());
         if may_have_crashed {
             let run_time = headers_at.elapsed();
             self.dispatch
--- a/crates/gateway/src/online/dispatch.rs
+++ b/crates/gateway/src/online/dispatch.rs
@@ -25,7 +25,7 @@
 use crate::limits::Permit;
 use crate::metrics::Counted;
 use crate::ports::Call;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 use crate::ports::NoReply;
 use crate::ports::Reply;
 use crate::quarantine;
@@ -41,7 +41,7 @@
 /// A request that is being dispatched.
 pub(super) struct Dispatch {
     pub(super) ctx: Arc<Context>,
-    pub(super) forward: Arc<Forward>,
+    pub(super) forward: Arc<ForwardedRequest>,
     /// The host that the request names.
     pub(super) host: String,
     pub(super) route: Arc<Route>,
@@ -269,10 +269,10 @@
     ) -> Result<StartedResponse, NoReply> {
         let sent_at = Instant::now();
         let call = Call {
-            forward: Arc::clone(&self.forward),
+            request: Arc::clone(&self.forward),
             target: choice.target.clone(),
             addr: choice.addr,
-            left: self.deadline.saturating_duration_since(sent_at),
+            remaining: self.deadline.saturating_duration_since(sent_at),
             resume_after,
         };
         let replied = (self.ctx.targets.call)(call);
@@ -320,7 +320,7 @@
         self.ctx.metrics.count(Counted::Offers, err.reason());
         let fingerprint = err.may_have_run().then(|| self.fingerprint());
         self.trace.log_failed_offer(target, err, fingerprint);
-        let mut balancer = lock(&self.ctx.places);
+        let mut balancer = lock(&self.ctx.balancer);
         match err {
             NoReply::Full => balancer.record_rejection(target, now),
             NoReply::NotSent(_) | NoReply::OtherTarget => {
--- a/crates/gateway/src/online/trace.rs
+++ b/crates/gateway/src/online/trace.rs
@@ -22,7 +22,7 @@
 use crate::fingerprint;
 use crate::metrics::Counted;
 use crate::metrics::Timed;
-use crate::ports::Forward;
+use crate::ports::ForwardedRequest;
 use crate::ports::NoReply;
 use crate::sync::lock;
 use crate::time::millis;
@@ -60,7 +60,7 @@
 impl Trace {
     pub(super) fn new(
         ctx: &Arc<Context>,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         route: &Arc<Route>,
         routes_version: u64,
         arrived: Instant,
@@ -93,7 +93,7 @@
             return;
         };
         record.offers += 1;
-        let load = lock(&record.ctx.places).load(&choice.target);
+        let load = lock(&record.ctx.balancer).load(&choice.target);
         record.load = load.total().saturating_sub(1);
         record.target = Some(choice.target.clone());
         record.slot_source = match choice.slot_source {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -59,7 +59,7 @@
 
 /// Starts to send reports to other hosts, and to load what was blamed before this host started.
 pub(crate) fn start(ctx: &Arc<Context>) {
-    tokio::spawn(suspects::tell(Arc::clone(ctx)));
+    tokio::spawn(suspects::broadcast_changes(Arc::clone(ctx)));
     tokio::spawn(records::load(Arc::clone(ctx)));
     tokio::spawn(suspects::catch_up(Arc::clone(ctx)));
 }
@@ -120,7 +120,7 @@
     log_blamed(ctx, report.fingerprint, crashes, host);
     // The host that detected the last crash may have failed since.
     let task = fingerprint::to_hex(report.fingerprint);
-    if peers::is_for_cell(ctx, &task) && ctx.peers.is_successor(ctx.host(), &task) {
+    if peers::is_assigned_to_own_cell(ctx, &task) && ctx.peers.is_successor(ctx.host(), &task) {
         records::save(ctx, report.fingerprint);
     }
 }
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -138,7 +138,7 @@
 /// Returns the id of a target's current incarnation. It is the same at all hosts, and differs
 /// after a restart under the same name.
 fn incarnation_of(ctx: &Context, target: &str) -> IncarnationId {
-    let balancer = lock(&ctx.places);
+    let balancer = lock(&ctx.balancer);
     let started_unix_ms = balancer.spec(target).and_then(|spec| spec.started_unix_ms);
     xxh3_64(format!("{target}/{}", started_unix_ms.unwrap_or_default()).as_bytes())
 }
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -34,14 +34,14 @@
     /// Counts a request that starts at a target.
     pub(crate) fn start(ctx: &Arc<Context>, target: &TargetId, class: Class) -> Self {
         let is_scarce = {
-            let mut balancer = lock(&ctx.places);
+            let mut balancer = lock(&ctx.balancer);
             match class {
                 Class::Online => balancer.begin_online(target, Instant::now()),
                 Class::Batch => balancer.begin_batch(target),
             }
             balancer.has_scarce_slots(target)
         };
-        ctx.peers.tell_load(is_scarce);
+        ctx.peers.notify_load(is_scarce);
         Self {
             ctx: Arc::clone(ctx),
             target: target.clone(),
@@ -60,7 +60,7 @@
         if let Some(workspace) = workspace {
             ctx.waiting.record_start(workspace, weight);
         }
-        ctx.peers.tell();
+        ctx.peers.notify();
         Self {
             ctx: Arc::clone(ctx),
             target: slot.commit(),
@@ -77,7 +77,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         let was_scarce = {
-            let mut balancer = lock(&self.ctx.places);
+            let mut balancer = lock(&self.ctx.balancer);
             let was_scarce = balancer.has_scarce_slots(&self.target);
             match self.class {
                 Class::Online => balancer.end_online(&self.target),
@@ -89,9 +89,9 @@
             self.ctx.waiting.record_end(workspace);
         }
         if let Some(host) = self.ctx.waiting.transfer_freed_slot(&self.target) {
-            self.ctx.peers.hand(&host, key_of(&self.target));
+            self.ctx.peers.transfer_slot(&host, key_of(&self.target));
         }
-        self.ctx.peers.tell_load(was_scarce);
+        self.ctx.peers.notify_load(was_scarce);
         self.ctx.items.wake();
         self.ctx.waiting.wake();
     }
--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -2,10 +2,20 @@
 //! reaches it.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 
+use harness::HOST;
+use harness::Harness;
+use harness::KEY_HEADER;
+use harness::RunningHost;
+use harness::close_connection;
+use harness::start_two_hosts;
+use harness::store::ScriptedStore;
+use harness::submission;
+use harness::targets::full_response;
+use harness::wait_until;
 use hyper::HeaderMap;
 use notchwharf_gateway::access;
 use notchwharf_gateway::access::RequestHead;
@@ -13,31 +23,21 @@
 use notchwharf_gateway::error::Failure;
 use notchwharf_gateway::error::JobError;
 use notchwharf_gateway::jobs;
-use world::HOST;
-use world::KEY;
-use world::Running;
-use world::World;
-use world::close;
-use world::start_with_a_door;
-use world::store::ScriptedStore;
-use world::submission;
-use world::targets::whole;
-use world::until;
 
 /// Starts a host that knows the keys and is then cut off from the store, and one that is not.
-async fn start(world: &World) -> (Running, ScriptedStore, Running) {
-    world.configure_keys(2, &[("k1", "choir"), ("k2", "choir"), ("k3", "strings")]);
-    let (isolated, store, connected) = start_with_a_door(world).await;
-    close(&isolated, &store).await;
-    (isolated, store, connected)
+async fn start(harness: &Harness) -> (RunningHost, ScriptedStore, RunningHost) {
+    harness.configure_keys(2, &[("k1", "choir"), ("k2", "choir"), ("k3", "strings")]);
+    let (isolated, connection, connected) = start_two_hosts(harness).await;
+    close_connection(&isolated, &connection).await;
+    (isolated, connection, connected)
 }
 
-fn is_not_run(result: &Result<world::Whole, Failure>) -> bool {
+fn is_not_run(result: &Result<harness::Response, Failure>) -> bool {
     matches!(result, Err(Failure::NotRun { .. }))
 }
 
-async fn until_version(host: &Running, version: u64) {
-    until("the configuration is loaded", || {
+async fn until_version(host: &RunningHost, version: u64) {
+    wait_until("the configuration is loaded", || {
         host.ctx().table().is_some_and(|t| t.version() == version)
     })
     .await;
@@ -45,27 +45,27 @@
 
 #[tokio::test]
 async fn keys_are_removed_and_added_at_a_host_that_learns_of_it_only_from_a_peer() {
-    let world = World::new(&["t1"]);
-    let (isolated, _store, connected) = start(&world).await;
-    let response = isolated.ask_as("k1", "before").await.unwrap();
-    assert_eq!(response.text().unwrap(), whole("before"));
-    world.configure_keys(3, &[("k2", "choir"), ("k4", "strings")]);
+    let harness = Harness::new(&["t1"]);
+    let (isolated, _connection, connected) = start(&harness).await;
+    let response = isolated.send_with_key("k1", "before").await.unwrap();
+    assert_eq!(response.text().unwrap(), full_response("before"));
+    harness.configure_keys(3, &[("k2", "choir"), ("k4", "strings")]);
     until_version(&isolated, 3).await;
     // It can't know whether a newer configuration contains the key again.
-    assert!(is_not_run(&isolated.ask_as("k1", "gone").await));
-    let denied = connected.ask_as("k1", "gone").await.unwrap_err();
+    assert!(is_not_run(&isolated.send_with_key("k1", "gone").await));
+    let denied = connected.send_with_key("k1", "gone").await.unwrap_err();
     assert_eq!(denied, Failure::Unauthorized(AuthError::Removed));
-    let never = connected.ask_as("k9", "never").await.unwrap_err();
+    let never = connected.send_with_key("k9", "never").await.unwrap_err();
     assert_eq!(never, Failure::Unauthorized(AuthError::Unknown));
     for id in ["gone", "never"] {
-        assert!(world.engines.runs(id).is_empty());
+        assert!(harness.targets.runs(id).is_empty());
     }
-    assert!(isolated.ask_as("k4", "added").await.is_ok());
+    assert!(isolated.send_with_key("k4", "added").await.is_ok());
 }
 
-async fn job_of(host: &Running, key: &str) -> String {
+async fn job_of(host: &RunningHost, key: &str) -> String {
     let mut headers = HeaderMap::new();
-    headers.insert(KEY, format!("Key {key}").parse().unwrap());
+    headers.insert(KEY_HEADER, format!("Key {key}").parse().unwrap());
     let presented = RequestHead {
         id: "j1",
         host: HOST,
@@ -80,8 +80,8 @@
 
 #[tokio::test]
 async fn a_job_that_is_forwarded_between_hosts_stays_with_its_workspace() {
-    let world = World::new(&["t1"]);
-    let (isolated, _store, connected) = start(&world).await;
+    let harness = Harness::new(&["t1"]);
+    let (isolated, _connection, connected) = start(&harness).await;
     let job = job_of(&isolated, "k1").await;
     let mut submitted = submission("j1", 2, 10);
     submitted.job.clone_from(&job);
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -8,15 +8,15 @@
 //! jobs could neither be read nor accepted.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::time::Duration;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::store::ScriptedStore;
+use harness::wait_until;
 use notchwharf_gateway::ports::Topic;
-use world::Running;
-use world::World;
-use world::store::ScriptedStore;
-use world::until;
 
 const DATA_CENTRES: usize = 2;
 /// Hosts per data centre; they form one cell.
@@ -24,13 +24,16 @@
 /// Hosts of a cell that list from the store.
 const LISTERS: usize = 3;
 
-/// Starts the fleet; each host uses its own handle of the store.
-async fn start(world: &World, store_of: impl Fn(usize) -> ScriptedStore) -> Vec<Running> {
+/// Starts the fleet; each host uses its own connection to the store.
+async fn start(
+    harness: &Harness,
+    connection_of: impl Fn(usize) -> ScriptedStore,
+) -> Vec<RunningHost> {
     let mut hosts = Vec::new();
     for number in 0..DATA_CENTRES * HOSTS {
         let data_centre = number / HOSTS;
         let name = format!("h{data_centre}-{number}");
-        let started = world.start_apart(&name, store_of(number), |settings| {
+        let started = harness.start_with_store(&name, connection_of(number), |settings| {
             settings.host.data_centre = format!("d{data_centre}");
             settings.peers.cell_hosts_max = u32::try_from(HOSTS).unwrap();
         });
@@ -39,33 +42,33 @@
     hosts
 }
 
-async fn until_all_serve(hosts: &[Running]) {
+async fn until_all_serve(hosts: &[RunningHost]) {
     for host in hosts {
-        host.until_ready().await;
+        host.wait_ready().await;
     }
 }
 
-/// Returns a world whose fleet has completed a job and was then killed.
-async fn after_a_power_loss() -> World {
-    let world = World::new(&["t1", "t2"]);
-    world.store.set_page(500);
-    let hosts = start(&world, |_| world.store.clone()).await;
+/// Returns a harness whose fleet has completed a job and was then killed.
+async fn after_a_power_loss() -> Harness {
+    let harness = Harness::new(&["t1", "t2"]);
+    harness.store.set_page_len(500);
+    let hosts = start(&harness, |_| harness.store.clone()).await;
     until_all_serve(&hosts).await;
     hosts[0].submit("j1", 4, 10).await.unwrap();
     hosts[0].results("j1", 4).await;
-    hosts.into_iter().for_each(Running::kill);
-    world
+    hosts.into_iter().for_each(RunningHost::kill);
+    harness
 }
 
 #[tokio::test]
 async fn a_restarted_fleet_does_not_list_once_per_host() {
-    let world = after_a_power_loss().await;
+    let harness = after_a_power_loss().await;
     let topics = [Topic::Jobs, Topic::Config, Topic::Targets];
-    let before = topics.map(|topic| world.store.listings(topic));
-    let hosts = start(&world, |_| world.store.clone()).await;
+    let before = topics.map(|topic| harness.store.pages_read(topic));
+    let hosts = start(&harness, |_| harness.store.clone()).await;
     until_all_serve(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
-        let listings = world.store.listings(topic) - before;
+        let listings = harness.store.pages_read(topic) - before;
         let max_listings = DATA_CENTRES * LISTERS;
         assert!(listings <= max_listings, "{topic:?}: {listings} listings");
     }
@@ -76,22 +79,22 @@
 
 #[tokio::test]
 async fn hosts_list_for_themselves_if_the_listers_cannot() {
-    let world = after_a_power_loss().await;
-    let unreachable = world.store.door();
-    unreachable.close(true);
-    let reachable = world.store.clone();
+    let harness = after_a_power_loss().await;
+    let unreachable = harness.store.connection();
+    unreachable.set_closed(true);
+    let reachable = harness.store.clone();
     // All hosts of a data centre but the last are refused by the store.
-    let store_of = |number: usize| match number < HOSTS - 1 {
+    let connection_of = |number: usize| match number < HOSTS - 1 {
         true => unreachable.clone(),
         false => reachable.clone(),
     };
-    let hosts = start(&world, store_of).await;
-    until("the last host has the records", || {
+    let hosts = start(&harness, connection_of).await;
+    wait_until("the last host has the records", || {
         hosts[HOSTS - 1].ctx().journal.is_loaded()
     })
     .await;
     assert_eq!(hosts[HOSTS - 1].results("j1", 4).await.len(), 4);
-    unreachable.close(false);
+    unreachable.set_closed(false);
     until_all_serve(&hosts).await;
 }
 
@@ -99,18 +102,18 @@
 /// out.
 #[tokio::test]
 async fn a_fleet_whose_host_list_is_late_does_not_list_once_per_host() {
-    let world = after_a_power_loss().await;
+    let harness = after_a_power_loss().await;
     let topics = [Topic::Jobs, Topic::Config, Topic::Targets];
-    let before = topics.map(|topic| world.store.listings(topic));
-    let hosts = start(&world, |_| {
-        let store = world.store.door();
-        store.time_out_first_listing(Topic::Hosts, Duration::from_millis(700));
-        store
+    let before = topics.map(|topic| harness.store.pages_read(topic));
+    let hosts = start(&harness, |_| {
+        let connection = harness.store.connection();
+        connection.time_out_first_listing(Topic::Hosts, Duration::from_millis(700));
+        connection
     })
     .await;
     until_all_serve(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
-        let listings = world.store.listings(topic) - before;
+        let listings = harness.store.pages_read(topic) - before;
         let max_listings = DATA_CENTRES * LISTERS;
         assert!(listings <= max_listings, "{topic:?}: {listings} listings");
     }
--- a/crates/gateway/tests/waiting.rs
+++ b/crates/gateway/tests/waiting.rs
@@ -2,96 +2,100 @@
 //! of hosts. The order of requests is simulated in the tests of `notchwharf-waiting`.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::sync::Arc;
 
+use harness::Harness;
+use harness::Response;
+use harness::RunningHost;
+use harness::WITH_OBJECTIVE;
+use harness::targets::full_response;
+use harness::wait_until;
 use notchwharf_config::gateway::Settings;
 use notchwharf_gateway::error::Failure;
 use notchwharf_gateway::metrics::Counted;
 use notchwharf_listen::Phase;
 use tokio::task::JoinHandle;
-use world::Running;
-use world::TIMELY;
-use world::Whole;
-use world::World;
-use world::targets::whole;
-use world::until;
 
 /// The slots of a target.
 const SLOTS: usize = 2;
 
-type PendingResponse = JoinHandle<Result<Whole, Failure>>;
+type PendingResponse = JoinHandle<Result<Response, Failure>>;
 
-/// Returns a world of one target whose configuration has workspaces.
-fn world() -> World {
-    let world = World::new(&["t1"]);
-    world.configure_keys(2, &[("k1", "choir"), ("k2", "band")]);
-    world.engines.hold();
-    world
+/// Returns a harness of one target whose configuration has workspaces.
+fn harness() -> Harness {
+    let harness = Harness::new(&["t1"]);
+    harness.configure_keys(2, &[("k1", "choir"), ("k2", "band")]);
+    harness.targets.hold();
+    harness
 }
 
-fn send(host: &Arc<Running>, key: &'static str, id: &'static str) -> PendingResponse {
+fn send(host: &Arc<RunningHost>, key: &'static str, id: &'static str) -> PendingResponse {
     let host = Arc::clone(host);
-    tokio::spawn(async move { host.ask_at(TIMELY, key, id).await })
+    tokio::spawn(async move { host.send_to_with_key(WITH_OBJECTIVE, key, id).await })
 }
 
-fn waited_count(host: &Running) -> u64 {
+fn waited_count(host: &RunningHost) -> u64 {
     host.ctx().metrics.counted(Counted::WaitQueue, "waits")
 }
 
 /// Sends a request, and returns once it waits.
-async fn send_waiting(host: &Arc<Running>, key: &'static str, id: &'static str) -> PendingResponse {
+async fn send_waiting(
+    host: &Arc<RunningHost>,
+    key: &'static str,
+    id: &'static str,
+) -> PendingResponse {
     let before = waited_count(host);
     let pending = send(host, key, id);
-    until("the request waits", || waited_count(host) > before).await;
+    wait_until("the request waits", || waited_count(host) > before).await;
     pending
 }
 
 /// Starts a host that doesn't resume stalled streams at another target.
-async fn start(world: &World, name: &str) -> Arc<Running> {
+async fn start(harness: &Harness, name: &str) -> Arc<RunningHost> {
     let long_stall_timeout = |settings: &mut Settings| settings.online.stall_ms = 60_000;
-    let host = world.start_with(name, long_stall_timeout).await;
-    host.until_ready().await;
+    let host = harness.start_with(name, long_stall_timeout).await;
+    host.wait_ready().await;
     Arc::new(host)
 }
 
 /// Uses all slots of the target.
-async fn fill(world: &World, host: &Arc<Running>) -> Vec<PendingResponse> {
+async fn fill(harness: &Harness, host: &Arc<RunningHost>) -> Vec<PendingResponse> {
     let pending = vec![send(host, "k1", "r1"), send(host, "k1", "r2")];
-    until("all slots are in use", || world.engines.active() == SLOTS).await;
+    wait_until("all slots are in use", || harness.targets.active() == SLOTS).await;
     pending
 }
 
 /// Starts two hosts that know that all slots are in use.
-async fn two_hosts() -> (World, [Arc<Running>; 2], Vec<PendingResponse>) {
-    let world = world();
-    let a1 = start(&world, "a1").await;
-    let a2 = start(&world, "a2").await;
-    until("hosts know each other", || a1.ctx().peers_alive() == 1).await;
-    until("hosts know each other", || a2.ctx().peers_alive() == 1).await;
-    let first = fill(&world, &a1).await;
-    until("the other host knows the load", || {
+async fn two_hosts() -> (Harness, [Arc<RunningHost>; 2], Vec<PendingResponse>) {
+    let harness = harness();
+    let a1 = start(&harness, "a1").await;
+    let a2 = start(&harness, "a2").await;
+    wait_until("hosts know each other", || a1.ctx().peers_alive() == 1).await;
+    wait_until("hosts know each other", || a2.ctx().peers_alive() == 1).await;
+    let first = fill(&harness, &a1).await;
+    wait_until("the other host knows the load", || {
         a2.ctx().load_of("t1").online as usize == SLOTS
     })
     .await;
-    (world, [a1, a2], first)
+    (harness, [a1, a2], first)
 }
 
 async fn assert_complete(pending: PendingResponse, id: &str) {
     let response = pending.await.unwrap().unwrap();
-    assert_eq!(response.text().unwrap(), whole(id));
+    assert_eq!(response.text().unwrap(), full_response(id));
 }
 
 #[tokio::test]
 async fn requests_wait_at_their_hosts_until_slots_are_freed() {
-    let (world, [a1, a2], first) = two_hosts().await;
+    let (harness, [a1, a2], first) = two_hosts().await;
     let local = send_waiting(&a1, "k1", "r3").await;
     let remote = send_waiting(&a2, "k2", "r4").await;
-    assert_eq!(world.engines.active(), SLOTS);
-    assert_eq!(world.engines.runs("r3"), []);
-    assert_eq!(world.engines.runs("r4"), []);
-    world.engines.go();
+    assert_eq!(harness.targets.active(), SLOTS);
+    assert_eq!(harness.targets.runs("r3"), []);
+    assert_eq!(harness.targets.runs("r4"), []);
+    harness.targets.release();
     for (pending, id) in first.into_iter().zip(["r1", "r2"]) {
         assert_complete(pending, id).await;
     }
@@ -101,10 +105,13 @@
 
 #[tokio::test]
 async fn a_request_that_cannot_start_in_time_is_not_run() {
-    let world = world();
-    let host = start(&world, "a1").await;
-    let first = fill(&world, &host).await;
-    let refused = host.ask_at(TIMELY, "k2", "r3").await.unwrap_err();
+    let harness = harness();
+    let host = start(&harness, "a1").await;
+    let first = fill(&harness, &host).await;
+    let refused = host
+        .send_to_with_key(WITH_OBJECTIVE, "k2", "r3")
+        .await
+        .unwrap_err();
     let Failure::NotRun {
         retry_after,
         reason,
@@ -114,30 +121,30 @@
     };
     assert_eq!(reason, "no room in time");
     assert!(!retry_after.is_zero());
-    world.engines.go();
+    harness.targets.release();
     for (pending, id) in first.into_iter().zip(["r1", "r2"]) {
         assert_complete(pending, id).await;
     }
-    assert_eq!(world.engines.runs("r3"), []);
+    assert_eq!(harness.targets.runs("r3"), []);
 }
 
 /// A caller disconnects while its request waits: the next request gets the slot.
 #[tokio::test]
 async fn a_disconnected_caller_holds_no_slot() {
-    let world = world();
-    let host = start(&world, "a1").await;
-    let first = fill(&world, &host).await;
+    let harness = harness();
+    let host = start(&harness, "a1").await;
+    let first = fill(&harness, &host).await;
     let cancelled = send_waiting(&host, "k2", "r3").await;
     cancelled.abort();
     assert!(cancelled.await.is_err());
     let next = send_waiting(&host, "k2", "r4").await;
-    world.engines.go();
+    harness.targets.release();
     for (pending, id) in first.into_iter().zip(["r1", "r2"]) {
         assert_complete(pending, id).await;
     }
     assert_complete(next, "r4").await;
-    assert_eq!(world.engines.runs("r3"), []);
-    until("all slots are free", || {
+    assert_eq!(harness.targets.runs("r3"), []);
+    wait_until("all slots are free", || {
         host.ctx().load_of("t1").online == 0
     })
     .await;
@@ -147,12 +154,12 @@
 /// the next request starts nevertheless.
 #[tokio::test]
 async fn a_slot_that_is_transferred_to_a_failed_host_goes_to_the_next_request() {
-    let (world, [a1, a2], first) = two_hosts().await;
+    let (harness, [a1, a2], first) = two_hosts().await;
     let lost = send_waiting(&a2, "k2", "r3").await;
     let next = send_waiting(&a1, "k2", "r4").await;
     // From now on it sends nothing, and its last summary still contains its request.
     a2.ctx().phase.send_replace(Phase::Stopped);
-    world.engines.go();
+    harness.targets.release();
     for (pending, id) in first.into_iter().zip(["r1", "r2"]) {
         assert_complete(pending, id).await;
     }
--- a/crates/routing/tests/simulation/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time whose hosts tell one another of suspects.
+//! Simulates in virtual time a fleet whose hosts send one another reports on suspects.
 #![allow(unreachable_pub, reason = "A test has no outside.")]
 
 use std::cmp::Reverse;
@@ -16,55 +16,58 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-/// Time that is played.
-const PLAYED: Duration = Duration::from_secs(60);
-/// Time from a break to a crash noted: a way to the target and back.
-const LOOK: Duration = Duration::from_millis(2);
-const WAY_MS: std::ops::Range<f64> = 0.5..2.5;
-/// Time after which a crash is told once more, and what is worth it is told again.
-const TELL_GAP: Duration = Duration::from_millis(50);
+/// Duration of a simulation.
+const SIMULATED: Duration = Duration::from_secs(60);
+/// Time from a failed run to the detection of the crash: a round trip to the target.
+const PROBE_TIME: Duration = Duration::from_millis(2);
+/// Range of message delays.
+const DELAY_MS: std::ops::Range<f64> = 0.5..2.5;
+/// Time after which a crash is reported once more.
+const CRASH_RESEND_DELAY: Duration = Duration::from_millis(50);
+/// Interval of the periodic reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which a request that waits asks again.
-const WAIT: Duration = Duration::from_millis(20);
-/// Time for which callers wait.
+/// Time after which a waiting request checks again.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which callers wait for a result.
 const DEADLINE: Duration = Duration::from_secs(5);
-/// How often a host is cut off or killed.
-const TROUBLE_GAP: Duration = Duration::from_secs(2);
-const CUT: Duration = Duration::from_secs(3);
-/// Time in which a share of the targets crashes, each on its own.
-const CRASH_GAP: Duration = Duration::from_secs(3);
-/// Online requests of one attempt run so often, and callers come so often.
+/// Interval at which a host is partitioned or restarted.
+const DISTURBANCE_INTERVAL: Duration = Duration::from_secs(2);
+/// Duration of a partition.
+const PARTITION_TIME: Duration = Duration::from_secs(3);
+/// Time in which a share of the targets crashes, independently of one another.
+const CRASH_PERIOD: Duration = Duration::from_secs(3);
+/// Maximum number of runs per call of an online request, and of calls per request.
 const RUNS_MAX: u32 = 3;
 const CALLS_MAX: u32 = 2;
 const ONLINE_RUN: Duration = Duration::from_millis(700);
 const ITEM_RUN: Duration = Duration::from_secs(7);
-/// Popular requests, each with one content, that come five times a second.
+/// Number of popular requests: those with equal content arrive five times a second in total.
 const POPULAR: u128 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Disturbance {
     None,
-    /// A datagram in ten is lost.
+    /// One datagram in ten is lost.
     Loss,
-    /// Hosts die, forget all and are told by one that lives.
-    Kills,
-    /// All die at once in the midst of it, and read what was saved.
+    /// Hosts restart, lose their state and receive the reports of the others.
+    Restarts,
+    /// All hosts restart at once halfway through, and load the stored report.
     PowerLoss,
-    /// Hosts neither hear nor are heard.
-    Cuts,
+    /// Hosts are partitioned from all others.
+    Partitions,
 }
 
-/// What came of a request that crashes targets.
+/// Outcome for a request that crashes targets.
 #[derive(Clone, Copy, Debug)]
-pub struct Deadly {
+pub struct CrashingOutcome {
     pub crashes: u32,
-    /// The longest time from the third crash to a send.
+    /// The longest time from the third crash to a send of the request.
     pub latest: Duration,
 }
 
-/// What came of healthy requests.
+/// Outcome for healthy requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Healthy {
+pub struct HealthyOutcome {
     pub requests: u32,
     pub refused: u32,
     pub items: u32,
@@ -73,86 +76,86 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    name: u128,
+    fingerprint: u128,
     host: usize,
-    since: Duration,
+    arrived_at: Duration,
     runs: u32,
     calls: u32,
-    /// Time that it runs still, if nothing comes between.
-    left: Duration,
+    /// Remaining run time.
+    remaining: Duration,
     is_item: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
     Arrive(Request),
-    /// A run under which the target crashes, which began then.
-    Breaks {
+    /// The target of a run crashes.
+    Crash {
         request: Request,
-        began: Duration,
+        started_at: Duration,
     },
-    EndsWell {
+    Success {
         request: Request,
     },
-    Hear {
+    Receive {
         to: usize,
         from: usize,
-        told: Box<Report>,
+        report: Box<Report>,
     },
-    /// A host tells of a request once more.
-    Tell {
+    /// A host reports on a request once more.
+    Report {
         from: usize,
-        name: u128,
+        fingerprint: u128,
     },
-    Retell,
-    Trouble,
-    Heal(usize),
+    ReportAll,
+    Disturbance,
+    Reconnect(usize),
 }
 
 struct Host {
     quarantine: Quarantine,
-    is_cut: bool,
+    is_partitioned: bool,
 }
 
 pub struct Fleet {
     start: Instant,
     now: Duration,
-    trouble: Trouble,
+    disturbance: Disturbance,
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, Event>,
-    lives: IncarnationId,
+    incarnations: IncarnationId,
     saved: Option<Report>,
 }
 
 impl Fleet {
-    pub fn new(hosts: usize, trouble: Trouble, seed: u64) -> Self {
+    pub fn new(hosts: usize, disturbance: Disturbance, seed: u64) -> Self {
         let host = || Host {
             quarantine: Quarantine::default(),
-            is_cut: false,
+            is_partitioned: false,
         };
         let mut fleet = Self {
             start: Instant::now(),
             now: Duration::ZERO,
-            trouble,
+            disturbance,
             rng: ChaCha8Rng::seed_from_u64(seed),
             hosts: std::iter::repeat_with(host).take(hosts).collect(),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            lives: 0,
+            incarnations: 0,
             saved: None,
         };
-        fleet.at(REPORT_INTERVAL, Event::Retell);
-        let first = match trouble {
-            Trouble::PowerLoss => PLAYED / 2,
-            _ => TROUBLE_GAP,
+        fleet.schedule(REPORT_INTERVAL, Event::ReportAll);
+        let first = match disturbance {
+            Disturbance::PowerLoss => SIMULATED / 2,
+            _ => DISTURBANCE_INTERVAL,
         };
-        fleet.at(first, Event::Trouble);
+        fleet.schedule(first, Event::Disturbance);
         fleet
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         let number = self.events.last_key_value().map_or(0, |(n, _)| n + 1);
         self.events.insert(number, event);
         self.queue.push(Reverse((at, number)));
@@ -168,69 +171,71 @@
         self.start + self.now
     }
 
-    fn request(&mut self, name: u128, run: Duration, is_item: bool) -> Request {
+    fn request(&mut self, fingerprint: u128, run: Duration, is_item: bool) -> Request {
         Request {
-            name,
+            fingerprint,
             host: self.rng.random_range(0..self.hosts.len()),
-            since: self.now,
+            arrived_at: self.now,
             runs: 0,
             calls: 0,
-            left: run,
+            remaining: run,
             is_item,
         }
     }
 
-    fn tell(&mut self, from: usize, name: u128) {
-        let told = self.hosts[from]
-            .quarantine
-            .report(name, &from.to_string(), self.instant());
-        let Some(told) = told else {
+    fn broadcast(&mut self, from: usize, fingerprint: u128) {
+        let report =
+            self.hosts[from]
+                .quarantine
+                .report(fingerprint, &from.to_string(), self.instant());
+        let Some(report) = report else {
             return;
         };
         for to in 0..self.hosts.len() {
-            self.send(from, to, &told);
+            self.send(from, to, &report);
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, told: &Report) {
-        let is_lost = self.trouble == Trouble::Loss && self.rng.random_bool(0.1);
-        if to == from || is_lost || self.hosts[from].is_cut || self.hosts[to].is_cut {
+    fn send(&mut self, from: usize, to: usize, report: &Report) {
+        let is_lost = self.disturbance == Disturbance::Loss && self.rng.random_bool(0.1);
+        if to == from || is_lost || self.hosts[from].is_partitioned || self.hosts[to].is_partitioned
+        {
             return;
         }
-        let way = Duration::from_secs_f64(self.rng.random_range(WAY_MS) / 1e3);
-        let told = Box::new(told.clone());
-        self.at(self.now + way, Event::Hear { to, from, told });
+        let delay = Duration::from_secs_f64(self.rng.random_range(DELAY_MS) / 1e3);
+        let report = Box::new(report.clone());
+        self.schedule(self.now + delay, Event::Receive { to, from, report });
     }
 
-    fn retell(&mut self) {
+    fn report_all(&mut self) {
         for from in 0..self.hosts.len() {
-            let told = self.hosts[from]
+            let reports = self.hosts[from]
                 .quarantine
                 .periodic_reports(&from.to_string(), self.instant());
             for _ in 0..2 {
                 let to = self.rng.random_range(0..self.hosts.len());
-                for told in &told {
-                    self.send(from, to, told);
+                for report in &reports {
+                    self.send(from, to, report);
                 }
             }
         }
-        self.at(self.now + REPORT_INTERVAL, Event::Retell);
+        self.schedule(self.now + REPORT_INTERVAL, Event::ReportAll);
     }
 
-    fn trouble(&mut self) {
+    fn disturb(&mut self) {
         let host = self.rng.random_range(0..self.hosts.len());
-        match self.trouble {
-            Trouble::None | Trouble::Loss => return,
-            Trouble::Kills => {
+        match self.disturbance {
+            Disturbance::None | Disturbance::Loss => return,
+            Disturbance::Restarts => {
                 self.hosts[host].quarantine = Quarantine::default();
-                for by in 0..self.hosts.len() {
-                    let quarantine = &self.hosts[by].quarantine;
-                    for told in quarantine.periodic_reports(&by.to_string(), self.instant()) {
-                        self.send(by, host, &told);
+                for from in 0..self.hosts.len() {
+                    let quarantine = &self.hosts[from].quarantine;
+                    for report in quarantine.periodic_reports(&from.to_string(), self.instant()) {
+                        self.send(from, host, &report);
                     }
                 }
             }
-            Trouble::PowerLoss => {
+            Disturbance::PowerLoss => {
                 let now = self.instant();
                 for host in &mut self.hosts {
                     host.quarantine = Quarantine::default();
@@ -241,27 +246,27 @@
                 }
                 return;
             }
-            Trouble::Cuts => {
-                self.hosts[host].is_cut = true;
-                self.at(self.now + CUT, Event::Heal(host));
+            Disturbance::Partitions => {
+                self.hosts[host].is_partitioned = true;
+                self.schedule(self.now + PARTITION_TIME, Event::Reconnect(host));
             }
         }
-        self.at(self.now + TROUBLE_GAP, Event::Trouble);
+        self.schedule(self.now + DISTURBANCE_INTERVAL, Event::Disturbance);
     }
 
-    /// Does what is the same for all requests; returns what is not.
-    fn common(&mut self, event: Event) -> Option<Event> {
+    /// Handles the events that do not depend on the kind of request; returns any other.
+    fn handle_common(&mut self, event: Event) -> Option<Event> {
         match event {
-            Event::Hear { to, from, told } => {
+            Event::Receive { to, from, report } => {
                 let now = self.instant();
                 self.hosts[to]
                     .quarantine
-                    .merge_report(&from.to_string(), &told, now);
+                    .merge_report(&from.to_string(), &report, now);
             }
-            Event::Tell { from, name } => self.tell(from, name),
-            Event::Retell => self.retell(),
-            Event::Trouble => self.trouble(),
-            Event::Heal(host) => self.hosts[host].is_cut = false,
+            Event::Report { from, fingerprint } => self.broadcast(from, fingerprint),
+            Event::ReportAll => self.report_all(),
+            Event::Disturbance => self.disturb(),
+            Event::Reconnect(host) => self.hosts[host].is_partitioned = false,
             other => return Some(other),
         }
         None
@@ -270,167 +275,185 @@
     fn admit(&mut self, request: &Request) -> Decision {
         let (host, now) = (request.host, self.instant());
         let quarantine = &mut self.hosts[host].quarantine;
-        let verdict = match request.is_item {
-            true => quarantine.admit_item(request.name, &host.to_string(), now),
-            false => quarantine.admit(request.name, &host.to_string(), now),
+        let decision = match request.is_item {
+            true => quarantine.admit_item(request.fingerprint, &host.to_string(), now),
+            false => quarantine.admit(request.fingerprint, &host.to_string(), now),
         };
-        if verdict == Decision::Admit {
-            self.tell(host, request.name);
+        if decision == Decision::Admit {
+            self.broadcast(host, request.fingerprint);
         }
-        verdict
+        decision
     }
 
-    /// Notes a crash at the host of a request, and tells it.
+    /// Records a crash at the host of a request, and reports it.
     fn record_crash(&mut self, request: &Request, run_time: Duration) {
-        self.lives += 1;
+        self.incarnations += 1;
         let at = self.instant();
-        let incarnation = self.lives;
+        let incarnation = self.incarnations;
         let quarantine = &mut self.hosts[request.host].quarantine;
         quarantine.record_crash(
-            request.name,
+            request.fingerprint,
             Crash {
                 incarnation,
                 run_time,
                 detected_at: at,
             },
         );
-        quarantine.end_run(request.name, &request.host.to_string());
-        if quarantine.crash_count(request.name) >= 3 {
-            self.saved = quarantine.report(request.name, "store", at);
+        quarantine.end_run(request.fingerprint, &request.host.to_string());
+        if quarantine.crash_count(request.fingerprint) >= 3 {
+            self.saved = quarantine.report(request.fingerprint, "store", at);
         }
-        self.tell(request.host, request.name);
-        let (from, name) = (request.host, request.name);
-        self.at(self.now + TELL_GAP, Event::Tell { from, name });
+        self.broadcast(request.host, request.fingerprint);
+        let (from, fingerprint) = (request.host, request.fingerprint);
+        self.schedule(
+            self.now + CRASH_RESEND_DELAY,
+            Event::Report { from, fingerprint },
+        );
     }
 
-    fn again(&mut self, request: Request) {
-        if self.now - request.since < DEADLINE {
-            self.at(self.now + WAIT, Event::Arrive(request));
+    fn retry(&mut self, request: Request) {
+        if self.now - request.arrived_at < DEADLINE {
+            self.schedule(self.now + RECHECK_INTERVAL, Event::Arrive(request));
         }
     }
 
-    /// Plays a request that crashes targets and comes so often a second.
-    pub fn play_deadly(mut self, rate: f64) -> Deadly {
+    /// Simulates a request that crashes targets and arrives `rate` times a second.
+    pub fn run_crashing(mut self, rate: f64) -> CrashingOutcome {
         let mut at = 0.0;
-        while at < PLAYED.as_secs_f64() {
+        while at < SIMULATED.as_secs_f64() {
             at += -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
             self.now = Duration::from_secs_f64(at);
             let request = self.request(1, Duration::ZERO, false);
-            self.at(self.now, Event::Arrive(request));
+            self.schedule(self.now, Event::Arrive(request));
         }
         let mut crashed_at = Vec::new();
         let mut latest = Duration::ZERO;
         while let Some(event) = self.pop() {
-            if self.now > PLAYED {
+            if self.now > SIMULATED {
                 break;
             }
-            match self.common(event) {
+            match self.handle_common(event) {
                 Some(Event::Arrive(request)) => match self.admit(&request) {
                     Decision::Admit => {
                         if let Some(third) = crashed_at.get(2) {
                             latest = latest.max(self.now.saturating_sub(*third));
                         }
-                        let began = self.now;
+                        let started_at = self.now;
                         let run_time = Duration::from_millis(self.rng.random_range(40..150));
-                        let event = Event::Breaks { request, began };
-                        self.at(self.now + run_time, event);
-                        crashed_at.push(began + run_time);
+                        let event = Event::Crash {
+                            request,
+                            started_at,
+                        };
+                        self.schedule(self.now + run_time, event);
+                        crashed_at.push(started_at + run_time);
                         crashed_at.sort();
                     }
-                    Decision::Wait => self.again(request),
+                    Decision::Wait => self.retry(request),
                     Decision::Refuse { .. } => {}
                 },
-                Some(Event::Breaks { request, began }) => {
-                    let run_time = self.now - began;
-                    self.now += LOOK;
+                Some(Event::Crash {
+                    request,
+                    started_at,
+                }) => {
+                    let run_time = self.now - started_at;
+                    self.now += PROBE_TIME;
                     self.record_crash(&request, run_time);
                 }
                 _ => {}
             }
         }
         let crashes = u32::try_from(crashed_at.len()).unwrap();
-        Deadly { crashes, latest }
+        CrashingOutcome { crashes, latest }
     }
 
-    /// Plays healthy requests while a share of the targets crashes again and again.
-    pub fn play_healthy(mut self, share: f64) -> Healthy {
-        /// As many plays of a minute as make rare cases show.
-        const LENGTH: Duration = Duration::from_secs(600);
-        let mut played = Healthy::default();
-        let mut name = 1_000;
+    /// Simulates healthy requests while a share of the targets crashes repeatedly.
+    pub fn run_healthy(mut self, share: f64) -> HealthyOutcome {
+        /// Long enough for rare cases to occur.
+        const DURATION: Duration = Duration::from_secs(600);
+        let mut outcome = HealthyOutcome::default();
+        let mut fingerprint = 1_000;
         let mut at = Duration::ZERO;
-        while at < LENGTH {
+        while at < DURATION {
             self.now = at;
-            name += 1;
-            let is_item = name % 20 == 0;
-            let is_popular = name % 10 == 1;
+            fingerprint += 1;
+            let is_item = fingerprint % 20 == 0;
+            let is_popular = fingerprint % 10 == 1;
             let run = if is_item { ITEM_RUN } else { ONLINE_RUN };
-            let which = if is_popular {
-                name / 10 % POPULAR
+            let content = if is_popular {
+                fingerprint / 10 % POPULAR
             } else {
-                name
+                fingerprint
             };
-            let request = self.request(which, run, is_item);
-            played.requests += u32::from(!is_item);
-            played.items += u32::from(is_item);
-            self.at(at, Event::Arrive(request));
+            let request = self.request(content, run, is_item);
+            outcome.requests += u32::from(!is_item);
+            outcome.items += u32::from(is_item);
+            self.schedule(at, Event::Arrive(request));
             at += Duration::from_millis(20);
         }
         while let Some(event) = self.pop() {
-            if self.now > LENGTH {
+            if self.now > DURATION {
                 break;
             }
-            match self.common(event) {
-                Some(Event::Arrive(request)) => self.run_healthy(request, share, &mut played),
-                Some(Event::Breaks { request, began }) => {
-                    self.break_healthy(request, began);
+            match self.handle_common(event) {
+                Some(Event::Arrive(request)) => self.start_healthy(request, share, &mut outcome),
+                Some(Event::Crash {
+                    request,
+                    started_at,
+                }) => {
+                    self.crash_healthy(request, started_at);
                 }
-                Some(Event::EndsWell { request }) => {
+                Some(Event::Success { request }) => {
                     let now = self.instant();
                     let quarantine = &mut self.hosts[request.host].quarantine;
-                    quarantine.end_run(request.name, &request.host.to_string());
-                    if quarantine.record_success(request.name, now) {
-                        self.tell(request.host, request.name);
+                    quarantine.end_run(request.fingerprint, &request.host.to_string());
+                    if quarantine.record_success(request.fingerprint, now) {
+                        self.broadcast(request.host, request.fingerprint);
                     }
                 }
                 _ => {}
             }
         }
-        played
+        outcome
     }
 
-    fn run_healthy(&mut self, request: Request, share: f64, played: &mut Healthy) {
+    fn start_healthy(&mut self, request: Request, share: f64, outcome: &mut HealthyOutcome) {
         match self.admit(&request) {
-            Decision::Wait => return self.again(request),
+            Decision::Wait => return self.retry(request),
             Decision::Refuse { retry_after, .. } if request.is_item => {
-                played.delayed_items += 1;
-                return self.at(self.now + retry_after, Event::Arrive(request));
+                outcome.delayed_items += 1;
+                return self.schedule(self.now + retry_after, Event::Arrive(request));
             }
             Decision::Refuse { .. } => {
-                played.refused += 1;
+                outcome.refused += 1;
                 return;
             }
             Decision::Admit => {}
         }
-        let began = self.now;
-        let rate = share / CRASH_GAP.as_secs_f64();
-        let crash = -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
-        let run_time = Duration::from_secs_f64(crash);
-        if run_time < request.left {
-            self.at(began + run_time, Event::Breaks { request, began });
+        let started_at = self.now;
+        let rate = share / CRASH_PERIOD.as_secs_f64();
+        let time_to_crash_s = -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
+        let run_time = Duration::from_secs_f64(time_to_crash_s);
+        if run_time < request.remaining {
+            self.schedule(
+                started_at + run_time,
+                Event::Crash {
+                    request,
+                    started_at,
+                },
+            );
         } else {
-            self.at(began + request.left, Event::EndsWell { request });
+            self.schedule(started_at + request.remaining, Event::Success { request });
         }
     }
 
-    /// Items go on behind what is there; streams go on elsewhere, then their callers come
-    /// again.
-    fn break_healthy(&mut self, mut request: Request, began: Duration) {
-        let run_time = self.now - began;
+    /// Items resume behind the output already produced; streams resume at another target and are
+    /// then retried by their callers.
+    fn crash_healthy(&mut self, mut request: Request, started_at: Duration) {
+        let run_time = self.now - started_at;
         self.record_crash(&request, run_time);
         request.runs += 1;
         if request.is_item {
-            request.left = request.left.saturating_sub(run_time);
+            request.remaining = request.remaining.saturating_sub(run_time);
         } else if request.runs == RUNS_MAX {
             request.runs = 0;
             request.calls += 1;
@@ -439,6 +462,6 @@
                 return;
             }
         }
-        self.again(request);
+        self.retry(request);
     }
 }
