--- a/crates/gateway/src/online/slot.rs
+++ b/crates/gateway/src/online/slot.rs
@@ -54,6 +54,7 @@
         Ok((choice, running))
     }
 
+    /// Returns the request as it is passed to the wait queue.
     fn slot_request(&self, scheduling: SchedulingParams, first_event_due: Instant) -> SlotRequest {
         SlotRequest {
             id: self.forward.id.clone(),
@@ -67,6 +68,7 @@
         }
     }
 
+    /// Chooses a target directly from the balancer.
     fn choose(&mut self, offers: u32, now: Instant) -> Result<Choice, Failure> {
         let criteria = Criteria {
             service: &self.service,
@@ -81,7 +83,7 @@
         });
         match chosen {
             Ok(choice) => Ok(choice),
-            Err(refusal) if offers == 0 && self.runs == 0 => Err(refused(refusal)),
+            Err(refusal) if offers == 0 && self.runs == 0 => Err(refusal_failure(refusal)),
             Err(_) => Err(self.final_failure("no other target")),
         }
     }
@@ -102,7 +104,8 @@
     }
 }
 
-fn refused(refusal: Refusal) -> Failure {
+/// Returns the failure for a request that the balancer refuses.
+fn refusal_failure(refusal: Refusal) -> Failure {
     let (retry_after, reason) = match refusal {
         Refusal::NoTarget { retry_after } => (retry_after, "no target"),
         Refusal::Full { retry_after } => (retry_after, "all targets full"),
--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -36,7 +36,7 @@
     matches!(result, Err(Failure::NotRun { .. }))
 }
 
-async fn until_version(host: &RunningHost, version: u64) {
+async fn wait_for_version(host: &RunningHost, version: u64) {
     wait_until("the configuration is loaded", || {
         host.ctx().table().is_some_and(|t| t.version() == version)
     })
@@ -50,7 +50,7 @@
     let response = isolated.send_with_key("k1", "before").await.unwrap();
     assert_eq!(response.text().unwrap(), full_response("before"));
     harness.configure_keys(3, &[("k2", "choir"), ("k4", "strings")]);
-    until_version(&isolated, 3).await;
+    wait_for_version(&isolated, 3).await;
     // It can't know whether a newer configuration contains the key again.
     assert!(is_not_run(&isolated.send_with_key("k1", "gone").await));
     let denied = connected.send_with_key("k1", "gone").await.unwrap_err();
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -35,7 +35,7 @@
 /// Duration of a run that shows that its target survives it.
 const LONG_RUN: Duration = Duration::from_millis(1_200);
 /// A body that crashes targets.
-const DEADLY: &str = "deadly";
+const CRASHING_BODY: &str = "deadly";
 
 async fn hosts(harness: &Harness, names: &[&str]) -> Vec<RunningHost> {
     let mut hosts = Vec::new();
@@ -58,12 +58,12 @@
 #[tokio::test]
 async fn a_request_that_crashes_targets_is_soon_refused_at_all_hosts(#[case] path: &str) {
     let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    harness.targets.crash_on_body(DEADLY);
+    harness.targets.crash_on_body(CRASHING_BODY);
     let hosts = hosts(&harness, &["a1", "b1", "c1"]).await;
     for (attempt, host) in (0..ATTEMPTS).zip(hosts.iter().cycle()) {
         // The outcome doesn't matter here.
         let _ = host
-            .send_with_body(path, &format!("r{attempt}"), DEADLY)
+            .send_with_body(path, &format!("r{attempt}"), CRASHING_BODY)
             .await;
         harness.targets.restart_all();
     }
@@ -98,7 +98,7 @@
 async fn blame(harness: &Harness, host: &RunningHost) {
     for attempt in 0..CRASHES_BEFORE_BLAME {
         let _ = host
-            .send_with_body(NON_RESUMABLE, &format!("blame{attempt}"), DEADLY)
+            .send_with_body(NON_RESUMABLE, &format!("blame{attempt}"), CRASHING_BODY)
             .await;
         harness.targets.restart_all();
     }
@@ -109,7 +109,7 @@
     matches!(result, Err(Failure::Crashing { .. }))
 }
 
-async fn until_blamed(host: &RunningHost) {
+async fn wait_until_blamed(host: &RunningHost) {
     let metrics = &host.ctx().metrics;
     let blamed = || metrics.counted(Counted::Changes, "request blamed") == 1;
     wait_until("the host knows of the blame", blamed).await;
@@ -118,14 +118,14 @@
 #[tokio::test]
 async fn a_request_blamed_at_one_host_runs_at_none_and_others_are_served() {
     let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    harness.targets.crash_on_body(DEADLY);
+    harness.targets.crash_on_body(CRASHING_BODY);
     let hosts = hosts(&harness, &["a1", "b1", "c1"]).await;
     blame(&harness, &hosts[0]).await;
     for host in &hosts {
-        until_blamed(host).await;
+        wait_until_blamed(host).await;
         for attempt in 0..5 {
             let result = host
-                .send_with_body(NON_RESUMABLE, &format!("again{attempt}"), DEADLY)
+                .send_with_body(NON_RESUMABLE, &format!("again{attempt}"), CRASHING_BODY)
                 .await;
             assert!(is_crashing(&result), "{result:?}");
             assert_eq!(harness.targets.runs(&format!("again{attempt}")), []);
@@ -140,7 +140,7 @@
 #[tokio::test]
 async fn a_starting_host_gets_reports_from_running_hosts() {
     let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    harness.targets.crash_on_body(DEADLY);
+    harness.targets.crash_on_body(CRASHING_BODY);
     let first = harness.start_ready("a1").await;
     // The store has no record that another host could read.
     harness
@@ -148,8 +148,10 @@
         .script(Topic::Blamed, &[AppendOutcome::Refused; 100]);
     blame(&harness, &first).await;
     let second = harness.start_ready("b1").await;
-    until_blamed(&second).await;
-    let result = second.send_with_body(NON_RESUMABLE, "again", DEADLY).await;
+    wait_until_blamed(&second).await;
+    let result = second
+        .send_with_body(NON_RESUMABLE, "again", CRASHING_BODY)
+        .await;
     assert!(is_crashing(&result), "{result:?}");
 }
 
@@ -160,7 +162,7 @@
 #[tokio::test]
 async fn a_host_that_restarts_at_once_requests_reports_first() {
     let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    harness.targets.crash_on_body(DEADLY);
+    harness.targets.crash_on_body(CRASHING_BODY);
     let mut hosts = hosts(&harness, &["a1", "b1"]).await;
     blame(&harness, &hosts[0]).await;
     hosts.remove(1).kill();
@@ -169,7 +171,7 @@
     let restarted = harness.start_with_store("b1", unavailable, |_| {}).await;
     wait_until("it has routes", || restarted.ctx().table().is_some()).await;
     let result = restarted
-        .send_with_body(NON_RESUMABLE, "again", DEADLY)
+        .send_with_body(NON_RESUMABLE, "again", CRASHING_BODY)
         .await;
     assert!(is_crashing(&result), "{result:?}");
     assert_eq!(harness.targets.runs("again"), []);
@@ -178,7 +180,7 @@
 #[tokio::test]
 async fn blamed_requests_survive_a_restart_of_all_hosts() {
     let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
-    harness.targets.crash_on_body(DEADLY);
+    harness.targets.crash_on_body(CRASHING_BODY);
     let first = harness.start_ready("a1").await;
     // A short outage of the store must not lose the record either.
     harness
@@ -191,8 +193,10 @@
     .await;
     first.kill();
     let second = harness.start_ready("a1").await;
-    until_blamed(&second).await;
-    let result = second.send_with_body(NON_RESUMABLE, "again", DEADLY).await;
+    wait_until_blamed(&second).await;
+    let result = second
+        .send_with_body(NON_RESUMABLE, "again", CRASHING_BODY)
+        .await;
     assert!(is_crashing(&result), "{result:?}");
 }
 
@@ -203,12 +207,12 @@
 #[case::no_response(Action::NoReply(NoReply::Broken))]
 #[case::stalled(Action::HangAfter(1))]
 #[tokio::test]
-async fn interrupted_runs_at_listening_targets_are_not_crashes(#[case] act: Action) {
+async fn interrupted_runs_at_listening_targets_are_not_crashes(#[case] action: Action) {
     let harness = Harness::new(&["t1", "t2", "t3", "t4", "t5", "t6"]);
     let host = harness.start_ready("a1").await;
     for attempt in 0..8 {
         let id = format!("r{attempt}");
-        harness.targets.script_request(&id, &[act]);
+        harness.targets.script_request(&id, &[action]);
         let _ = host.send_with_body(NON_RESUMABLE, &id, "healthy").await;
     }
     let result = host.send_with_body(NON_RESUMABLE, "again", "healthy").await;
@@ -245,14 +249,14 @@
         harness.targets.restart_all();
     }
     harness.targets.hold();
-    let ask = |id: &'static str| host.send_with_body(NON_RESUMABLE, id, "suspect");
+    let send = |id: &'static str| host.send_with_body(NON_RESUMABLE, id, "suspect");
     let release = async {
         // All requests were polled before this, so the others are waiting by now.
         wait_until("one runs", || harness.targets.active() > 0).await;
         assert_eq!(harness.targets.active(), 1);
         harness.targets.release();
     };
-    let (a, b, c, ()) = tokio::join!(ask("a"), ask("b"), ask("c"), release);
+    let (a, b, c, ()) = tokio::join!(send("a"), send("b"), send("c"), release);
     for result in [a, b, c] {
         assert!(result.unwrap().body.is_some(), "It is healthy.");
     }
@@ -279,12 +283,12 @@
     let is_long = || started.elapsed() > LONG_RUN;
     wait_until("it has run for long", is_long).await;
     assert!(runs(), "It must still run.");
-    let ask = |id: &'static str| host.send(RESUMABLE, id);
+    let send = |id: &'static str| host.send(RESUMABLE, id);
     let release = async {
         let is_cleared = || metrics.counted(Counted::Changes, "request cleared") == 1;
         wait_until("it was preempted and cleared", is_cleared).await;
         harness.targets.release();
     };
-    let _ = tokio::join!(ask("a"), ask("b"), ask("c"), ask("d"), release);
+    let _ = tokio::join!(send("a"), send("b"), send("c"), send("d"), release);
     assert_eq!(host.results("j1", 1).await.len(), 1);
 }
--- a/crates/gateway/tests/online.rs
+++ b/crates/gateway/tests/online.rs
@@ -48,12 +48,12 @@
 #[case::other_target_at_its_address(OTHER_TARGET)]
 #[tokio::test]
 async fn a_request_that_did_not_run_is_offered_to_another_target(
-    #[case] act: Action,
+    #[case] action: Action,
     #[values(NON_RESUMABLE, RESUMABLE)] path: &str,
 ) {
     let harness = Harness::new(&["t1", "t2"]);
     let host = harness.start_ready("a1").await;
-    harness.targets.script_request("r1", &[act]);
+    harness.targets.script_request("r1", &[action]);
     let response = host.send(path, "r1").await.unwrap();
     assert_eq!(response.text().unwrap(), full_response("r1"));
     assert_eq!(harness.targets.runs("r1").len(), 1);
@@ -76,11 +76,11 @@
 #[case::too_many_requests_without_confirming_that_nothing_ran(Action::Status(429))]
 #[tokio::test]
 async fn a_request_that_may_have_run_is_not_sent_again_and_has_an_unknown_outcome(
-    #[case] act: Action,
+    #[case] action: Action,
 ) {
     let harness = Harness::new(&["t1", "t2"]);
     let host = harness.start_ready("a1").await;
-    harness.targets.script_request("r1", &[act]);
+    harness.targets.script_request("r1", &[action]);
     let err = host.send(NON_RESUMABLE, "r1").await.unwrap_err();
     assert!(matches!(err, Failure::Unknown { .. }), "{err:?}");
     assert_eq!(harness.targets.runs("r1").len(), 1);
@@ -91,10 +91,10 @@
 #[case::unsigned(Action::Unsigned)]
 #[case::failed(Action::Status(500))]
 #[tokio::test]
-async fn a_repeatable_request_is_sent_again(#[case] act: Action) {
+async fn a_repeatable_request_is_sent_again(#[case] action: Action) {
     let harness = Harness::new(&["t1", "t2"]);
     let host = harness.start_ready("a1").await;
-    harness.targets.script_request("r1", &[act]);
+    harness.targets.script_request("r1", &[action]);
     let response = host.send(RESUMABLE, "r1").await.unwrap();
     assert_eq!(response.text().unwrap(), full_response("r1"));
 }
@@ -115,10 +115,10 @@
 #[case::by_stalling(Action::HangAfter(2))]
 #[case::by_skipping_an_event(Action::SkipAt(2))]
 #[tokio::test]
-async fn an_interrupted_stream_is_resumed_at_another_target(#[case] act: Action) {
+async fn an_interrupted_stream_is_resumed_at_another_target(#[case] action: Action) {
     let harness = Harness::new(&["t1", "t2"]);
     let host = harness.start_ready("a1").await;
-    harness.targets.script_request("r1", &[act]);
+    harness.targets.script_request("r1", &[action]);
     let response = host.send(RESUMABLE, "r1").await.unwrap();
     assert_eq!(response.text().unwrap(), full_response("r1"));
     let runs = harness.targets.runs("r1");
@@ -168,8 +168,8 @@
 async fn a_stream_runs_at_most_as_often_as_its_route_allows() {
     let harness = Harness::new(&["t1", "t2", "t3", "t4"]);
     let host = harness.start_ready("a1").await;
-    let act = Action::BreakAfter(1);
-    harness.targets.script_request("r1", &[act; 4]);
+    let action = Action::BreakAfter(1);
+    harness.targets.script_request("r1", &[action; 4]);
     let response = host.send(RESUMABLE, "r1").await.unwrap();
     assert_eq!(response.text(), None);
     assert_eq!(harness.targets.runs("r1").len(), 3);
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -42,7 +42,7 @@
     hosts
 }
 
-async fn until_all_serve(hosts: &[RunningHost]) {
+async fn wait_all_ready(hosts: &[RunningHost]) {
     for host in hosts {
         host.wait_ready().await;
     }
@@ -53,7 +53,7 @@
     let harness = Harness::new(&["t1", "t2"]);
     harness.store.set_page_len(500);
     let hosts = start(&harness, |_| harness.store.clone()).await;
-    until_all_serve(&hosts).await;
+    wait_all_ready(&hosts).await;
     hosts[0].submit("j1", 4, 10).await.unwrap();
     hosts[0].results("j1", 4).await;
     hosts.into_iter().for_each(RunningHost::kill);
@@ -66,7 +66,7 @@
     let topics = [Topic::Jobs, Topic::Config, Topic::Targets];
     let before = topics.map(|topic| harness.store.pages_read(topic));
     let hosts = start(&harness, |_| harness.store.clone()).await;
-    until_all_serve(&hosts).await;
+    wait_all_ready(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
         let listings = harness.store.pages_read(topic) - before;
         let max_listings = DATA_CENTRES * LISTERS;
@@ -95,7 +95,7 @@
     .await;
     assert_eq!(hosts[HOSTS - 1].results("j1", 4).await.len(), 4);
     unreachable.set_closed(false);
-    until_all_serve(&hosts).await;
+    wait_all_ready(&hosts).await;
 }
 
 /// Guards against every host listing for itself when its first listing of the hosts times
@@ -111,7 +111,7 @@
         connection
     })
     .await;
-    until_all_serve(&hosts).await;
+    wait_all_ready(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
         let listings = harness.store.pages_read(topic) - before;
         let max_listings = DATA_CENTRES * LISTERS;
