--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -38,7 +38,7 @@
 use crate::time::ms;
 use crate::time::unix_ms;
 use crate::waiting;
-use crate::waiting::Waiting;
+use crate::waiting::RequestQueue;
 
 /// Maximum number of retries, in percent of successful requests: enough if a fifth of the targets
 /// crashes, too few to double the load of the others.
@@ -86,7 +86,7 @@
     pub(crate) startup: Arc<Startup>,
     pub(crate) suspects: Suspects,
     pub(crate) limits: Limits,
-    pub(crate) waiting: Arc<Waiting>,
+    pub(crate) waiting: Arc<RequestQueue>,
 }
 
 impl std::fmt::Debug for Context {
@@ -138,12 +138,12 @@
             drain_time: ms(settings.targets.drain_ms),
         }));
         let peers = Peers::new(&settings.peers);
-        let waiting = Arc::new(Waiting::new(waiting::Uses {
-            places: Arc::clone(&balancer),
+        let waiting = Arc::new(RequestQueue::new(waiting::Dependencies {
+            balancer: Arc::clone(&balancer),
             metrics: Arc::clone(&metrics),
             logger: logger.clone(),
             data_centre: settings.host.data_centre.clone(),
-            changed: peers.change_notifier(),
+            status_changed: peers.change_notifier(),
         }));
         Self {
             timer: Timer::start(),
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -12,7 +12,7 @@
 
 use crate::catalog;
 use crate::context::Context;
-use crate::error::Start;
+use crate::error::StartError;
 use crate::items;
 use crate::journal;
 use crate::limits;
@@ -40,14 +40,16 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Start`] if the peers' address cannot be listened on.
+    /// Returns [`StartError`] if the peers' address cannot be listened on.
     pub async fn start(
         settings: Settings,
         ports: Ports,
         logger: slog::Logger,
-    ) -> Result<Self, Report<Start>> {
+    ) -> Result<Self, Report<StartError>> {
         let addr = settings.host.peer_listen;
-        let socket = UdpSocket::bind(addr).await.change_context(Start::Listen);
+        let socket = UdpSocket::bind(addr)
+            .await
+            .change_context(StartError::Listen);
         let socket = socket.attach_with(|| addr.to_string())?;
         let mut listeners = vec![bind(addr).await?];
         if let Some(addr) = settings.host.contact_listen {
@@ -101,11 +103,9 @@
 
     async fn drain(&self) {
         let ctx = &self.ctx;
-        let mut ticks = ctx.timer.subscribe(DRAIN_CHECK_INTERVAL);
-        // Hosts that start meanwhile query the listed hosts for the leases on limits that they
+        let mut ticks = ctx.timer.subscribe(DRAIN_CHECK_INTERVAL); // Hosts that start meanwhile query the listed hosts for the leases on limits that they
         // hold.
-        limits::stop_holding(ctx);
-        // If the entry cannot be deleted, other hosts detect the shutdown by the missing
+        limits::release_leases(ctx); // If the entry cannot be deleted, other hosts detect the shutdown by the missing
         // heartbeats.
         let _ = tokio::time::timeout(DEREGISTER_TIMEOUT, peers::deregister(ctx)).await;
         tokio::time::sleep(ms(ctx.settings.shutdown.notice_ms)).await;
@@ -123,10 +123,10 @@
 ///
 /// # Errors
 ///
-/// Returns [`Start::Listen`] with the address.
-pub async fn bind(addr: SocketAddr) -> Result<TcpListener, Report<Start>> {
+/// Returns [`StartError::Listen`] with the address.
+pub async fn bind(addr: SocketAddr) -> Result<TcpListener, Report<StartError>> {
     let listener = TcpListener::bind(addr).await;
     listener
-        .change_context(Start::Listen)
+        .change_context(StartError::Listen)
         .attach_with(|| addr.to_string())
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -412,10 +412,10 @@
             *lock(&ctx.peers.peer_lost_at) = Some(Instant::now());
             lock(&ctx.balancer).remove_peer(&host);
             ctx.items.peer_down(&host);
-            ctx.waiting.peer_down(&host);
+            ctx.waiting.remove_peer(&host);
             ctx.items.wake();
         }
         host_list::mark_silent(&ctx);
-        ctx.waiting.set_hosts(local_host_count(&ctx));
+        ctx.waiting.set_host_count(local_host_count(&ctx));
     }
 }
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -141,7 +141,7 @@
     match postcard::from_bytes::<Vec<messages::Suspect>>(&bytes) {
         Ok(suspects) => {
             for suspect in &suspects {
-                quarantine::take(ctx, host, &decode(suspect));
+                quarantine::merge_report(ctx, host, &decode(suspect));
             }
             ctx.startup.mark_ready(Dependency::Suspects, host);
         }
@@ -153,6 +153,6 @@
 /// Applies reports received from a host.
 pub(super) fn apply_reports(ctx: &Arc<Context>, reports: &messages::Suspects) {
     for suspect in &reports.suspects {
-        quarantine::take(ctx, &reports.host, &decode(suspect));
+        quarantine::merge_report(ctx, &reports.host, &decode(suspect));
     }
 }
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -3,37 +3,41 @@
 //! Data centres have three hosts instead of some sixty; the settings limit the size of a cell.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::store::ScriptedStore;
+use harness::targets::item_text;
+use harness::wait_until;
 use notchwharf_gateway::jobs::ItemResult;
-use world::Running;
-use world::World;
-use world::store::ScriptedStore;
-use world::targets::item_text;
-use world::until;
 
 const DATA_CENTRES: usize = 4;
 /// Hosts per data centre, and maximum number per cell.
 const HOSTS: usize = 3;
 
 /// Starts a fleet with a separate store connection per data centre.
-async fn start_with_doors(world: &World, doors: &[ScriptedStore]) -> Vec<Running> {
+async fn start_with_connections(
+    harness: &Harness,
+    connections: &[ScriptedStore],
+) -> Vec<RunningHost> {
     let mut hosts = Vec::new();
     for number in 0..DATA_CENTRES * HOSTS {
         let data_centre = number / HOSTS;
         let name = format!("h{data_centre}-{number}");
-        let started = world.start_apart(&name, doors[data_centre].clone(), |settings| {
-            settings.host.data_centre = format!("d{data_centre}");
-            settings.peers.cell_hosts_max = u32::try_from(HOSTS).unwrap();
-            // Items must not time out before all hosts know of them.
-            settings.batch.stall_ms = 10_000;
-        });
+        let started =
+            harness.start_with_store(&name, connections[data_centre].clone(), |settings| {
+                settings.host.data_centre = format!("d{data_centre}");
+                settings.peers.cell_hosts_max = u32::try_from(HOSTS).unwrap();
+                // Items must not time out before all hosts know of them.
+                settings.batch.stall_ms = 10_000;
+            });
         hosts.push(started.await);
     }
     for host in &hosts {
-        host.until_ready().await;
+        host.wait_ready().await;
     }
-    until("hosts are connected to those of their cells only", || {
+    wait_until("hosts are connected to those of their cells only", || {
         hosts
             .iter()
             .all(|host| host.ctx().peers_alive() == HOSTS - 1)
@@ -42,21 +46,23 @@
     hosts
 }
 
-fn doors(world: &World) -> Vec<ScriptedStore> {
-    (0..DATA_CENTRES).map(|_| world.store.door()).collect()
+fn connections(harness: &Harness) -> Vec<ScriptedStore> {
+    (0..DATA_CENTRES)
+        .map(|_| harness.store.connection())
+        .collect()
 }
 
-async fn start(world: &World) -> Vec<Running> {
-    start_with_doors(world, &doors(world)).await
+async fn start(harness: &Harness) -> Vec<RunningHost> {
+    start_with_connections(harness, &connections(harness)).await
 }
 
-fn cell_of(host: &Running) -> &str {
+fn cell_of(host: &RunningHost) -> &str {
     &host.ctx().settings.host.data_centre
 }
 
 /// Waits until a host other than the one that accepted the job owns it. All hosts are checked,
 /// since one that is not involved in a job reads its records only every two seconds.
-async fn next_owner(hosts: &[Running]) -> String {
+async fn next_owner(hosts: &[RunningHost]) -> String {
     let owner = || {
         hosts.iter().find_map(|host| {
             let jobs = host.ctx().journal.jobs();
@@ -64,7 +70,7 @@
             job.map(|job| job.owner.clone())
         })
     };
-    until("another host owns the job", || owner().is_some()).await;
+    wait_until("another host owns the job", || owner().is_some()).await;
     owner().unwrap()
 }
 
@@ -76,14 +82,14 @@
 
 #[tokio::test]
 async fn job_runs_once_and_is_readable_in_every_cell() {
-    let world = World::new(&["t1", "t2"]);
-    let hosts = start(&world).await;
+    let harness = Harness::new(&["t1", "t2"]);
+    let hosts = start(&harness).await;
     hosts[0].submit("j1", 4, 10).await.unwrap();
     for host in &hosts {
         assert_complete(&host.results("j1", 4).await);
     }
     for item in 0..4 {
-        assert_eq!(world.engines.runs(&format!("j1-{item}")).len(), 1);
+        assert_eq!(harness.targets.runs(&format!("j1-{item}")).len(), 1);
     }
 }
 
@@ -91,21 +97,21 @@
 async fn load_of_a_cell_is_known_in_all_others() {
     // Two slots each, one of which in total is reserved for online requests.
     let targets = ["t1", "t2"];
-    let world = World::new(&targets);
-    let hosts = start(&world).await;
-    let items = |host: &Running| -> u32 {
+    let harness = Harness::new(&targets);
+    let hosts = start(&harness).await;
+    let items = |host: &RunningHost| -> u32 {
         let loads = targets.iter().map(|target| host.ctx().load_of(target));
         loads.map(|load| load.batch).sum()
     };
-    world.engines.hold();
+    harness.targets.hold();
     hosts[0].submit("j1", 1, 10).await.unwrap();
     hosts[1].submit("j2", 1, 10).await.unwrap();
-    until("every host counts both items", || {
+    wait_until("every host counts both items", || {
         hosts.iter().all(|h| items(h) == 2)
     })
     .await;
-    world.engines.go();
-    until("every host knows that both ended", || {
+    harness.targets.release();
+    wait_until("every host knows that both ended", || {
         hosts.iter().all(|h| items(h) == 0)
     })
     .await;
@@ -113,51 +119,51 @@
 
 #[tokio::test]
 async fn job_of_a_failed_host_is_taken_over_in_its_cell() {
-    let world = World::new(&["t1"]);
-    let mut hosts = start(&world).await;
-    world.engines.hold();
+    let harness = Harness::new(&["t1"]);
+    let mut hosts = start(&harness).await;
+    harness.targets.hold();
     hosts[0].submit("j1", 1, 10).await.unwrap();
-    until("it runs", || world.engines.active() == 1).await;
+    wait_until("it runs", || harness.targets.active() == 1).await;
     hosts.remove(0).kill();
     let owner = next_owner(&hosts).await;
     assert!(owner.starts_with("h0-"), "{owner}");
-    world.engines.go();
+    harness.targets.release();
     let reader = hosts.last().unwrap();
     assert_complete(&reader.results("j1", 1).await);
 }
 
 #[tokio::test]
 async fn jobs_of_a_failed_cell_are_taken_over_by_another() {
-    let world = World::new(&["t1"]);
-    let hosts = start(&world).await;
-    world.engines.hold();
+    let harness = Harness::new(&["t1"]);
+    let hosts = start(&harness).await;
+    harness.targets.hold();
     hosts[0].submit("j1", 1, 10).await.unwrap();
-    until("it runs", || world.engines.active() == 1).await;
+    wait_until("it runs", || harness.targets.active() == 1).await;
     let (failed, remaining): (Vec<_>, Vec<_>) = hosts.into_iter().partition(|h| cell_of(h) == "d0");
-    failed.into_iter().for_each(Running::kill);
+    failed.into_iter().for_each(RunningHost::kill);
     let owner = next_owner(&remaining).await;
     assert!(!owner.starts_with("h0-"), "{owner}");
-    world.engines.go();
+    harness.targets.release();
     assert_complete(&remaining[0].results("j1", 1).await);
 }
 
 #[tokio::test]
 async fn data_centre_refused_by_the_store_is_served_by_others() {
-    let world = World::new(&["t1"]);
-    let doors = doors(&world);
-    let hosts = start_with_doors(&world, &doors).await;
-    until("hosts know those of other cells", || {
+    let harness = Harness::new(&["t1"]);
+    let connections = connections(&harness);
+    let hosts = start_with_connections(&harness, &connections).await;
+    wait_until("hosts know those of other cells", || {
         let with_store = hosts.iter().map(|h| h.ctx().peers_with_store());
         with_store.min() >= Some(2 * HOSTS)
     })
     .await;
-    doors[0].close(true);
-    until("the store is unavailable", || {
+    connections[0].set_closed(true);
+    wait_until("the store is unavailable", || {
         hosts[..HOSTS].iter().all(|h| !h.ctx().is_store_up())
     })
     .await;
-    world.configure(5, true);
-    until("the routes are received from another cell", || {
+    harness.configure(5, true);
+    wait_until("the routes are received from another cell", || {
         let tables = hosts[..HOSTS].iter().map(|h| h.ctx().table().unwrap());
         tables.into_iter().all(|table| table.version() == 5)
     })
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -8,14 +8,14 @@
 //! out after 700 ms. The tests count the calls and the records read.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::targets::item_text;
 use notchwharf_gateway::jobs;
 use notchwharf_gateway::ports::Topic;
 use rstest::rstest;
-use world::Running;
-use world::World;
-use world::targets::item_text;
 
 const JOBS: usize = 24;
 const ITEMS: u32 = 5;
@@ -26,25 +26,25 @@
     format!("job-{job}")
 }
 
-/// Returns a world in which jobs completed before older records expired, and a host that
+/// Returns a harness in which jobs completed before older records expired, and a host that
 /// started after that.
-async fn world_with_expired_records(page: usize) -> (World, Running) {
-    let world = World::new(&["t1", "t2", "t3"]);
-    world.store.set_page(page);
-    let first = world.start_ready("a1").await;
+async fn harness_with_expired_records(page: usize) -> (Harness, RunningHost) {
+    let harness = Harness::new(&["t1", "t2", "t3"]);
+    harness.store.set_page_len(page);
+    let first = harness.start_ready("a1").await;
     for job in 0..JOBS {
         first.submit(&name(job), ITEMS, 1).await.unwrap();
     }
     for job in 0..JOBS {
         first.results(&name(job), ITEMS as usize).await;
     }
-    world.store.expire();
+    harness.store.expire_history();
     first.kill();
-    let second = world.start_ready("a2").await;
-    (world, second)
+    let second = harness.start_ready("a2").await;
+    (harness, second)
 }
 
-async fn read_all(host: &Running) {
+async fn read_all(host: &RunningHost) {
     for job in 0..JOBS {
         let results = host.results(&name(job), ITEMS as usize).await;
         assert_eq!(results.len(), ITEMS as usize);
@@ -59,47 +59,47 @@
 #[case::several_pages(2)]
 #[tokio::test]
 async fn jobs_are_readable_after_records_expired(#[case] page: usize) {
-    let (_world, host) = world_with_expired_records(page).await;
+    let (_harness, host) = harness_with_expired_records(page).await;
     read_all(&host).await;
 }
 
 #[tokio::test]
 async fn results_of_a_job_share_pages_after_records_expired() {
-    let (world, host) = world_with_expired_records(PAGE).await;
+    let (harness, host) = harness_with_expired_records(PAGE).await;
     read_all(&host).await;
-    let pages = world.store.listings(Topic::Results);
+    let pages = harness.store.pages_read(Topic::Results);
     assert!(pages <= JOBS, "{pages} pages for {JOBS} jobs");
 }
 
 #[tokio::test]
 async fn cost_of_reading_a_job_does_not_depend_on_other_jobs() {
-    let (world, host) = world_with_expired_records(PAGE).await;
+    let (harness, host) = harness_with_expired_records(PAGE).await;
     read_all(&host).await;
     let wanted = JOBS * ITEMS as usize;
-    let listed = world.store.listed(Topic::Results);
+    let listed = harness.store.records_listed(Topic::Results);
     assert!(listed <= 2 * wanted, "{listed} records for {wanted}");
 }
 
 #[tokio::test]
 async fn cost_of_reading_bodies_does_not_depend_on_other_bodies() {
-    let world = World::new(&["t1"]);
-    world.store.set_page(PAGE);
-    let first = world.start_ready("a1").await;
-    world.engines.hold();
+    let harness = Harness::new(&["t1"]);
+    harness.store.set_page_len(PAGE);
+    let first = harness.start_ready("a1").await;
+    harness.targets.hold();
     for job in 0..JOBS {
         first.submit(&name(job), ITEMS, 1).await.unwrap();
     }
-    world.store.expire();
-    let second = world
+    harness.store.expire_history();
+    let second = harness
         .start_with("a2", |settings| settings.peers.down_ms = 60_000)
         .await;
-    second.until_ready().await;
-    let before = world.store.listed(Topic::Payloads);
+    second.wait_ready().await;
+    let before = harness.store.records_listed(Topic::Payloads);
     for job in 0..JOBS {
         let item = format!("{}-2", name(job));
         let body = jobs::body(second.ctx(), &name(job), &item).await.unwrap();
         assert_eq!(body, "body of 2");
     }
-    let listed = world.store.listed(Topic::Payloads) - before;
+    let listed = harness.store.records_listed(Topic::Payloads) - before;
     assert!(listed <= 2 * JOBS, "{listed} payloads for {JOBS}");
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,12 +1,16 @@
 //! Handling of peers' datagrams, sent by the tests.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
-mod world;
+mod harness;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use std::time::Instant;
 
+use harness::Harness;
+use harness::RunningHost;
+use harness::WAIT_MAX;
+use harness::wait_until;
 use notchwharf_config::gateway::Settings;
 use notchwharf_gateway::metrics::Counted;
 use notchwharf_proto::messages;
@@ -16,10 +20,6 @@
 use notchwharf_routing::balancer::key_of;
 use rstest::rstest;
 use tokio::net::UdpSocket;
-use world::Running;
-use world::WAIT_MAX;
-use world::World;
-use world::until;
 
 /// Heartbeat interval of a host.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
@@ -65,25 +65,24 @@
 
 #[tokio::test]
 async fn peer_that_restarts_after_its_clock_was_set_back_is_detected() {
-    let world = World::new(&["t1"]);
-    let host = world.start_ready("a1").await;
+    let harness = Harness::new(&["t1"]);
+    let host = harness.start_ready("a1").await;
     let peer = Peer::connect(host.ctx().settings.host.peer_listen).await;
     peer.send_status("b1", 1_000, 50, &[]).await;
-    until("the peer is alive", || host.ctx().peers_alive() == 1).await;
-    until("its failure is detected", || host.ctx().peers_alive() == 0).await;
-    // It restarts with an earlier time of day.
+    wait_until("the peer is alive", || host.ctx().peers_alive() == 1).await;
+    wait_until("its failure is detected", || host.ctx().peers_alive() == 0).await; // It restarts with an earlier time of day.
     peer.send_status("b1", 500, 1, &[("t1", 2)]).await;
-    until("the peer is alive again", || host.ctx().peers_alive() == 1).await;
+    wait_until("the peer is alive again", || host.ctx().peers_alive() == 1).await;
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
 #[tokio::test]
 async fn outdated_status_of_a_live_peer_is_ignored() {
-    let world = World::new(&["t1", "t2"]);
-    let host = world
+    let harness = Harness::new(&["t1", "t2"]);
+    let host = harness
         .start_with("a1", |settings| settings.peers.down_ms = 60_000)
         .await;
-    host.until_ready().await;
+    host.wait_ready().await;
     let peer = Peer::connect(host.ctx().settings.host.peer_listen).await;
     peer.send_status("b1", 1_000, 2, &[("t1", 2)]).await;
     for (incarnation, number) in [(500, 9), (1_000, 1), (1_000, 2)] {
@@ -92,30 +91,31 @@
     }
     // A status of another peer is handled after all of these.
     peer.send_status("c1", 1, 1, &[("t2", 1)]).await;
-    until("all is read", || host.ctx().load_of("t2").online == 1).await;
+    wait_until("all is read", || host.ctx().load_of("t2").online == 1).await;
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
 /// Returns hosts of one data centre that know the address of a host in `data_centre` that has
 /// just failed.
 async fn hosts_with_failed_peer(
-    world: &World,
+    harness: &Harness,
     count: usize,
     data_centre: &'static str,
-) -> Vec<Running> {
+) -> Vec<RunningHost> {
     let configure = |settings: &mut Settings| settings.host.data_centre = data_centre.into();
-    let failed = world.start_with("x1", configure).await;
+    let failed = harness.start_with("x1", configure).await;
     let mut hosts = Vec::new();
     for number in 0..count {
-        hosts.push(world.start_ready(&format!("a{number}")).await);
+        hosts.push(harness.start_ready(&format!("a{number}")).await);
     }
-    until("all know each other", || {
-        let knows = |h: &Running| h.ctx().peers_alive() == count && h.ctx().peers_listed() == count;
+    wait_until("all know each other", || {
+        let knows =
+            |h: &RunningHost| h.ctx().peers_alive() == count && h.ctx().peers_listed() == count;
         hosts.iter().all(knows)
     })
     .await;
     failed.kill();
-    until("the failure is detected", || {
+    wait_until("the failure is detected", || {
         hosts.iter().all(|h| h.ctx().peers_alive() == count - 1)
     })
     .await;
@@ -124,19 +124,18 @@
 
 #[tokio::test]
 async fn relayed_status_is_applied() {
-    let world = World::new(&["t1"]);
-    let hosts = hosts_with_failed_peer(&world, 1, "e").await;
+    let harness = Harness::new(&["t1"]);
+    let hosts = hosts_with_failed_peer(&harness, 1, "e").await;
     let host = &hosts[0];
     let peer = Peer::connect(host.ctx().settings.host.peer_listen).await;
     let unknown = status("y1", u64::MAX, 1, &[("t1", 5)]);
     let known = status("x1", u64::MAX, 1, &[("t1", 2)]);
     peer.send(&PeerMessage::PassedOn(vec![unknown, known]))
         .await;
-    until("the relayed peer is alive", || {
+    wait_until("the relayed peer is alive", || {
         host.ctx().peers_alive() == 1
     })
-    .await;
-    // The address of the other host is unknown, so its status is ignored.
+    .await; // The address of the other host is unknown, so its status is ignored.
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
@@ -148,15 +147,14 @@
     #[case] data_centre: &'static str,
     #[case] is_relayed: bool,
 ) {
-    let world = World::new(&["t1"]);
-    let hosts = hosts_with_failed_peer(&world, 5, data_centre).await;
+    let harness = Harness::new(&["t1"]);
+    let hosts = hosts_with_failed_peer(&harness, 5, data_centre).await;
     let peer = Peer::connect(hosts[0].ctx().settings.host.peer_listen).await;
     let metrics = &hosts[0].ctx().metrics;
-    let relayed = || metrics.counted(Counted::Datagrams, "passed on");
-    // Until the list is read, hosts do not know which ones are local.
+    let relayed = || metrics.counted(Counted::Datagrams, "passed on"); // Until the list is read, hosts do not know which ones are local.
     let relayed_before = relayed();
     peer.send_status("x1", u64::MAX, 1, &[("t1", 2)]).await;
-    until("the recipient has applied the status", || {
+    wait_until("the recipient has applied the status", || {
         hosts[0].ctx().load_of("t1").online == 2
     })
     .await;
@@ -180,28 +178,28 @@
 
 #[tokio::test]
 async fn hosts_of_two_data_centres_know_the_load_of_each() {
-    let world = World::new(&["t1", "t2"]);
+    let harness = Harness::new(&["t1", "t2"]);
     let mut hosts = Vec::new();
     for number in 0..20 {
         let data_centre = if number % 2 == 0 { "d" } else { "e" };
         let configure = |settings: &mut Settings| settings.host.data_centre = data_centre.into();
-        hosts.push(world.start_with(&format!("a{number}"), configure).await);
+        hosts.push(harness.start_with(&format!("a{number}"), configure).await);
     }
     for host in &hosts {
-        host.until_ready().await;
+        host.wait_ready().await;
     }
-    until("all know each other", || {
+    wait_until("all know each other", || {
         hosts.iter().all(|h| h.ctx().peers_alive() == 19)
     })
     .await;
-    world.engines.hold();
+    harness.targets.hold();
     let ctx = hosts[0].ctx().clone();
     let serving = tokio::spawn(async move {
-        let request = world::request(world::RESUMABLE, "r1");
+        let request = harness::request(harness::RESUMABLE, "r1");
         notchwharf_gateway::online::serve(&ctx, request, Instant::now()).await
     });
     let response = serving.await.unwrap().unwrap();
-    until("all know of the request", || {
+    wait_until("all know of the request", || {
         hosts.iter().all(|h| {
             let loads = ["t1", "t2"].map(|target| h.ctx().load_of(target).online);
             loads.iter().sum::<u32>() == 1
@@ -209,7 +207,7 @@
     })
     .await;
     drop(response);
-    until("all know that it ended", || {
+    wait_until("all know that it ended", || {
         hosts.iter().all(|h| {
             ["t1", "t2"]
                 .iter()
@@ -223,8 +221,8 @@
 /// peer, which may be stalled, does not.
 #[tokio::test]
 async fn items_wait_a_limited_time_for_a_peer_s_items_due_first() {
-    let world = World::new(&["t1"]);
-    let a1 = world.start_ready("a1").await;
+    let harness = Harness::new(&["t1"]);
+    let a1 = harness.start_ready("a1").await;
     let peer = Peer::connect(a1.ctx().settings.host.peer_listen).await;
     let first = PeerMessage::Status(Status {
         waiting: vec![messages::WaitingItems {
@@ -238,7 +236,7 @@
         tokio::task::yield_now().await;
     }
     a1.submit("j1", 1, 10).await.unwrap();
-    until("it knows of the items due first", || {
+    wait_until("it knows of the items due first", || {
         a1.ctx().metrics.text().contains("items_ahead\"} 7")
     })
     .await;
