--- a/crates/listen/src/lib.rs
+++ b/crates/listen/src/lib.rs
@@ -1,7 +1,7 @@
-//! Connections of callers: accepted, served, and let end when the host leaves.
+//! Accepts and serves HTTP connections, and drains them when the host shuts down.
 //!
-//! [`serve`] takes a listener, the phase of the host's life and a handler. Use
-//! it for every interface of a host, so that they all end alike.
+//! [`serve`] takes a listener, the phase of the host's lifecycle and a handler. Every interface
+//! of a host uses it, so all interfaces shut down in the same way.
 
 use std::convert::Infallible;
 use std::error::Error;
@@ -24,41 +24,41 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The least buffer for a request's head that the HTTP library takes.
+/// The smallest buffer size that hyper accepts.
 const HEAD_BYTES_MIN: usize = 8_192;
 
-/// Where a process is in its life.
+/// A phase of a host's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It cannot serve yet.
+    /// The host cannot serve requests yet.
     Starting,
-    /// It takes requests.
+    /// The host serves requests.
     Ready,
-    /// It finishes what it has.
+    /// The host shuts down: it still serves requests, and connections end after their request.
     Leaving,
-    /// It closes connections as they fall idle.
+    /// The host accepts no connections, and closes open ones once they are idle.
     Closing,
-    /// It ends now.
+    /// The host stops, and closes all connections.
     Stopped,
 }
 
-/// Bounds on what callers send.
+/// Limits on what clients send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head at most.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes_max: usize,
-    /// Time for a head, from the end of the request before.
+    /// The time limit for receiving a head, from the end of the previous request.
     pub head_timeout: Duration,
 }
 
-/// What a listener needs beside its handler.
+/// The configuration of [`serve`].
 #[derive(Clone)]
 pub struct Config {
-    /// The phase of the host's life.
+    /// The phase of the host's lifecycle.
     pub phase: watch::Receiver<Phase>,
     /// Counts open connections.
     pub connections: Gauge,
-    /// Returns the bounds for a new connection.
+    /// Returns the limits for a new connection.
     pub limits: Arc<dyn Fn() -> Limits + Send + Sync>,
 }
 
@@ -71,11 +71,11 @@
     }
 }
 
-/// Accepts connections until the host closes.
+/// Accepts and serves connections until the phase is [`Phase::Closing`].
 ///
-/// While the host leaves, connections are still accepted and requests served,
-/// each with word that the connection ends after it: the balancer may need a
-/// moment to notice, and a connection refused is a request cut.
+/// While the phase is [`Phase::Leaving`], connections are still accepted and requests served,
+/// with `connection: close` in each response. A load balancer in front of the host may notice
+/// the shutdown late, and each connection that is refused until then is a failed request.
 pub async fn serve<F, R, B>(mut cfg: Config, listener: TcpListener, handler: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
@@ -85,36 +85,36 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // Whoever started the host may be gone with it.
+            // Also returns if the sender of the phase was dropped.
             _ = cfg.phase.wait_for(|p| *p >= Phase::Closing) => return,
         };
-        // Running out of descriptors must not end the service.
+        // An error such as a lack of file descriptors must not stop the listener.
         let Ok((socket, _)) = accepted else {
             tokio::task::yield_now().await;
             continue;
         };
-        tokio::spawn(connection(cfg.clone(), socket, handler.clone()));
+        tokio::spawn(serve_connection(cfg.clone(), socket, handler.clone()));
     }
 }
 
-async fn connection<F, R, B>(cfg: Config, socket: TcpStream, handler: F)
+async fn serve_connection<F, R, B>(cfg: Config, socket: TcpStream, handler: F)
 where
     F: Fn(Request<Incoming>) -> R + Send + Sync + 'static,
     R: Future<Output = Response<B>> + Send + 'static,
     B: Body<Data: Send, Error: Into<Box<dyn Error + Send + Sync>>> + Send + 'static,
 {
-    // Without it small pieces are only later.
+    // If this fails, small writes are only delayed.
     let _ = socket.set_nodelay(true);
-    let _open = cfg.connections.enter();
+    let _connection_guard = cfg.connections.enter();
     let limits = (cfg.limits)();
     let mut phase = cfg.phase;
-    let told = phase.clone();
+    let response_phase = phase.clone();
     let service = service_fn(move |req| {
-        let answered = handler(req);
-        let told = told.clone();
+        let response = handler(req);
+        let response_phase = response_phase.clone();
         async move {
-            let mut resp = answered.await;
-            if *told.borrow() >= Phase::Leaving {
+            let mut resp = response.await;
+            if *response_phase.borrow() >= Phase::Leaving {
                 let close = HeaderValue::from_static("close");
                 resp.headers_mut().insert(CONNECTION, close);
             }
@@ -128,11 +128,11 @@
         .serve_connection(TokioIo::new(socket), service);
     let mut conn = std::pin::pin!(conn);
     tokio::select! {
-        // A connection that breaks is the caller's to notice.
+        // Errors are ignored: the client observes a broken connection itself.
         _ = conn.as_mut() => return,
         _ = phase.wait_for(|p| *p >= Phase::Closing) => {}
     }
-    // An idle connection ends here, a busy one after its request.
+    // Closes an idle connection now, and a busy one after its current request.
     conn.as_mut().graceful_shutdown();
     tokio::select! {
         _ = conn => {}
