--- a/crates/telemetry/src/gauge.rs
+++ b/crates/telemetry/src/gauge.rs
@@ -1,29 +1,29 @@
-//! Counts of what is under way.
+//! A gauge of operations in progress.
 
 use std::sync::Arc;
 
-/// Counts what is under way; its clones are what is counted.
+/// Counts operations in progress: every clone counts as one, until it is dropped.
 ///
 /// ```
 /// use notchwharf_telemetry::gauge::Gauge;
 ///
 /// let gauge = Gauge::default();
-/// let one = gauge.enter();
+/// let guard = gauge.enter();
 /// assert_eq!(gauge.count(), 1);
-/// drop(one);
+/// drop(guard);
 /// assert_eq!(gauge.count(), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Gauge(Arc<()>);
 
 impl Gauge {
-    /// Counts one more until what is returned is dropped.
+    /// Counts one more operation until the returned guard is dropped.
     #[must_use]
     pub fn enter(&self) -> Self {
         self.clone()
     }
 
-    /// Returns how many are under way.
+    /// Returns the number of operations in progress, which is the number of clones.
     pub fn count(&self) -> usize {
         Arc::strong_count(&self.0) - 1
     }
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,12 +1,12 @@
-//! Structured logs of bounded volume.
+//! Structured logs with a limited rate.
 //!
 //! ```
-//! let (logger, _flush) = notchwharf_telemetry::logs::root(std::io::sink(), 100);
+//! let (logger, _guard) = notchwharf_telemetry::logs::root(std::io::sink(), 100);
 //! slog::info!(logger, "started"; "host" => "a1");
 //! ```
 //!
-//! Sampling by request was rejected: the one line that explains a complaint is
-//! as likely to be left out as any other. A rate keeps all lines on usual days.
+//! Sampling by request was rejected: the line that explains an incident would be dropped as
+//! often as any other. A rate limit keeps all lines under normal load.
 
 use std::io;
 use std::sync::Mutex;
@@ -21,26 +21,27 @@
 use slog_async::AsyncGuard;
 use slog_async::OverflowStrategy;
 
-/// Lines that may wait for the writing thread: a fraction of a megabyte.
+/// The number of lines buffered for the writer thread: a fraction of a megabyte.
 const QUEUE_LINES: usize = 1_024;
-/// Time over which lines are counted.
+/// The length of the windows in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Returns a logger that writes JSON lines to `out`, at most so many a second.
+/// Returns a logger that writes JSON lines to `out`, at most `lines_per_s_max` per second, and
+/// a guard.
 ///
-/// Lines are written when the guard is dropped at the latest.
+/// Dropping the guard writes the buffered lines.
 pub fn root<W: io::Write + Send + 'static>(out: W, lines_per_s_max: u32) -> (Logger, AsyncGuard) {
     let json = slog_json::Json::default(out).fuse();
     let (queue, guard) = slog_async::Async::new(json)
         .chan_size(QUEUE_LINES)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
-    let limited = Limited::new(queue.fuse(), lines_per_s_max);
-    (Logger::root(limited.fuse(), slog::o!()), guard)
+    let rate_limited = RateLimited::new(queue.fuse(), lines_per_s_max);
+    (Logger::root(rate_limited.fuse(), slog::o!()), guard)
 }
 
-/// A drain that passes on only so many lines a second.
-struct Limited<D> {
+/// A drain that forwards at most `lines_per_s_max` lines per second.
+struct RateLimited<D> {
     inner: D,
     lines_per_s_max: u32,
     window: Mutex<Window>,
@@ -48,15 +49,15 @@
 
 #[derive(Debug)]
 struct Window {
-    from: Instant,
+    started_at: Instant,
     lines: u32,
     dropped: u64,
 }
 
-impl<D> Limited<D> {
+impl<D> RateLimited<D> {
     fn new(inner: D, lines_per_s_max: u32) -> Self {
         let window = Window {
-            from: Instant::now(),
+            started_at: Instant::now(),
             lines: 0,
             dropped: 0,
         };
@@ -67,14 +68,14 @@
         }
     }
 
-    /// Counts a line; returns whether it is passed on and how many were
-    /// dropped in the window that has just ended.
+    /// Counts a line. Returns whether it is forwarded, and the number of lines dropped in the
+    /// previous window if the line starts a new one.
     fn admit(&self) -> (bool, u64) {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let mut dropped = 0;
-        if window.from.elapsed() >= WINDOW {
+        if window.started_at.elapsed() >= WINDOW {
             dropped = window.dropped;
-            window.from = Instant::now();
+            window.started_at = Instant::now();
             window.lines = 0;
             window.dropped = 0;
         }
@@ -87,17 +88,18 @@
     }
 }
 
-impl<D: Drain<Ok = (), Err = slog::Never>> Drain for Limited<D> {
+impl<D: Drain<Ok = (), Err = slog::Never>> Drain for RateLimited<D> {
     type Ok = ();
     type Err = slog::Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
         let (admitted, dropped) = self.admit();
         if dropped > 0 {
-            let told = slog::record_static!(slog::Level::Warning, "");
+            let static_part = slog::record_static!(slog::Level::Warning, "");
             let args = format_args!("log lines dropped");
             let kv = slog::b!("dropped" => dropped);
-            self.inner.log(&Record::new(&told, &args, kv), values)?;
+            self.inner
+                .log(&Record::new(&static_part, &args, kv), values)?;
         }
         if admitted {
             self.inner.log(record, values)?;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,20 +1,19 @@
 //! Counters, gauges and latency histograms.
 //!
-//! Histograms are kept by `hdrhistogram` and shown as summaries in the
-//! Prometheus text format. Only so many are kept for each figure; whatever
-//! comes on top shares one, so that memory does not grow with what callers
-//! send.
+//! Durations are recorded in `hdrhistogram` histograms and exported as summaries in the
+//! Prometheus text format. The number of histograms per metric is limited; further label
+//! values share one histogram, so memory does not grow with the values that callers send.
 //!
 //! ```
 //! use std::time::Duration;
 //! use notchwharf_telemetry::metrics::{Counter, Metrics, Timing};
 //!
 //! const REQUESTS: Counter = Counter { name: "requests_total", help: "Requests.", label: "outcome" };
-//! const WHOLE: Timing = Timing { name: "whole_seconds", help: "By route." };
-//! let metrics = Metrics::new(&[REQUESTS], &[WHOLE]);
-//! metrics.add(0, "whole", 1);
+//! const DURATION: Timing = Timing { name: "duration_seconds", help: "By route." };
+//! let metrics = Metrics::new(&[REQUESTS], &[DURATION]);
+//! metrics.add(0, "completed", 1);
 //! metrics.histogram(0, &[("route", "r1")]).record(Duration::from_millis(3));
-//! assert!(metrics.text().contains("requests_total{outcome=\"whole\"} 1"));
+//! assert!(metrics.text().contains("requests_total{outcome=\"completed\"} 1"));
 //! ```
 
 use std::collections::HashMap;
@@ -32,36 +31,37 @@
 use prometheus::TextEncoder;
 use prometheus::proto;
 
-/// Histograms kept for each figure: two classes for each of 256 tenants.
+/// The number of histograms per metric from which on new label values share one: two classes
+/// for each of 256 tenants.
 const HISTOGRAMS_MAX: usize = 512;
-/// The value of the last label of what is counted together.
-const OTHERS: &str = "others";
+/// The value of the last label of the histogram that further label values share.
+const OVERFLOW_LABEL: &str = "others";
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// A counter with one label.
 #[derive(Clone, Copy, Debug)]
 pub struct Counter {
-    /// The counter's name.
+    /// The name of the metric.
     pub name: &'static str,
-    /// What it counts.
+    /// The help text.
     pub help: &'static str,
-    /// The name of its label.
+    /// The name of the label.
     pub label: &'static str,
 }
 
-/// A figure that is timed.
+/// A metric of durations.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// The figure's name.
+    /// The name of the metric.
     pub name: &'static str,
-    /// What it measures.
+    /// The help text.
     pub help: &'static str,
 }
 
 type Labels = Vec<(&'static str, String)>;
 
-/// Metrics of one process.
+/// The metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -70,44 +70,45 @@
     timings: Vec<(Timing, Mutex<HashMap<Labels, Histogram>>)>,
 }
 
-/// The histogram of one figure and set of labels.
+/// The histogram of one duration metric and set of labels.
 #[derive(Clone, Debug)]
 pub struct Histogram(Arc<Mutex<hdrhistogram::Histogram<u64>>>);
 
 impl Histogram {
     fn new() -> Self {
-        let histogram = hdrhistogram::Histogram::new(2).expect("Two digits are within bounds.");
+        let histogram =
+            hdrhistogram::Histogram::new(2).expect("Two significant digits are supported.");
         Self(Arc::new(Mutex::new(histogram)))
     }
 
-    /// Records a time.
-    pub fn record(&self, took: Duration) {
-        let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        // A histogram that sizes itself takes any value that it can hold.
+    /// Records a duration.
+    pub fn record(&self, duration: Duration) {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+        // A histogram that resizes automatically accepts any value that it can represent.
         let _ = lock(&self.0).record(micros);
     }
 }
 
 impl Metrics {
-    /// Returns metrics with these counters and timings, named by their places.
+    /// Returns metrics with these counters and timings, which are addressed by their index.
     ///
     /// # Panics
     ///
-    /// Panics if a name is not valid for Prometheus or stands twice.
+    /// Panics if a name is not a valid Prometheus name, or if two counters have the same name.
     pub fn new(counters: &[Counter], timings: &[Timing]) -> Self {
         let registry = Registry::new();
         let counters = counters.iter().map(|counter| {
             let opts = Opts::new(counter.name, counter.help);
             let vec = IntCounterVec::new(opts, &[counter.label]).expect("The name is valid.");
-            let known = registry.register(Box::new(vec.clone()));
-            known.expect("Each name is registered once.");
+            let registered = registry.register(Box::new(vec.clone()));
+            registered.expect("Each name is registered once.");
             vec
         });
         let counters = counters.collect();
         let opts = Opts::new("notchwharf_state", "Present state by name.");
         let gauges = IntGaugeVec::new(opts, &["name"]).expect("The name is valid.");
-        let known = registry.register(Box::new(gauges.clone()));
-        known.expect("Each name is registered once.");
+        let registered = registry.register(Box::new(gauges.clone()));
+        registered.expect("Each name is registered once.");
         let timings = timings.iter().map(|t| (*t, Mutex::default())).collect();
         Self {
             registry,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Adds to the counter at a place.
+    /// Adds `by` to the counter with the index `counter`.
     ///
     /// # Panics
     ///
@@ -127,7 +128,7 @@
         counter.with_label_values(&[label]).inc_by(by);
     }
 
-    /// Returns the value of the counter at a place.
+    /// Returns the value of the counter with the index `counter`.
     ///
     /// # Panics
     ///
@@ -136,14 +137,15 @@
         self.counters[counter].with_label_values(&[label]).get()
     }
 
-    /// Sets a gauge.
+    /// Sets the gauge `name`.
     pub fn set_gauge(&self, name: &str, value: usize) {
         let value = i64::try_from(value).unwrap_or(i64::MAX);
         self.gauges.with_label_values(&[name]).set(value);
     }
 
-    /// Returns the histogram of the timing at a place, to record into again
-    /// and again. Where there are too many, the last label's value is lost.
+    /// Returns the histogram with these labels of the timing with the index `timing`, which
+    /// may be kept and recorded into repeatedly. Once the timing has too many histograms, the
+    /// value of the last label is replaced by `others`.
     ///
     /// # Panics
     ///
@@ -151,29 +153,29 @@
     pub fn histogram(&self, timing: usize, labels: &[(&'static str, &str)]) -> Histogram {
         let mut histograms = lock(&self.timings[timing].1);
         let mut key: Labels = labels.iter().map(|(n, v)| (*n, (*v).to_owned())).collect();
-        let is_crowded = histograms.len() >= HISTOGRAMS_MAX;
-        if is_crowded
+        let is_full = histograms.len() >= HISTOGRAMS_MAX;
+        if is_full
             && !histograms.contains_key(&key)
             && let Some((_, value)) = key.last_mut()
         {
-            OTHERS.clone_into(value);
+            OVERFLOW_LABEL.clone_into(value);
         }
         let histogram = histograms.entry(key).or_insert_with(Histogram::new);
         histogram.clone()
     }
 
-    /// Returns everything in the Prometheus text format.
+    /// Exports all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut families = self.registry.gather();
         families.extend(self.timings.iter().filter_map(summaries));
         let mut out = Vec::new();
-        // Writing to memory does not fail.
+        // Writing to a vector does not fail.
         let _ = TextEncoder::new().encode(&families, &mut out);
         String::from_utf8_lossy(&out).into_owned()
     }
 }
 
-/// Locks a mutex; what it guards is consistent between any two statements.
+/// Locks a mutex, even if it is poisoned: no panic leaves the guarded data inconsistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs are bounded and never wait.
+//! Tests that the rate of log lines is limited and that logging never blocks.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use std::io;
@@ -11,9 +11,9 @@
 use notchwharf_telemetry::logs;
 
 #[derive(Clone, Default)]
-struct Written(Arc<Mutex<Vec<u8>>>);
+struct Output(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Written {
+impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -24,7 +24,7 @@
     }
 }
 
-impl Written {
+impl Output {
     fn lines(&self) -> Vec<String> {
         let bytes = self.0.lock().unwrap();
         let text = String::from_utf8_lossy(&bytes);
@@ -32,10 +32,10 @@
     }
 }
 
-/// A reader that never reads.
-struct Stuck;
+/// A writer whose writes never return.
+struct BlockedWriter;
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         loop {
             std::thread::park();
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn lines_over_the_rate_are_dropped_and_counted() {
-    let written = Written::default();
-    let (logger, flush) = logs::root(written.clone(), 5);
+fn lines_beyond_the_rate_are_dropped_and_counted() {
+    let output = Output::default();
+    let (logger, guard) = logs::root(output.clone(), 5);
     let started = Instant::now();
     for number in 0..50 {
         slog::info!(logger, "line"; "number" => number);
@@ -60,10 +60,10 @@
     }
     slog::info!(logger, "after");
     drop(logger);
-    drop(flush);
-    let lines = written.lines();
-    let plain = lines.iter().filter(|l| l.contains("\"line\"")).count();
-    assert_eq!(plain, 5, "{lines:?}");
+    drop(guard);
+    let lines = output.lines();
+    let logged = lines.iter().filter(|l| l.contains("\"line\"")).count();
+    assert_eq!(logged, 5, "{lines:?}");
     let dropped = lines
         .iter()
         .find(|l| l.contains("log lines dropped"))
@@ -73,11 +73,11 @@
 }
 
 #[test]
-fn a_reader_that_is_stuck_holds_nobody_up() {
-    let (logger, flush) = logs::root(Stuck, u32::MAX);
+fn a_blocked_writer_does_not_block_the_caller() {
+    let (logger, guard) = logs::root(BlockedWriter, u32::MAX);
     for number in 0..20_000 {
         slog::info!(logger, "line"; "number" => number);
     }
-    // Dropped, the guard would wait for what is written.
-    std::mem::forget(flush);
+    // Dropping the guard would wait for the buffered lines.
+    std::mem::forget(guard);
 }
