--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line's words.
+//! Parsing of the command line.
 
 use std::path::PathBuf;
 
@@ -8,49 +8,53 @@
 use lexopt::ValueExt as _;
 
 const HELP: &str = "\
-notchwharf: operates a fleet
+Operates a notchwharf fleet.
 
 Usage: notchwharf [--admin URL] [--json] COMMAND
 
 Bundles:
-  check FILE                            check a bundle without publishing it
+  check FILE                            validate a bundle without publishing it
   publish FILE --base VERSION|none --author NAME
-                                        propose a bundle, based on a version
+                                        propose a bundle that replaces a version
   sign-off VERSION --digest DIGEST --author NAME
-                                        put a proposal in force
-  bundle                                show the bundle in force
-  history                               show what was proposed and signed off
+                                        approve a proposal and make it current
+  bundle                                show the current bundle
+  history                               list proposals and sign-offs
 
 Fleet:
-  hosts                                 show hosts and the version each applies
-  targets                               show targets and what they hold
-  drain HOST                            let a host finish what it has, and leave
+  hosts                                 list hosts and the version each applies
+  targets                               list targets and the models they hold
+  drain HOST                            let a host finish its work and leave
 
 Jobs:
-  jobs                                  show jobs
+  jobs                                  list jobs
   cancel JOB                            cancel a job
 
 Options:
-  --admin URL  where a host listens for operators; else $NOTCHWHARF_ADMIN,
-               else http://127.0.0.1:7701
-  --json       print JSON
+  --admin URL  base URL of the operator interface of any host
+               [env: NOTCHWHARF_ADMIN] [default: http://127.0.0.1:7701]
+  --json       print the response as JSON
   --help       print this help
   --version    print the version
 
-A typical change:
+Example, publishing a bundle:
   notchwharf check next.json
   notchwharf publish next.json --base 41 --author ana
   notchwharf sign-off 57 --digest 9f0c... --author rui
   notchwharf hosts
 
-Exit codes: 0 done, 1 refused, 2 wrong command line or unreadable file,
-3 no host reached and nothing done, 4 sent but the outcome is not known.
+Exit codes:
+  0  success
+  1  the host refused the request, or the bundle is invalid
+  2  invalid command line, or unreadable file
+  3  no host could be reached; nothing was changed
+  4  the request was sent, but its outcome is unknown
 ";
 
 const ADMIN_DEFAULT: &str = "http://127.0.0.1:7701";
-const ADMIN_VARIABLE: &str = "NOTCHWHARF_ADMIN";
+const ADMIN_ENV_VAR: &str = "NOTCHWHARF_ADMIN";
 
-/// A command with its options.
+/// A command with the global options.
 #[derive(Debug)]
 pub(crate) struct Args {
     pub(crate) admin: String,
@@ -58,7 +62,7 @@
     pub(crate) command: Command,
 }
 
-/// What to do.
+/// A command.
 #[derive(Debug)]
 pub(crate) enum Command {
     Check {
@@ -87,99 +91,108 @@
     },
 }
 
-/// What the command line asks for.
+/// The result of parsing the command line.
 pub(crate) enum Parsed {
     Run(Args),
     Print(String),
 }
 
 #[derive(Default)]
-struct Words {
+struct RawArgs {
     admin: Option<String>,
     json: bool,
     base: Option<String>,
     author: Option<String>,
     digest: Option<String>,
-    plain: Vec<String>,
+    positional: Vec<String>,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 pub(crate) fn parse() -> Result<Parsed, lexopt::Error> {
     let mut parser = Parser::from_env();
-    let mut words = Words::default();
+    let mut raw = RawArgs::default();
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("admin") => words.admin = Some(parser.value()?.string()?),
-            Long("json") => words.json = true,
-            Long("base") => words.base = Some(parser.value()?.string()?),
-            Long("author") => words.author = Some(parser.value()?.string()?),
-            Long("digest") => words.digest = Some(parser.value()?.string()?),
+            Long("admin") => raw.admin = Some(parser.value()?.string()?),
+            Long("json") => raw.json = true,
+            Long("base") => raw.base = Some(parser.value()?.string()?),
+            Long("author") => raw.author = Some(parser.value()?.string()?),
+            Long("digest") => raw.digest = Some(parser.value()?.string()?),
             Long("help") => return Ok(Parsed::Print(HELP.into())),
             Long("version") => {
                 let version = concat!("notchwharf ", env!("CARGO_PKG_VERSION"), "\n");
                 return Ok(Parsed::Print(version.into()));
             }
-            Value(word) => words.plain.push(word.string()?),
+            Value(value) => raw.positional.push(value.string()?),
             _ => return Err(arg.unexpected()),
         }
     }
-    let command = words.command()?;
-    let admin = words.admin.or_else(|| std::env::var(ADMIN_VARIABLE).ok());
+    let command = raw.command()?;
+    let admin = raw.admin.or_else(|| std::env::var(ADMIN_ENV_VAR).ok());
     Ok(Parsed::Run(Args {
         admin: admin.unwrap_or_else(|| ADMIN_DEFAULT.into()),
-        json: words.json,
+        json: raw.json,
         command,
     }))
 }
 
-impl Words {
+impl RawArgs {
     fn command(&self) -> Result<Command, lexopt::Error> {
-        let plain: Vec<&str> = self.plain.iter().map(String::as_str).collect();
-        Ok(match &plain[..] {
+        let positional: Vec<&str> = self.positional.iter().map(String::as_str).collect();
+        Ok(match &positional[..] {
             ["check", file] => Command::Check { file: file.into() },
             ["publish", file] => Command::Publish {
                 file: file.into(),
                 base: self.base()?,
-                author: needed(&self.author, "--author NAME")?,
+                author: required(&self.author, "--author NAME")?,
             },
             ["sign-off", version] => Command::SignOff {
-                version: number(version)?,
-                digest: needed(&self.digest, "--digest DIGEST")?,
-                author: needed(&self.author, "--author NAME")?,
+                version: parse_version(version)?,
+                digest: required(&self.digest, "--digest DIGEST")?,
+                author: required(&self.author, "--author NAME")?,
             },
             ["bundle"] => Command::Bundle,
             ["history"] => Command::History,
             ["hosts"] => Command::Hosts,
             ["targets"] => Command::Targets,
             ["jobs"] => Command::Jobs,
-            ["cancel", job] => Command::Cancel { job: name(job)? },
-            ["drain", host] => Command::Drain { host: name(host)? },
-            [] => return Err("a command is missing; see --help".into()),
-            [word, ..] => return Err(format!("unknown command {word:?}; see --help").into()),
+            ["cancel", job] => Command::Cancel {
+                job: parse_name(job)?,
+            },
+            ["drain", host] => Command::Drain {
+                host: parse_name(host)?,
+            },
+            [] => return Err("missing command; see --help".into()),
+            [command, ..] => {
+                return Err(format!(
+                    "unknown command or wrong number of arguments: {command:?}; see --help"
+                )
+                .into());
+            }
         })
     }
 
     fn base(&self) -> Result<Option<u64>, lexopt::Error> {
-        match needed(&self.base, "--base VERSION|none")?.as_str() {
+        match required(&self.base, "--base VERSION|none")?.as_str() {
             "none" => Ok(None),
-            text => number(text).map(Some),
+            text => parse_version(text).map(Some),
         }
     }
 }
 
-fn needed(value: &Option<String>, what: &str) -> Result<String, lexopt::Error> {
-    let missing = || format!("{what} is missing; see --help").into();
+fn required(value: &Option<String>, option: &str) -> Result<String, lexopt::Error> {
+    let missing = || format!("missing {option}; see --help").into();
     value.clone().ok_or_else(missing)
 }
 
-fn number(text: &str) -> Result<u64, lexopt::Error> {
+fn parse_version(text: &str) -> Result<u64, lexopt::Error> {
     let parsed = text.parse();
-    parsed.map_err(|_| format!("{text:?} is no version; see `notchwharf history`").into())
+    parsed.map_err(|_| format!("invalid version {text:?}; see `notchwharf history`").into())
 }
 
-fn name(text: &str) -> Result<String, lexopt::Error> {
+fn parse_name(text: &str) -> Result<String, lexopt::Error> {
     if notchwharf_config::bundle::is_name(text) {
         return Ok(text.to_owned());
     }
-    Err(format!("{text:?} is no name of a host or job").into())
+    Err(format!("invalid host or job name {text:?}").into())
 }
--- a/crates/cli/src/call.rs
+++ b/crates/cli/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of a host's operator interface.
+//! Calls to the operator interface of a host.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,62 +14,64 @@
 
 const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a command was not carried out.
+/// An error of a command.
 #[derive(Debug)]
-pub(crate) enum Failed {
+pub(crate) enum CommandError {
     /// A file cannot be read.
     File(std::io::Error),
     /// The bundle in a file is not valid.
     Bundle(error::Bundle),
-    /// The host refused, with this error object.
+    /// The host refused the request with this error object.
     Refused(Value),
-    /// The host could not be reached.
+    /// The request could not be sent.
     Unreachable,
-    /// The call was sent, and what came of it is not known.
-    Unknown,
+    /// The request was sent, but its outcome is unknown.
+    OutcomeUnknown,
 }
 
-impl fmt::Display for Failed {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::File(err) => err.fmt(f),
             Self::Bundle(err) => err.fmt(f),
             Self::Refused(body) => {
                 let message = body.pointer("/error/message").and_then(Value::as_str);
-                f.write_str(message.unwrap_or("refused without a reason"))
+                f.write_str(message.unwrap_or("the host refused the request without a reason"))
+            }
+            Self::Unreachable => f.write_str("could not connect to the host; nothing was changed"),
+            Self::OutcomeUnknown => {
+                f.write_str("the outcome is unknown; check the state before retrying")
             }
-            Self::Unreachable => f.write_str("no connection to the host; nothing was done"),
-            Self::Unknown => f.write_str("the outcome is not known; look before trying again"),
         }
     }
 }
 
-/// Reads from a host.
-pub(crate) async fn get(url: &str) -> Result<Value, Failed> {
-    call(Method::GET, url, Bytes::new()).await
+/// Sends a GET request to a host.
+pub(crate) async fn get(url: &str) -> Result<Value, CommandError> {
+    send(Method::GET, url, Bytes::new()).await
 }
 
-/// Changes something through a host.
-pub(crate) async fn post(url: &str, body: &Value) -> Result<Value, Failed> {
-    call(Method::POST, url, body.to_string().into()).await
+/// Sends a POST request to a host.
+pub(crate) async fn post(url: &str, body: &Value) -> Result<Value, CommandError> {
+    send(Method::POST, url, body.to_string().into()).await
 }
 
-async fn call(method: Method, url: &str, body: Bytes) -> Result<Value, Failed> {
-    let req = http::request(method, url, body).map_err(|_| Failed::Unreachable)?;
+async fn send(method: Method, url: &str, body: Bytes) -> Result<Value, CommandError> {
+    let req = http::request(method, url, body).map_err(|_| CommandError::Unreachable)?;
     let resp = Client::new(TIMEOUT).send(req).await;
     let resp = resp.map_err(|report| match report.current_context() {
-        CallError::NotSent => Failed::Unreachable,
-        _ => Failed::Unknown,
+        CallError::NotSent => CommandError::Unreachable,
+        _ => CommandError::OutcomeUnknown,
     })?;
-    let done = resp.status().is_success();
-    let text = resp.into_body().collect().await;
-    let text = text.map_err(|_| Failed::Unknown)?.to_bytes();
-    let value: Value = serde_json::from_slice(&text).map_err(|_| Failed::Unknown)?;
-    if done {
+    let is_success = resp.status().is_success();
+    let body = resp.into_body().collect().await;
+    let body = body.map_err(|_| CommandError::OutcomeUnknown)?.to_bytes();
+    let value: Value = serde_json::from_slice(&body).map_err(|_| CommandError::OutcomeUnknown)?;
+    if is_success {
         return Ok(value);
     }
     if value.pointer("/error/outcome") == Some(&Value::from("unknown")) {
-        return Err(Failed::Unknown);
+        return Err(CommandError::OutcomeUnknown);
     }
-    Err(Failed::Refused(value))
+    Err(CommandError::Refused(value))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! The operators' command line.
+//! The command line for operators.
 //!
-//! Every command is one call of a host's operator interface, or none. Any host
-//! will do.
+//! Each command makes at most one call to the operator interface of a host, which may be any
+//! host of the fleet.
 
 mod args;
 mod call;
@@ -16,15 +16,15 @@
 use crate::args::Args;
 use crate::args::Command;
 use crate::args::Parsed;
-use crate::call::Failed;
+use crate::call::CommandError;
 
-/// The server refused, or the bundle in a file is not valid.
+/// The host refused the request, or the bundle in a file is invalid.
 const EXIT_REFUSED: u8 = 1;
-/// The command line is wrong, or a file cannot be read.
+/// The command line is invalid, or a file cannot be read.
 const EXIT_USAGE: u8 = 2;
-/// No host could be reached; nothing was done.
+/// No host could be reached; nothing was changed.
 const EXIT_UNREACHABLE: u8 = 3;
-/// The call was sent, and what came of it is not known.
+/// The request was sent, but its outcome is unknown.
 const EXIT_UNKNOWN: u8 = 4;
 
 #[tokio::main(flavor = "current_thread")]
@@ -45,30 +45,30 @@
             if args.json {
                 println!("{value:#}");
             } else {
-                print!("{}", show::text(&args.command, &value));
+                print!("{}", show::render(&args.command, &value));
             }
             ExitCode::SUCCESS
         }
-        Err(failed) => {
-            if let (true, Failed::Refused(body)) = (args.json, &failed) {
+        Err(err) => {
+            if let (true, CommandError::Refused(body)) = (args.json, &err) {
                 println!("{body:#}");
             }
-            eprintln!("notchwharf: {failed}");
-            ExitCode::from(exit_code(&failed))
+            eprintln!("notchwharf: {err}");
+            ExitCode::from(exit_code(&err))
         }
     }
 }
 
-fn exit_code(failed: &Failed) -> u8 {
-    match failed {
-        Failed::File(_) => EXIT_USAGE,
-        Failed::Bundle(_) | Failed::Refused(_) => EXIT_REFUSED,
-        Failed::Unreachable => EXIT_UNREACHABLE,
-        Failed::Unknown => EXIT_UNKNOWN,
+fn exit_code(err: &CommandError) -> u8 {
+    match err {
+        CommandError::File(_) => EXIT_USAGE,
+        CommandError::Bundle(_) | CommandError::Refused(_) => EXIT_REFUSED,
+        CommandError::Unreachable => EXIT_UNREACHABLE,
+        CommandError::OutcomeUnknown => EXIT_UNKNOWN,
     }
 }
 
-async fn run(args: &Args) -> Result<Value, Failed> {
+async fn run(args: &Args) -> Result<Value, CommandError> {
     let admin = args.admin.trim_end_matches('/');
     let url = |path: &str| format!("{admin}/admin/v1/{path}");
     match &args.command {
@@ -103,7 +103,7 @@
     }
 }
 
-fn load(file: &std::path::Path) -> Result<bundle::Bundle, Failed> {
-    let text = std::fs::read(file).map_err(Failed::File)?;
-    bundle::parse(&text).map_err(Failed::Bundle)
+fn load(file: &std::path::Path) -> Result<bundle::Bundle, CommandError> {
+    let text = std::fs::read(file).map_err(CommandError::File)?;
+    bundle::parse(&text).map_err(CommandError::Bundle)
 }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Answers as text for people.
+//! Human-readable output of responses.
 
 use std::fmt::Write as _;
 
@@ -6,22 +6,25 @@
 
 use crate::args::Command;
 
-/// Returns what a command prints.
-pub(crate) fn text(command: &Command, value: &Value) -> String {
+/// Returns the text that a command prints.
+pub(crate) fn render(command: &Command, value: &Value) -> String {
     match command {
-        Command::Check { .. } => format!("valid, digest {}\n", plain(&value["digest"])),
+        Command::Check { .. } => format!("valid, digest {}\n", format_value(&value["digest"])),
         Command::Publish { .. } => format!(
             "proposed version {}, digest {}\n",
-            plain(&value["version"]),
-            plain(&value["digest"])
+            format_value(&value["version"]),
+            format_value(&value["digest"])
+        ),
+        Command::SignOff { .. } => format!(
+            "version {} is now current\n",
+            format_value(&value["version"])
         ),
-        Command::SignOff { .. } => format!("version {} is in force\n", plain(&value["version"])),
         Command::Bundle => format!("{value:#}\n"),
         Command::History => table(
             &value["events"],
             &["offset", "version", "author", "outcome"],
         ),
-        Command::Hosts => hosts(&value["hosts"]),
+        Command::Hosts => hosts_table(&value["hosts"]),
         Command::Targets => table(
             &value["targets"],
             &[
@@ -35,23 +38,27 @@
         ),
         Command::Jobs => table(&value["jobs"], &["id", "tenant", "state", "counts"]),
         Command::Cancel { .. } => {
-            format!("{} is {}\n", plain(&value["id"]), plain(&value["state"]))
+            format!(
+                "{} is {}\n",
+                format_value(&value["id"]),
+                format_value(&value["state"])
+            )
         }
-        Command::Drain { .. } => format!("{} is leaving\n", plain(&value["draining"])),
+        Command::Drain { .. } => format!("{} is draining\n", format_value(&value["draining"])),
     }
 }
 
-fn hosts(hosts: &Value) -> String {
+fn hosts_table(hosts: &Value) -> String {
     let mut rows = Vec::new();
     for host in hosts.as_array().into_iter().flatten() {
         let report = &host["report"];
         let mut row = host.clone();
-        for name in ["bundle_version", "ready", "in_flight"] {
-            row[name] = report[name].clone();
+        for column in ["bundle_version", "ready", "in_flight"] {
+            row[column] = report[column].clone();
         }
         rows.push(row);
     }
-    let names = [
+    let columns = [
         "host",
         "health",
         "leaving",
@@ -59,17 +66,17 @@
         "bundle_version",
         "in_flight",
     ];
-    table(&Value::Array(rows), &names)
+    table(&Value::Array(rows), &columns)
 }
 
-fn table(rows: &Value, names: &[&str]) -> String {
-    let head: Vec<String> = names.iter().map(|n| n.to_uppercase()).collect();
-    let mut lines = vec![head];
+fn table(rows: &Value, columns: &[&str]) -> String {
+    let header: Vec<String> = columns.iter().map(|n| n.to_uppercase()).collect();
+    let mut lines = vec![header];
     for row in rows.as_array().into_iter().flatten() {
-        lines.push(names.iter().map(|n| plain(&row[*n])).collect());
+        lines.push(columns.iter().map(|n| format_value(&row[*n])).collect());
     }
     let width = |column: usize| lines.iter().map(|l| l[column].chars().count()).max();
-    let widths: Vec<usize> = (0..names.len()).map(|c| width(c).unwrap_or(0)).collect();
+    let widths: Vec<usize> = (0..columns.len()).map(|c| width(c).unwrap_or(0)).collect();
     let mut out = String::new();
     for line in &lines {
         let cells = line.iter().zip(&widths);
@@ -80,13 +87,13 @@
     out
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
-        Value::Array(all) => all.iter().map(plain).collect::<Vec<_>>().join(","),
+        Value::Array(all) => all.iter().map(format_value).collect::<Vec<_>>().join(","),
         Value::Object(all) => {
-            let pairs = all.iter().map(|(k, v)| format!("{k}={}", plain(v)));
+            let pairs = all.iter().map(|(k, v)| format!("{k}={}", format_value(v)));
             pairs.collect::<Vec<_>>().join(" ")
         }
         other => other.to_string(),
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line against a fleet of hosts.
+//! Tests the command line against a fleet of hosts.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use std::process::Output;
@@ -9,17 +9,17 @@
 use rstest::rstest;
 use serde_json::Value;
 
-async fn run(admin: &str, words: &[&str]) -> Output {
+async fn run(admin: &str, args: &[&str]) -> Output {
     let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_notchwharf"));
-    command.args(["--admin", admin]).args(words);
+    command.args(["--admin", admin]).args(args);
     command.output().await.unwrap()
 }
 
-fn json(out: &Output) -> Value {
+fn stdout_json(out: &Output) -> Value {
     serde_json::from_slice(&out.stdout).unwrap()
 }
 
-fn write(name: &str, text: &str) -> std::path::PathBuf {
+fn write_file(name: &str, text: &str) -> std::path::PathBuf {
     let dir = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = dir.join(format!("{name}-{}.json", std::process::id()));
     std::fs::write(&path, text).unwrap();
@@ -36,87 +36,87 @@
 #[case::unreachable(&["hosts"], 3)]
 #[case::help(&["--help"], 0)]
 #[tokio::test]
-async fn exit_codes_tell_what_went_wrong(#[case] words: &[&str], #[case] code: i32) {
+async fn exit_codes_identify_the_cause(#[case] args: &[&str], #[case] code: i32) {
     // Port 1 on loopback has no listener.
-    let out = run("http://127.0.0.1:1", words).await;
+    let out = run("http://127.0.0.1:1", args).await;
     assert_eq!(out.status.code(), Some(code), "{out:?}");
 }
 
 #[tokio::test]
-async fn a_stale_base_is_refused_and_the_current_version_named() {
+async fn a_stale_base_is_rejected_with_the_current_version() {
     let fleet = Fleet::start(Config::default()).await;
     let admin = fleet.admin_url("a1");
-    let good = serde_json::to_string(&fleet::school_bundle("1")).unwrap();
-    let file = write("stale", &good);
+    let bundle = serde_json::to_string(&fleet::school_bundle("1")).unwrap();
+    let file = write_file("stale", &bundle);
     let file = file.to_str().unwrap();
 
-    let ana = [
+    let publish_args = [
         "publish", file, "--base", "none", "--author", "ana", "--json",
     ];
-    let first = json(&run(&admin, &ana).await);
-    let second = json(&run(&admin, &ana).await);
+    let first = stdout_json(&run(&admin, &publish_args).await);
+    let second = stdout_json(&run(&admin, &publish_args).await);
     let version = first["version"].to_string();
     let digest = first["digest"].as_str().unwrap();
-    let sign = |version: String| {
-        let words = ["sign-off", "--digest", digest, "--author", "rui"].map(str::to_owned);
-        let mut words = words.to_vec();
-        words.insert(1, version);
-        words
+    let sign_off_args = |version: String| {
+        let args = ["sign-off", "--digest", digest, "--author", "rui"].map(str::to_owned);
+        let mut args = args.to_vec();
+        args.insert(1, version);
+        args
     };
-    let words = sign(version.clone());
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let signed = run(&admin, &words).await;
-    assert_eq!(signed.status.code(), Some(0), "{signed:?}");
+    let args = sign_off_args(version.clone());
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    let signed_off = run(&admin, &args).await;
+    assert_eq!(signed_off.status.code(), Some(0), "{signed_off:?}");
 
-    let words = sign(second["version"].to_string());
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let late = run(&admin, &words).await;
-    assert_eq!(late.status.code(), Some(1), "{late:?}");
+    let args = sign_off_args(second["version"].to_string());
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    let conflicting = run(&admin, &args).await;
+    assert_eq!(conflicting.status.code(), Some(1), "{conflicting:?}");
 
-    let stale = run(&admin, &ana).await;
+    let stale = run(&admin, &publish_args).await;
     assert_eq!(stale.status.code(), Some(1));
-    let said = String::from_utf8_lossy(&stale.stderr).into_owned();
-    assert!(said.contains(&format!("version {version}")), "{said}");
+    let stderr = String::from_utf8_lossy(&stale.stderr).into_owned();
+    assert!(stderr.contains(&format!("version {version}")), "{stderr}");
 
-    let shown = json(&run(&admin, &["bundle", "--json"]).await);
-    assert_eq!(shown["version"].to_string(), version);
+    let current = stdout_json(&run(&admin, &["bundle", "--json"]).await);
+    assert_eq!(current["version"].to_string(), version);
 }
 
 #[tokio::test]
-async fn a_wrong_bundle_is_refused_before_publishing() {
-    let file = write(
+async fn an_invalid_bundle_is_rejected_without_a_host() {
+    let file = write_file(
         "wrong",
         r#"{"servings": [], "tenants": [{"name": "a", "servings": ["x"]}]}"#,
     );
     let out = run("http://127.0.0.1:1", &["check", file.to_str().unwrap()]).await;
     assert_eq!(out.status.code(), Some(1));
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(said.contains("tenants[0].servings[0]"), "{said}");
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(stderr.contains("tenants[0].servings[0]"), "{stderr}");
 }
 
 #[tokio::test]
-async fn hosts_targets_and_jobs_are_shown() {
+async fn hosts_targets_and_jobs_are_listed() {
     let fleet = Fleet::ready(Config::default()).await;
     let admin = fleet.admin_url("a2");
     let job = fleet
         .submit("a1", fleet::SCHOOL_KEY, &fleet::lot("n", 3, 4))
         .await;
 
-    let hosts = json(&run(&admin, &["hosts", "--json"]).await);
+    let hosts = stdout_json(&run(&admin, &["hosts", "--json"]).await);
     assert_eq!(hosts["hosts"].as_array().unwrap().len(), 3);
-    let targets = json(&run(&admin, &["targets", "--json"]).await);
-    // Four engines and the two targets of a plain service.
+    let targets = stdout_json(&run(&admin, &["targets", "--json"]).await);
+    // Four engines and two targets of a service without a model.
     assert_eq!(targets["targets"].as_array().unwrap().len(), 6);
     let jobs = String::from_utf8(run(&admin, &["jobs"]).await.stdout).unwrap();
     assert!(jobs.contains(&job), "{jobs}");
     let cancelled = run(&admin, &["cancel", &job]).await;
     assert_eq!(cancelled.status.code(), Some(0), "{cancelled:?}");
-    let nothing = run(&admin, &["cancel", "batch_0"]).await;
-    assert_eq!(nothing.status.code(), Some(1));
+    let missing = run(&admin, &["cancel", "batch_0"]).await;
+    assert_eq!(missing.status.code(), Some(1));
 }
 
 #[tokio::test]
-async fn a_drained_host_leaves() {
+async fn a_drained_host_reports_that_it_is_leaving() {
     let fleet = Fleet::ready(Config::default()).await;
     let admin = fleet.admin_url("a1");
     let out = run(&admin, &["drain", "a3"]).await;
@@ -126,8 +126,8 @@
         .until(|fleet| {
             let url = url.clone();
             async move {
-                let seen = fleet.get_json(&url).await;
-                seen["hosts"][2]["report"]["leaving"] == true
+                let hosts = fleet.get_json(&url).await;
+                hosts["hosts"][2]["report"]["leaving"] == true
             }
         })
         .await;
