--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -24,7 +24,7 @@
 Fleet:
   hosts                                 list hosts and the version each applies
   targets                               list targets and the models they hold
-  drain HOST                            let a host finish its work and leave
+  drain HOST                            let a host finish its work and shut down
 
 Jobs:
   jobs                                  list jobs
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -144,8 +144,8 @@
     }
 
     /// Returns the histogram with these labels of the timing with the index `timing`, which
-    /// may be kept and recorded into repeatedly. Once the timing has too many histograms, the
-    /// value of the last label is replaced by `others`.
+    /// may be kept and recorded into repeatedly. Once the timing has the maximum number of
+    /// histograms, the value of the last label of new ones is replaced by `others`.
     ///
     /// # Panics
     ///
