--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,7 +1,7 @@
-//! A small HTTP client whose failures say whether the request was sent.
+//! An HTTP client whose errors state whether the request was sent.
 //!
 //! ```no_run
-//! # async fn example() -> Result<(), error_stack::Report<notchwharf_clients::error::Call>> {
+//! # async fn example() -> Result<(), error_stack::Report<notchwharf_clients::error::CallError>> {
 //! use std::time::Duration;
 //! use notchwharf_clients::http::Client;
 //!
@@ -27,16 +27,16 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::error::Call;
+use crate::error::CallError;
 
-/// Time after which a connection attempt counts as failed.
+/// The timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which an idle connection is closed.
+/// The time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-const JSON: &str = "application/json";
+const JSON_CONTENT_TYPE: &str = "application/json";
 
 /// The result of a call.
-pub type Res<T> = Result<T, Report<Call>>;
+pub type CallResult<T> = Result<T, Report<CallError>>;
 
 /// A pooled HTTP client.
 #[derive(Clone, Debug)]
@@ -46,102 +46,103 @@
 }
 
 impl Client {
-    /// Returns a client whose whole calls take at most `timeout`.
+    /// Returns a client that limits each call to `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self::build(timeout, usize::MAX)
     }
 
     /// Returns a client that opens a connection for each call.
     ///
-    /// A pooled connection may be closed by the other side just as a request
-    /// goes out, and then nobody knows whether it ran. Calls that must not be
-    /// repeated go out on a connection of their own.
+    /// The server may close a pooled connection just as a request is sent, in which case it
+    /// is unknown whether the request was processed. Calls that must not be repeated are
+    /// therefore sent on new connections.
     pub fn unpooled(timeout: Duration) -> Self {
         Self::build(timeout, 0)
     }
 
-    fn build(timeout: Duration, idle_max: usize) -> Self {
+    fn build(timeout: Duration, idle_connections_max: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = legacy::Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(idle_max)
+            .pool_max_idle_per_host(idle_connections_max)
             .pool_idle_timeout(IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
         Self { inner, timeout }
     }
 
-    /// Sends a request and returns the answer's head with its body to come.
+    /// Sends a request and returns the response as soon as its head has been received.
     ///
     /// # Errors
     ///
-    /// Returns why no head came; only [`Call::NotSent`] rules out an effect.
-    pub async fn send(&self, req: Request<Full<Bytes>>) -> Res<Response<Incoming>> {
-        let sent = tokio::time::timeout(self.timeout, self.inner.request(req)).await;
-        match sent {
-            Err(_) => Err(Report::new(Call::TimedOut)),
+    /// Returns an error if no head is received; only [`CallError::NotSent`] means that the
+    /// request had no effect.
+    pub async fn send(&self, req: Request<Full<Bytes>>) -> CallResult<Response<Incoming>> {
+        let result = tokio::time::timeout(self.timeout, self.inner.request(req)).await;
+        match result {
+            Err(_) => Err(Report::new(CallError::TimedOut)),
             Ok(Ok(resp)) => Ok(resp),
-            Ok(Err(err)) if err.is_connect() => Err(Report::new(Call::NotSent)),
-            Ok(Err(_)) => Err(Report::new(Call::Lost)),
+            Ok(Err(err)) if err.is_connect() => Err(Report::new(CallError::NotSent)),
+            Ok(Err(_)) => Err(Report::new(CallError::Lost)),
         }
     }
 
-    /// Sends a request and returns the whole body of a successful answer.
+    /// Sends a request and returns the complete body of the response.
     ///
     /// # Errors
     ///
-    /// Returns why no such answer came.
-    pub async fn fetch(&self, req: Request<Full<Bytes>>) -> Res<Bytes> {
-        let whole = async {
+    /// Returns an error if the call fails or the status is not a success.
+    pub async fn fetch(&self, req: Request<Full<Bytes>>) -> CallResult<Bytes> {
+        let call = async {
             let resp = self.send(req).await?;
             let status = resp.status();
             let body = resp.into_body().collect().await;
-            let body = body.map_err(|_| Report::new(Call::Lost))?.to_bytes();
+            let body = body.map_err(|_| Report::new(CallError::Lost))?.to_bytes();
             if status.is_success() {
                 return Ok(body);
             }
             let text = String::from_utf8_lossy(&body).into_owned();
-            Err(Report::new(Call::Status(status.as_u16())).attach(text))
+            Err(Report::new(CallError::Status(status.as_u16())).attach(text))
         };
-        tokio::time::timeout(self.timeout, whole)
+        tokio::time::timeout(self.timeout, call)
             .await
-            .unwrap_or_else(|_| Err(Report::new(Call::TimedOut)))
+            .unwrap_or_else(|_| Err(Report::new(CallError::TimedOut)))
     }
 
-    /// Fetches JSON.
+    /// Sends a GET request and decodes the JSON response.
     ///
     /// # Errors
     ///
-    /// Returns why no such answer came.
-    pub async fn get_json<T: DeserializeOwned>(&self, url: &str) -> Res<T> {
+    /// Returns an error if the call fails or the status is not a success.
+    pub async fn get_json<T: DeserializeOwned>(&self, url: &str) -> CallResult<T> {
         let req = request(Method::GET, url, Bytes::new())?;
         parse(&self.fetch(req).await?)
     }
 
-    /// Posts JSON and reads JSON.
+    /// Sends a POST request with a JSON body and decodes the JSON response.
     ///
     /// # Errors
     ///
-    /// Returns why no such answer came.
+    /// Returns an error if the call fails or the status is not a success.
     pub async fn post_json<B: Serialize, T: DeserializeOwned>(
         &self,
         url: &str,
         body: &B,
-    ) -> Res<T> {
-        let body = serde_json::to_vec(body).map_err(|_| Report::new(Call::NotSent))?;
+    ) -> CallResult<T> {
+        let body = serde_json::to_vec(body).map_err(|_| Report::new(CallError::NotSent))?;
         let mut req = request(Method::POST, url, body.into())?;
-        let json = hyper::header::HeaderValue::from_static(JSON);
-        req.headers_mut().insert(CONTENT_TYPE, json);
+        let content_type = hyper::header::HeaderValue::from_static(JSON_CONTENT_TYPE);
+        req.headers_mut().insert(CONTENT_TYPE, content_type);
         parse(&self.fetch(req).await?)
     }
 
-    /// Posts bytes and reads JSON.
+    /// Sends a POST request with a binary body and decodes the JSON response.
     ///
     /// # Errors
     ///
-    /// Returns why no such answer came.
-    pub async fn post_bytes<T: DeserializeOwned>(&self, url: &str, body: Bytes) -> Res<T> {
+    /// Returns an error if the call fails or the status is not a success.
+    pub async fn post_bytes<T: DeserializeOwned>(&self, url: &str, body: Bytes) -> CallResult<T> {
         let req = request(Method::POST, url, body)?;
         parse(&self.fetch(req).await?)
     }
@@ -151,15 +152,16 @@
 ///
 /// # Errors
 ///
-/// Returns [`Call::NotSent`] if the URL is malformed.
-pub fn request(method: Method, url: &str, body: Bytes) -> Res<Request<Full<Bytes>>> {
+/// Returns [`CallError::NotSent`] if the URL is malformed.
+pub fn request(method: Method, url: &str, body: Bytes) -> CallResult<Request<Full<Bytes>>> {
     Request::builder()
         .method(method)
         .uri(url)
         .body(Full::new(body))
-        .map_err(|_| Report::new(Call::NotSent).attach(url.to_owned()))
+        .map_err(|_| Report::new(CallError::NotSent).attach(url.to_owned()))
 }
 
-fn parse<T: DeserializeOwned>(body: &Bytes) -> Res<T> {
-    serde_json::from_slice(body).map_err(|err| Report::new(Call::Malformed).attach(err.to_string()))
+fn parse<T: DeserializeOwned>(body: &Bytes) -> CallResult<T> {
+    serde_json::from_slice(body)
+        .map_err(|err| Report::new(CallError::Malformed).attach(err.to_string()))
 }
