--- a/crates/gateway/src/backlog.rs
+++ b/crates/gateway/src/backlog.rs
@@ -1,8 +1,8 @@
-//! Which items this host has to run, and in which order.
+//! The items that this host has to run, in the order in which they are due.
 //!
-//! A host runs the items of the jobs that it owns by the job records; those due
-//! first come first. An item is here until it is listed, unless its job
-//! has ended or another host has taken the job over.
+//! A host runs the items of the jobs that it owns according to the job records. An item stays
+//! in the backlog until its outcome is recorded, its job ends, or another host takes the job
+//! over.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -26,96 +26,97 @@
 use crate::fingerprint;
 use crate::ports::Decode;
 use crate::ports::ForwardedRequest;
-use crate::progress::Saved;
+use crate::progress::SavedProgress;
 use crate::time::millis;
 
-/// Failures of an item for each one that its route allows, when targets that
-/// fail other items too are to blame: two, so that an item that fails
-/// everywhere still ends soon.
+/// Failures of an item, including those attributed to targets, for each attempt that its route
+/// allows. With two, an item that fails at every target still ends soon.
 const FAILURES_PER_ATTEMPT: u32 = 2;
 
-/// What identifies an item: its job and its place in the caller's order.
+/// Identifies an item by its job and its index in the submission.
 pub(crate) type ItemKey = (JobId, u32);
 
 /// An item to run.
 #[derive(Clone, Debug)]
 pub(crate) struct Item {
-    /// What identifies it.
+    /// Its identity.
     pub(crate) key: ItemKey,
     /// The name of its job's route.
     pub(crate) route: String,
-    /// The host that its requests name.
+    /// The `Host` of its request.
     pub(crate) host: String,
     /// The request.
-    pub(crate) forward: Arc<ForwardedRequest>,
-    /// How large it is, as its caller tells.
+    pub(crate) request: Arc<ForwardedRequest>,
+    /// Its size as declared by the caller.
     pub(crate) size: Size,
-    /// The data of the events that are here, joined by line feeds.
+    /// The data of the events received so far, joined by line feeds.
     pub(crate) text: Vec<u8>,
-    /// The number of the last event that is here.
+    /// The number of the last event received.
     pub(crate) last_event: Option<u64>,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub(crate) failures: u32,
-    /// Failures for which nothing but the item can be blamed.
+    /// Number of failures attributed to the item, because the target does not fail others.
     pub(crate) blamed: u32,
-    /// Where it failed; it is run elsewhere as long as there is another target.
+    /// The targets where it failed; it runs at others as long as there are any.
     pub(crate) failed_at: Vec<TargetId>,
-    /// The last event and the failures of which the progress was noted.
+    /// The last event of the progress that was last scheduled to be saved.
     pub(crate) saved_event: Option<u64>,
+    /// The number of failures of that progress.
     pub(crate) saved_failures: u32,
     /// When its job was submitted.
     pub(crate) submitted_unix_ms: u64,
-    /// Time from then on after which it is due.
+    /// Time after the submission at which it is due.
     pub(crate) due_after: Duration,
-    /// When this host read it; the job is at least as old.
-    pub(crate) known_since: Instant,
-    /// The name of its content, once that was asked for.
+    /// When this host read the item, which is after its job was submitted.
+    pub(crate) loaded_at: Instant,
+    /// The hash of its content, computed on first use.
     pub(crate) fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Item {
-    /// Returns the name of its content.
+    /// Returns the hash of its content.
     pub(crate) fn fingerprint(&self, decode: &Decode) -> Fingerprint {
-        let made = || fingerprint::of(decode, &self.host, &self.forward);
-        *self.fingerprint.get_or_init(made)
+        let compute = || fingerprint::of(decode, &self.host, &self.request);
+        *self.fingerprint.get_or_init(compute)
     }
 
-    /// Returns when it is due.
+    /// Returns the time at which it is due.
     pub(crate) fn due_unix_ms(&self) -> u64 {
         self.submitted_unix_ms
             .saturating_add(millis(self.due_after))
     }
 
-    /// Returns how many events are here.
-    pub(crate) fn events(&self) -> u64 {
+    /// Returns the number of events received.
+    pub(crate) fn event_count(&self) -> u64 {
         count(self.last_event)
     }
 
-    /// Returns how many events came since its progress was noted.
-    pub(crate) fn unsaved_events(&self) -> u64 {
-        self.events().saturating_sub(count(self.saved_event))
+    /// Returns the number of events received since its progress was last scheduled to be
+    /// saved.
+    pub(crate) fn unsaved_event_count(&self) -> u64 {
+        self.event_count().saturating_sub(count(self.saved_event))
     }
 
-    /// Returns whether there is anything about it to note.
+    /// Returns whether it has made progress or failed since then.
     pub(crate) fn is_unsaved(&self) -> bool {
-        self.unsaved_events() > 0 || self.failures > self.saved_failures
+        self.unsaved_event_count() > 0 || self.failures > self.saved_failures
     }
 
-    /// Notes that it failed at a target, which may be the one to blame.
-    pub(crate) fn failed(&mut self, target: &TargetId, is_targets_fault: bool) {
+    /// Records a failure at a target, which is attributed either to the target or to the item.
+    pub(crate) fn record_failure(&mut self, target: &TargetId, is_target_failing: bool) {
         self.failures += 1;
-        self.blamed += u32::from(!is_targets_fault);
+        self.blamed += u32::from(!is_target_failing);
         self.failed_at.push(target.clone());
     }
 
     /// Returns whether it has failed as often as its route allows.
-    pub(crate) fn is_spent(&self, attempts_max: u32) -> bool {
-        let most = attempts_max.max(1);
-        self.blamed >= most || self.failures >= most.saturating_mul(FAILURES_PER_ATTEMPT)
+    pub(crate) fn has_exhausted_attempts(&self, attempts_max: u32) -> bool {
+        let max = attempts_max.max(1);
+        self.blamed >= max || self.failures >= max.saturating_mul(FAILURES_PER_ATTEMPT)
     }
 
-    /// Lets it go on from where it had got elsewhere.
-    pub(crate) fn resume(&mut self, saved: Saved) {
+    /// Continues from saved progress.
+    pub(crate) fn resume(&mut self, saved: SavedProgress) {
         self.saved_event = saved.last_event;
         self.saved_failures = saved.failures;
         self.last_event = saved.last_event;
@@ -126,26 +127,26 @@
 }
 
 #[derive(Debug)]
-struct Owned {
+struct OwnedJob {
     epoch: Offset,
-    /// Nothing while its items are being read.
-    waiting: Option<HashSet<u32>>,
+    /// Items that have not ended; `None` while the items are being read.
+    open_items: Option<HashSet<u32>>,
 }
 
 /// Items of the jobs that this host owns.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     queue: Queue<ItemKey, Item>,
-    owned: HashMap<JobId, Owned>,
+    owned: HashMap<JobId, OwnedJob>,
 }
 
 impl Backlog {
-    /// Takes in what the job records say; returns the jobs whose items are to
-    /// be read and given to [`Self::loaded`].
-    pub(crate) fn sync(&mut self, jobs: &Jobs, host: &str) -> Vec<(Offset, Arc<Accepted>)> {
+    /// Applies the job records. Returns the jobs whose items are to be read and passed to
+    /// [`Self::add_items`].
+    pub(crate) fn update(&mut self, jobs: &Jobs, host: &str) -> Vec<(Offset, Arc<Accepted>)> {
         self.owned.retain(|job, owned_job| {
-            let known = jobs.get(job);
-            known.is_some_and(|j| j.is_open() && j.owner == host && j.epoch == owned_job.epoch)
+            let state = jobs.get(job);
+            state.is_some_and(|j| j.is_open() && j.owner == host && j.epoch == owned_job.epoch)
         });
         let owned = &self.owned;
         self.queue.retain(|(job, item)| {
@@ -157,9 +158,9 @@
             if self.owned.contains_key(id) {
                 continue;
             }
-            let owned_job = Owned {
+            let owned_job = OwnedJob {
                 epoch: job.epoch,
-                waiting: None,
+                open_items: None,
             };
             self.owned.insert(id.clone(), owned_job);
             missing.push((job.epoch, Arc::clone(&job.accepted)));
@@ -167,93 +168,93 @@
         missing
     }
 
-    /// Takes in the items of a job.
-    pub(crate) fn loaded(&mut self, epoch: Offset, job: &str, items: Vec<Item>, jobs: &Jobs) {
+    /// Adds the items of an owned job, without those that have ended.
+    pub(crate) fn add_items(&mut self, epoch: Offset, job: &str, items: Vec<Item>, jobs: &Jobs) {
         let Some(owned_job) = self.owned.get_mut(job) else {
             return;
         };
-        if owned_job.epoch != epoch || owned_job.waiting.is_some() {
+        if owned_job.epoch != epoch || owned_job.open_items.is_some() {
             return;
         }
-        let Some(known) = jobs.get(job) else {
+        let Some(state) = jobs.get(job) else {
             return;
         };
         let items = items
             .into_iter()
-            .filter(|item| !known.is_listed(item.key.1));
-        let mut waiting = HashSet::new();
+            .filter(|item| !state.is_listed(item.key.1));
+        let mut open_items = HashSet::new();
         for item in items {
-            waiting.insert(item.key.1);
+            open_items.insert(item.key.1);
             self.queue.push(item.due_unix_ms(), item.key.clone(), item);
         }
-        owned_job.waiting = Some(waiting);
+        owned_job.open_items = Some(open_items);
     }
 
-    /// Gives up reading a job's items for now; they are asked for again.
-    pub(crate) fn not_loaded(&mut self, job: &str) {
+    /// Removes a job whose items were not read; [`Self::update`] returns it again.
+    pub(crate) fn remove_unloaded(&mut self, job: &str) {
         self.owned.remove(job);
     }
 
-    /// Puts items that come too late behind all others.
-    pub(crate) fn put_late_behind(&mut self, is_late: impl Fn(&Item) -> bool) {
+    /// Moves items that cannot meet their objective behind all others.
+    pub(crate) fn demote_late(&mut self, is_late: impl Fn(&Item) -> bool) {
         self.queue.demote_late(is_late);
     }
 
-    /// Returns how many items wait, by when they are due.
-    pub(crate) fn waiting(&self) -> Vec<QueuedItems> {
+    /// Returns the number of queued items by due time, as sent to peers.
+    pub(crate) fn summary(&self) -> Vec<QueuedItems> {
         self.queue.summary(DUE_TIMES_MAX)
     }
 
-    /// Returns the item to run next and where it stands, without taking it.
+    /// Returns the item to run next and its deadline, without removing it.
     pub(crate) fn peek(&self) -> Option<(Deadline, &Item)> {
         self.queue.peek()
     }
 
-    /// Takes the item to run next.
-    pub(crate) fn take(&mut self) -> Option<Item> {
+    /// Removes and returns the item to run next.
+    pub(crate) fn pop(&mut self) -> Option<Item> {
         self.queue.pop()
     }
 
-    /// Puts back an item that is to go on later.
-    pub(crate) fn put_back(&mut self, item: Item) {
+    /// Queues an item again that is to run or continue later, unless it is no longer open.
+    pub(crate) fn requeue(&mut self, item: Item) {
         let owned_job = self.owned.get(&item.key.0);
-        let is_wanted = owned_job.is_some_and(|owned_job| owned_job.is_waiting(item.key.1));
-        if is_wanted {
+        let is_open = owned_job.is_some_and(|owned_job| owned_job.is_item_open(item.key.1));
+        if is_open {
             self.queue.push(item.due_unix_ms(), item.key.clone(), item);
         }
     }
 
-    /// Notes that an item's end is about to be recorded.
-    pub(crate) fn settled(&mut self, key: &ItemKey) {
+    /// Removes an item whose outcome is about to be recorded.
+    pub(crate) fn remove(&mut self, key: &ItemKey) {
         let owned_job = self.owned.get_mut(&key.0);
-        if let Some(waiting) = owned_job.and_then(|owned_job| owned_job.waiting.as_mut()) {
-            waiting.remove(&key.1);
+        if let Some(open_items) = owned_job.and_then(|owned_job| owned_job.open_items.as_mut()) {
+            open_items.remove(&key.1);
         }
     }
 
-    /// Returns whether an item is still this host's to run.
-    pub(crate) fn is_wanted(&self, key: &ItemKey) -> bool {
+    /// Returns whether this host owns an item's job and the item has not ended.
+    pub(crate) fn is_item_open(&self, key: &ItemKey) -> bool {
         self.owned
             .get(&key.0)
-            .is_some_and(|owned_job| owned_job.is_waiting(key.1))
+            .is_some_and(|owned_job| owned_job.is_item_open(key.1))
     }
 
-    /// Returns whether there is no job to run.
+    /// Returns whether this host owns no open job.
     pub(crate) fn is_idle(&self) -> bool {
         self.owned.is_empty()
     }
 
-    /// Returns the items that wait, to note how far they have got.
-    pub(crate) fn waiting_mut(&mut self) -> impl Iterator<Item = &mut Item> {
+    /// Returns the queued items.
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Item> {
         self.queue.iter_mut()
     }
 
-    /// Returns how many of the items that wait come too late.
-    pub(crate) fn late(&self) -> usize {
+    /// Returns the number of queued items that cannot meet their objective.
+    pub(crate) fn late_len(&self) -> usize {
         self.queue.late_len()
     }
 
-    /// Returns the number of items that wait.
+    /// Returns the number of queued items.
     pub(crate) fn len(&self) -> usize {
         self.queue.len()
     }
@@ -264,8 +265,8 @@
     last_event.map_or(0, |event| event + 1)
 }
 
-impl Owned {
-    fn is_waiting(&self, item: u32) -> bool {
-        self.waiting.as_ref().is_some_and(|w| w.contains(&item))
+impl OwnedJob {
+    fn is_item_open(&self, item: u32) -> bool {
+        self.open_items.as_ref().is_some_and(|o| o.contains(&item))
     }
 }
--- a/crates/gateway/src/blobs.rs
+++ b/crates/gateway/src/blobs.rs
@@ -1,17 +1,18 @@
-//! Bytes that are too many for the job records: what items say, and results.
+//! Stores data that is too large for the job records: the requests of items, and results.
 //!
-//! A blob is one run of records in a partition that its job's name picks. It is
-//! read where it lies; once the store has dropped its history, by its keys.
+//! A blob is a sequence of consecutive records in a partition that the hash of its job's ID
+//! selects. It is read at its offset, or by its keys once the store has removed that part of
+//! the history.
 //!
-//! Read by its keys, a blob comes with all that follow them in the partition, a
-//! page of up to 1 MB. So a job's blobs lie side by side and are read together,
-//! and partitions are so many that each holds little: reading 333 jobs of ten
-//! took ten pages each, more than the store reads out in a minute.
+//! A read by keys returns a page of up to 1 MB with all keys that follow in the partition. So
+//! the blobs of a job are adjacent and read together, and there are so many partitions that
+//! each holds little: when reading 333 jobs of ten items took ten pages for each job, that was
+//! more than the store delivers in a minute.
 //!
-//! Writing blobs anew before the history drops them was rejected: whoever does
-//! so for a host that is gone has to be agreed on, and every blob is written
-//! several times. One record for all results of a job was rejected as well: its
-//! first results are read while the last ones run.
+//! Rewriting blobs before the history expires was rejected: hosts would have to agree on who
+//! does it for a host that has failed, and each blob would be written several times. One record
+//! for all results of a job was rejected as well: the first results are read while the last
+//! items still run.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -34,22 +35,20 @@
 use crate::store::Store;
 use crate::sync::lock;
 
-/// Partitions over which blobs are spread at most. The store holds 400 MB, so each has
-/// about 1 MB, one page, when it is full, and a job's own results, some 100 KB, in
-/// usual use.
-const PARTS_MAX: u32 = 384;
-/// Topics that blobs of one kind may fill: the store has 100 in all, and there are two
-/// kinds beside five other topics.
+/// Maximum number of partitions for blobs. The store holds 400 MB, so a partition has about
+/// 1 MB, one page, when the store is full, and usually the results of one job, some 100 KB.
+const PARTITIONS_MAX: u32 = 384;
+/// Maximum number of topics for blobs of one kind: the store has 100 in all, and there are two
+/// kinds of blobs beside five other topics.
 const TOPICS_MAX: u32 = 40;
-/// Bytes of a record beside its value, at most: its length, key and the key's
-/// length.
+/// Maximum bytes of a record beside its value: its length, its key and the key's length.
 pub(crate) const RECORD_OVERHEAD_BYTES: usize = 300;
-/// Bytes of blobs kept in memory: the results that callers of this host are
-/// likely to read next.
-const CACHE_BYTES: usize = 512 << 10;
+/// Maximum bytes of cached blobs: the results that callers of this host are likely to read
+/// next.
+const CACHE_BYTES_MAX: usize = 512 << 10;
 
-/// Returns the partition that a name picks.
-pub(crate) fn part_of(name: &str, parts: u32) -> u32 {
+/// Returns the partition that the hash of a name selects.
+pub(crate) fn partition_of(name: &str, parts: u32) -> u32 {
     u32::try_from(hash(name) % u64::from(parts.max(1))).unwrap_or(0)
 }
 
@@ -59,13 +58,14 @@
     store: Store,
     record_bytes_max: usize,
     call_bytes_max: usize,
-    parts: u32,
+    partitions: u32,
     cache: Arc<Mutex<Cache>>,
 }
 
-/// The records of a blob that are here, in their order.
-pub(crate) type Pieces = Vec<Bytes>;
+/// The values of consecutive records of a blob.
+pub(crate) type Chunks = Vec<Bytes>;
 
+/// Evicts the blobs that were added first.
 #[derive(Debug, Default)]
 struct Cache {
     blobs: VecDeque<(String, Bytes)>,
@@ -74,17 +74,17 @@
 
 impl Cache {
     fn get(&self, key: &str) -> Option<Bytes> {
-        let found = self.blobs.iter().find(|(known, _)| known == key);
+        let found = self.blobs.iter().find(|(cached, _)| cached == key);
         found.map(|(_, bytes)| bytes.clone())
     }
 
     fn put(&mut self, key: &str, bytes: &Bytes) {
-        if bytes.len() > CACHE_BYTES / 2 || self.get(key).is_some() {
+        if bytes.len() > CACHE_BYTES_MAX / 2 || self.get(key).is_some() {
             return;
         }
         self.bytes += bytes.len();
         self.blobs.push_back((key.to_owned(), bytes.clone()));
-        while self.bytes > CACHE_BYTES {
+        while self.bytes > CACHE_BYTES_MAX {
             let Some((_, oldest)) = self.blobs.pop_front() else {
                 return;
             };
@@ -100,17 +100,17 @@
             store,
             record_bytes_max: bytes(settings.record_bytes_max) - RECORD_OVERHEAD_BYTES,
             call_bytes_max: bytes(settings.call_bytes_max),
-            parts: PARTS_MAX.min(settings.parts.saturating_mul(TOPICS_MAX)),
+            partitions: PARTITIONS_MAX.min(settings.parts.saturating_mul(TOPICS_MAX)),
             cache: Arc::default(),
         }
     }
 
-    /// Writes bytes under a key that nothing else has; returns where they lie.
+    /// Writes bytes under a unique key and returns the blobs that hold them.
     ///
     /// # Errors
     ///
-    /// Returns the store's failure. Written in part, the bytes do no harm:
-    /// nothing refers to them.
+    /// Returns the store's failure. Some of the bytes may have been written then, but nothing
+    /// refers to them.
     pub(crate) async fn write(
         &self,
         topic: Topic,
@@ -118,34 +118,37 @@
         key: &str,
         bytes: Bytes,
     ) -> Result<Vec<Blob>, StoreError> {
-        let part = part_of(job, self.parts);
+        let part = partition_of(job, self.partitions);
         let records_per_call = (self.call_bytes_max / (self.record_bytes_max + 1)).max(1);
         let mut blobs = Vec::new();
-        let mut left = bytes;
+        let mut remaining = bytes;
         loop {
-            let most = left.len().min(records_per_call * self.record_bytes_max);
-            let now = left.split_to(most);
+            let len = remaining
+                .len()
+                .min(records_per_call * self.record_bytes_max);
+            let contents = remaining.split_to(len);
             let mut blob = Blob {
                 part,
                 key: format!("{key}/{}", blobs.len()),
-                bytes: u32::try_from(now.len()).unwrap_or(u32::MAX),
+                bytes: u32::try_from(contents.len()).unwrap_or(u32::MAX),
                 ..Blob::default()
             };
-            let entries = self.entries(&mut blob, &now);
+            let entries = self.entries(&mut blob, &contents);
             blob.offset = self.store.append(topic, part, entries).await?;
-            lock(&self.cache).put(&blob.key, &now);
+            lock(&self.cache).put(&blob.key, &contents);
             blobs.push(blob);
-            if left.is_empty() {
+            if remaining.is_empty() {
                 return Ok(blobs);
             }
         }
     }
 
-    fn entries(&self, blob: &mut Blob, bytes: &Bytes) -> Vec<Entry> {
-        let mut left = bytes.clone();
+    /// Splits the contents of a blob into records and counts them.
+    fn entries(&self, blob: &mut Blob, contents: &Bytes) -> Vec<Entry> {
+        let mut remaining = contents.clone();
         let mut entries = Vec::new();
-        while blob.records == 0 || !left.is_empty() {
-            let value = left.split_to(left.len().min(self.record_bytes_max));
+        while blob.records == 0 || !remaining.is_empty() {
+            let value = remaining.split_to(remaining.len().min(self.record_bytes_max));
             entries.push(Entry {
                 key: blob.record_key(blob.records),
                 value: Some(value),
@@ -155,36 +158,36 @@
         entries
     }
 
-    /// Reads blobs; those of a partition that are not at their places any more
-    /// are read together.
+    /// Reads blobs. Blobs of a partition whose offsets have expired are read together by their
+    /// keys.
     ///
     /// # Errors
     ///
-    /// Returns the store's failure for each blob; [`StoreError::Expired`] if it
-    /// is in the store no more.
+    /// Returns for each blob the store's failure, or [`StoreError::Expired`] if it has been
+    /// deleted.
     pub(crate) async fn read_all(
         &self,
         topic: Topic,
         blobs: &[Blob],
     ) -> Vec<Result<Bytes, StoreError>> {
-        let mut read = Vec::new();
-        let mut dropped = Dropped::default();
+        let mut results = Vec::new();
+        let mut expired = ExpiredBlobs::default();
         for blob in blobs {
             let cached = lock(&self.cache).get(&blob.key);
             let res = match cached {
                 Some(bytes) => Ok(bytes),
-                None if dropped.holds(blob) => Err(StoreError::Expired),
-                None => self.read_in_place(topic, blob).await,
+                None if expired.includes(blob) => Err(StoreError::Expired),
+                None => self.read_at_offset(topic, blob).await,
             };
             if res == Err(StoreError::Expired) {
-                dropped.note(blob);
+                expired.insert(blob);
             }
-            read.push(res);
+            results.push(res);
         }
-        for missing in dropped.by_part.into_values() {
-            let found = self.read_by_key(topic, &missing.blobs).await;
-            for (blob, res) in blobs.iter().zip(&mut read) {
-                if !missing.blobs.contains(&blob) {
+        for partition in expired.by_partition.into_values() {
+            let found = self.read_by_key(topic, &partition.blobs).await;
+            for (blob, res) in blobs.iter().zip(&mut results) {
+                if !partition.blobs.contains(&blob) {
                     continue;
                 }
                 *res = match &found {
@@ -193,83 +196,82 @@
                 };
             }
         }
-        read
+        results
     }
 
-    /// Reads bytes that were written in one or more blobs.
+    /// Reads the concatenated contents of blobs.
     ///
     /// # Errors
     ///
-    /// Returns the store's failure; [`StoreError::Expired`] if they are in the
-    /// store no more.
+    /// Returns the store's failure, or [`StoreError::Expired`] if a blob has been deleted.
     pub(crate) async fn read(&self, topic: Topic, blobs: &[Blob]) -> Result<Bytes, StoreError> {
         let parts = self.read_all(topic, blobs).await;
         let parts: Vec<Bytes> = parts.into_iter().collect::<Result<_, _>>()?;
-        Ok(joined(parts))
+        Ok(concat(parts))
     }
 
-    async fn read_in_place(&self, topic: Topic, blob: &Blob) -> Result<Bytes, StoreError> {
-        let mut found = Pieces::new();
+    async fn read_at_offset(&self, topic: Topic, blob: &Blob) -> Result<Bytes, StoreError> {
+        let mut found = Chunks::new();
         while found.len() < blob.records as usize {
-            let have = found.len() as u64;
-            let left = u64::from(blob.records) - have;
+            let count = found.len() as u64;
+            let remaining = u64::from(blob.records) - count;
             let read = Read {
                 topic,
                 part: blob.part,
-                from: blob.offset + have,
-                bytes_max: u64::from(blob.bytes) + left * RECORD_OVERHEAD_BYTES as u64,
+                from: blob.offset + count,
+                bytes_max: u64::from(blob.bytes) + remaining * RECORD_OVERHEAD_BYTES as u64,
                 wait: Duration::ZERO,
             };
             let tail = self.store.read(read).await?;
-            let before = found.len();
-            let wanted = usize::try_from(left).unwrap_or(usize::MAX);
-            let of_blob = tail.records.into_iter().take(wanted);
-            let pieces = of_blob.filter_map(piece);
-            let pieces = pieces.filter(|(key, _)| *key == blob.key);
-            found.extend(pieces.map(|(_, bytes)| bytes));
-            if found.len() == before {
+            let count_before = found.len();
+            let records_max = usize::try_from(remaining).unwrap_or(usize::MAX);
+            let of_blob = tail.records.into_iter().take(records_max);
+            let chunks = of_blob.filter_map(chunk);
+            let chunks = chunks.filter(|(key, _)| *key == blob.key);
+            found.extend(chunks.map(|(_, bytes)| bytes));
+            if found.len() == count_before {
                 return Err(StoreError::Expired);
             }
         }
-        Ok(self.keep(blob, found))
+        Ok(self.cache_joined(blob, found))
     }
 
-    /// Reads blobs of one partition by their keys: pages from the first key to
-    /// the last, and none between two that are far apart.
+    /// Reads blobs of one partition by their keys: pages from the first key to the last,
+    /// skipping pages that hold none of them.
     async fn read_by_key(
         &self,
         topic: Topic,
         blobs: &[&Blob],
     ) -> Result<HashMap<String, Bytes>, StoreError> {
-        let mut wanted: BTreeMap<&str, (&Blob, Pieces)> = BTreeMap::new();
+        let mut missing: BTreeMap<&str, (&Blob, Chunks)> = BTreeMap::new();
         for blob in blobs {
-            wanted.insert(&blob.key, (blob, Pieces::new()));
+            missing.insert(&blob.key, (blob, Chunks::new()));
         }
         let mut found = HashMap::new();
         let mut after = String::new();
-        while let Some((key, (blob, _))) = wanted.first_key_value() {
-            // The page begins behind the first blob's key, or where the last one ended.
+        while let Some((key, (blob, _))) = missing.first_key_value() {
+            // The page starts after the first blob's key or after the previous page.
             let from = after.as_str().max(key).to_owned();
             let page = self.store.newest(topic, blob.part, Some(from)).await?;
             let Some(last) = page.records.last().map(|r| r.entry.key.clone()) else {
                 return Ok(found);
             };
             for record in page.records {
-                let Some((key, bytes)) = piece(record) else {
+                let Some((key, bytes)) = chunk(record) else {
                     continue;
                 };
-                let Some((blob, pieces)) = wanted.get_mut(key.as_str()) else {
+                let Some((blob, chunks)) = missing.get_mut(key.as_str()) else {
                     continue;
                 };
-                pieces.push(bytes);
-                if pieces.len() == blob.records as usize {
-                    let whole = self.keep(blob, std::mem::take(pieces));
-                    wanted.remove(key.as_str());
-                    found.insert(key, whole);
+                chunks.push(bytes);
+                if chunks.len() == blob.records as usize {
+                    let contents = self.cache_joined(blob, std::mem::take(chunks));
+                    missing.remove(key.as_str());
+                    found.insert(key, contents);
                 }
             }
-            // What the page has passed by is not there.
-            wanted.retain(|_, (blob, _)| {
+            // Incomplete blobs that end before the end of the page have been deleted.
+            missing.retain(|_, (blob, _)| {
                 let last_record = blob.record_key(blob.records.saturating_sub(1));
                 page.has_more && last_record > last
             });
@@ -278,53 +280,55 @@
         Ok(found)
     }
 
-    fn keep(&self, blob: &Blob, pieces: Pieces) -> Bytes {
-        let whole = joined(pieces);
-        lock(&self.cache).put(&blob.key, &whole);
-        whole
+    /// Concatenates the chunks of a blob and caches the result.
+    fn cache_joined(&self, blob: &Blob, chunks: Chunks) -> Bytes {
+        let contents = concat(chunks);
+        lock(&self.cache).put(&blob.key, &contents);
+        contents
     }
 }
 
-/// Blobs whose places the history has dropped, by partition.
+/// Blobs whose offsets have expired, by partition.
 #[derive(Debug, Default)]
-struct Dropped<'a> {
-    by_part: BTreeMap<u32, DroppedPart<'a>>,
+struct ExpiredBlobs<'a> {
+    by_partition: BTreeMap<u32, ExpiredPartition<'a>>,
 }
 
 #[derive(Debug, Default)]
-struct DroppedPart<'a> {
-    /// The latest place known to be dropped; all before it are too.
+struct ExpiredPartition<'a> {
+    /// The greatest offset known to have expired; all before it have expired too.
     latest: u64,
     blobs: Vec<&'a Blob>,
 }
 
-impl<'a> Dropped<'a> {
-    fn holds(&self, blob: &Blob) -> bool {
-        let part = self.by_part.get(&blob.part);
-        part.is_some_and(|part| blob.offset <= part.latest)
+impl<'a> ExpiredBlobs<'a> {
+    /// Returns whether the offset of a blob is known to have expired.
+    fn includes(&self, blob: &Blob) -> bool {
+        let partition = self.by_partition.get(&blob.part);
+        partition.is_some_and(|partition| blob.offset <= partition.latest)
     }
 
-    fn note(&mut self, blob: &'a Blob) {
-        let part = self.by_part.entry(blob.part).or_default();
-        part.latest = part.latest.max(blob.offset);
-        part.blobs.push(blob);
+    fn insert(&mut self, blob: &'a Blob) {
+        let partition = self.by_partition.entry(blob.part).or_default();
+        partition.latest = partition.latest.max(blob.offset);
+        partition.blobs.push(blob);
     }
 }
 
-/// Returns the key of the blob that a record is a piece of, and the piece.
-fn piece(record: StoredRecord) -> Option<(String, Bytes)> {
+/// Returns the key of the blob that a record belongs to and the record's value.
+fn chunk(record: StoredRecord) -> Option<(String, Bytes)> {
     let (blob, _) = record.entry.key.rsplit_once('/')?;
     Some((blob.to_owned(), record.entry.value?))
 }
 
-/// Returns pieces as one; a single one is not copied.
-pub(crate) fn joined(pieces: Pieces) -> Bytes {
-    if let [piece] = pieces.as_slice() {
-        return piece.clone();
+/// Concatenates chunks; a single one is not copied.
+pub(crate) fn concat(chunks: Chunks) -> Bytes {
+    if let [chunk] = chunks.as_slice() {
+        return chunk.clone();
     }
-    let mut whole = BytesMut::with_capacity(pieces.iter().map(Bytes::len).sum());
-    for piece in pieces {
-        whole.extend_from_slice(&piece);
+    let mut contents = BytesMut::with_capacity(chunks.iter().map(Bytes::len).sum());
+    for chunk in chunks {
+        contents.extend_from_slice(&chunk);
     }
-    whole.freeze()
+    contents.freeze()
 }
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -31,8 +31,8 @@
 use notchwharf_startup::Startup;
 use tokio::sync::watch;
 
-use crate::follow::Reading;
-use crate::follow::Seen;
+use crate::follower::ReadAttempt;
+use crate::follower::Records;
 use crate::metrics::Counted;
 use crate::metrics::Metrics;
 use crate::ports::Decode;
@@ -146,29 +146,32 @@
     }
 
     /// Takes in a reading of targets.
-    fn read_targets(&self, reading: Reading, now: Instant) -> News {
-        let Reading { asked, seen } = reading;
+    fn read_targets(&self, reading: ReadAttempt, now: Instant) -> News {
+        let ReadAttempt {
+            requested_at,
+            result,
+        } = reading;
         let decode = |value: &Bytes| (self.deps.decode.target)(value);
         let evidence = self.deps.store.evidence();
         let mut known = lock(&self.known);
         // As of before this reading: what it tells is newer than that.
         let none_before = known.targets.complete_as_of();
-        let changes = match seen {
-            Ok(Seen::All { end, records }) => {
+        let changes = match result {
+            Ok(Records::Listed { end, records }) => {
                 slog::info!(self.deps.logger, "targets listed"; "targets" => records.len(),
                     "offset" => end, "source" => "store");
                 let records = records.into_iter().map(record).collect();
-                let answered = ReadInfo::at_end(asked, now);
+                let answered = ReadInfo::at_end(requested_at, now);
                 known
                     .targets
                     .apply_listing(&answered, &evidence, end, records, decode)
             }
-            Ok(Seen::More { records, is_whole }) => {
+            Ok(Records::Appended { records, is_at_end }) => {
                 let records = records.into_iter().map(record).collect();
                 let answered = ReadInfo {
-                    requested_at: asked,
+                    requested_at,
                     answered_at: now,
-                    is_at_end: is_whole,
+                    is_at_end,
                 };
                 known
                     .targets
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -19,8 +19,8 @@
 use super::evacuation;
 use super::follow::tell;
 use crate::context::Context;
-use crate::follow::Reading;
-use crate::follow::Seen;
+use crate::follower::ReadAttempt;
+use crate::follower::Records;
 use crate::metrics::Counted;
 use crate::ports::DecodeError;
 use crate::ports::Entry;
@@ -72,14 +72,14 @@
 }
 
 /// Takes in a reading of the configuration.
-pub(super) async fn read(ctx: &Context, reading: Reading) {
+pub(super) async fn read(ctx: &Context, reading: ReadAttempt) {
     // The reader tries again, and the store's wrapper has logged why.
-    let Ok(seen) = reading.seen else {
+    let Ok(seen) = reading.result else {
         return;
     };
     let is_whole = match &seen {
-        Seen::All { .. } => true,
-        Seen::More { is_whole, .. } => *is_whole,
+        Records::Listed { .. } => true,
+        Records::Appended { is_at_end, .. } => *is_at_end,
     };
     let listing_end = seen.listing_end();
     let records = seen.records();
@@ -90,7 +90,7 @@
     evacuation::apply_records(ctx, listing_end, &records);
     // Not before its records are in force, or they would count as confirmed.
     if is_whole {
-        ctx.catalog.confirmed(reading.asked);
+        ctx.catalog.confirmed(reading.requested_at);
     }
 }
 
@@ -174,7 +174,7 @@
     }
     *last = Some(Instant::now());
     let from = Some(ctx.catalog.versions().config).filter(|end| *end > 0);
-    let reading = ctx.follower().once(Topic::Config, from).await;
+    let reading = ctx.follower().read_once(Topic::Config, from).await;
     ctx.metrics
         .count(Counted::Changes, "configuration looked for");
     read(ctx, reading).await;
--- a/crates/gateway/src/catalog/follow.rs
+++ b/crates/gateway/src/catalog/follow.rs
@@ -11,8 +11,8 @@
 use super::News;
 use super::config;
 use crate::context::Context;
-use crate::follow::Pace;
-use crate::follow::Source;
+use crate::follower::PollConfig;
+use crate::follower::Source;
 use crate::peers;
 use crate::ports::Topic;
 use crate::time::ms;
@@ -39,12 +39,12 @@
 /// Returns how the configuration or targets are read. A reading that waits costs no
 /// call, so it waits as long as the time to settle allows: 3 s where that is 5 s,
 /// a third of the calls that a wait of 1 s takes.
-fn pace(settings: &Settings, gap: Duration) -> Pace {
+fn pace(settings: &Settings, gap: Duration) -> PollConfig {
     let settle = ms(settings.targets.settle_ms);
-    Pace {
+    PollConfig {
         wait: settle.saturating_sub(SETTLE_REST).clamp(WAIT_MIN, WAIT_MAX),
-        gap,
-        pause_max: PAUSE_MAX,
+        min_interval: gap,
+        backoff_max: PAUSE_MAX,
     }
 }
 
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -19,7 +19,7 @@
 use crate::blobs::Blobs;
 use crate::catalog;
 use crate::catalog::Catalog;
-use crate::follow::Follower;
+use crate::follower::Follower;
 use crate::items::Items;
 use crate::journal::Journal;
 use crate::limits::Limits;
@@ -119,7 +119,7 @@
             metrics: Arc::clone(&metrics),
             logger: logger.clone(),
         };
-        let progress = Progress::new(progress::Uses {
+        let progress = Progress::new(progress::Dependencies {
             store: store.clone(),
             metrics: Arc::clone(&metrics),
             logger: logger.clone(),
--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -1,13 +1,13 @@
-//! Runs the items of this host's jobs in places that online requests leave.
+//! Runs the items of this host's jobs in slots that online requests leave free.
 //!
-//! An item is cut the moment an online request needs its place. What it
-//! generated is kept, and it goes on at whatever target has room next.
+//! An item is preempted as soon as an online request needs its slot. The text that it has
+//! generated is kept, and it continues at the next target that has a free slot.
 
+mod completion;
 mod load;
 mod registry;
 mod run;
-mod settle;
-mod take_over;
+mod takeover;
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -36,6 +36,8 @@
 use crate::backlog::Item;
 use crate::backlog::ItemKey;
 use crate::context::Context;
+use crate::cpu_time;
+use crate::cpu_time::Activity;
 use crate::metrics::Counted;
 use crate::quarantine;
 use crate::sync::lock;
@@ -43,27 +45,25 @@
 use crate::target::Running;
 use crate::time::ms;
 use crate::time::unix_ms;
-use crate::work;
-use crate::work::Part;
 
 use self::registry::Registry;
 
-/// Time between two looks at the backlog without news, and at overfull targets.
+/// Interval of scheduling without notifications, and of checks for overcommitted targets.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Update period of the utilization metrics of all targets.
-const GAUGE_PERIOD: Duration = Duration::from_secs(1);
+/// Update interval of the utilization metrics of all targets.
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for the items of a host that leaves to stop and be saved: some calls
-/// of the store, and little beside the time that a host has to leave.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout for stopping all items and saving their progress at shutdown: some calls of the
+/// store, and a small part of the shutdown timeout.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time between two looks whether they have stopped.
-const HAND_OVER_TICK: Duration = Duration::from_millis(2);
+/// Interval of checks whether all items have stopped.
+const RELEASE_TICK: Duration = Duration::from_millis(2);
 
-/// Time after which an item that must not run now is looked at again: about as long as
-/// a target takes to crash under one like it, or to run it.
-const KEPT_BACK: Duration = Duration::from_millis(200);
+/// Delay before a blocked item is queued again: about the time in which a target runs such an
+/// item or crashes.
+const BLOCKED_DELAY: Duration = Duration::from_millis(200);
 
 /// Items that run at this host.
 #[derive(Debug, Default)]
@@ -71,75 +71,74 @@
     backlog: Mutex<Backlog>,
     running: Mutex<Registry>,
     wake: Notify,
-    /// Items that wait at other hosts.
-    line: Mutex<PeerQueues>,
-    /// How long items usually take, by route.
-    usual: Mutex<Estimators>,
-    /// Runs of items that are under way.
+    /// Items queued at other hosts.
+    peer_queues: Mutex<PeerQueues>,
+    /// Estimates of run times by route.
+    estimators: Mutex<Estimators>,
+    /// Runs in progress.
     runs: Gauge,
-    /// Whether the items of a host that leaves may be run elsewhere.
-    is_handed_over: AtomicBool,
-    /// Items whose end is not recorded yet.
-    pub(crate) unsettled: Gauge,
+    /// Whether other hosts may take over the jobs of this host, which shuts down.
+    has_released_jobs: AtomicBool,
+    /// Items whose outcome is being recorded.
+    pub(crate) unrecorded: Gauge,
 }
 
 impl Items {
-    /// Returns whether this host has no items to run.
+    /// Returns whether this host owns no open job.
     pub(crate) fn is_idle(&self) -> bool {
         lock(&self.backlog).is_idle()
     }
 
-    /// Returns whether the items of this host, which leaves, may be run
-    /// elsewhere: what they generated is saved.
-    pub(crate) fn is_handed_over(&self) -> bool {
-        self.is_handed_over.load(Ordering::Relaxed)
+    /// Returns whether other hosts may take over the jobs of this host, which shuts down: its
+    /// items have stopped and their progress has been saved, or the timeout has passed.
+    pub(crate) fn has_released_jobs(&self) -> bool {
+        self.has_released_jobs.load(Ordering::Relaxed)
     }
 
-    /// Returns which items wait here for others to leave them places; none of a
-    /// host that starts no more.
-    pub(crate) fn waiting(&self) -> Vec<QueuedItems> {
-        if self.is_handed_over() {
+    /// Returns the items that are queued at this host, for peers; none once it has released
+    /// its jobs.
+    pub(crate) fn queue_summary(&self) -> Vec<QueuedItems> {
+        if self.has_released_jobs() {
             return Vec::new();
         }
-        lock(&self.backlog).waiting()
+        lock(&self.backlog).summary()
     }
 
-    /// Takes in which items wait at a peer; returns whether that is news.
-    pub(crate) fn peer_waits(&self, host: &str, waiting: Vec<QueuedItems>) -> bool {
-        lock(&self.line).update(host, waiting, Instant::now())
+    /// Replaces the items that are queued at a peer; returns whether they changed.
+    pub(crate) fn update_peer_queue(&self, host: &str, queued: Vec<QueuedItems>) -> bool {
+        lock(&self.peer_queues).update(host, queued, Instant::now())
     }
 
-    /// Forgets what waits at a peer that is down.
-    pub(crate) fn peer_down(&self, host: &str) {
-        lock(&self.line).remove(host);
+    /// Removes the queue of a peer that is down.
+    pub(crate) fn remove_peer(&self, host: &str) {
+        lock(&self.peer_queues).remove(host);
     }
 
-    /// Lets the host look whether an item can start.
+    /// Wakes the scheduler to check whether an item can start.
     pub(crate) fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Cuts the item at a target that can best be spared; returns whether
-    /// there was one.
-    pub(crate) fn cut_one(&self, target: &str) -> bool {
-        let entry = lock(&self.running).take_spare(target);
-        // Dropping the entry ends the count at once and tells the item's task.
+    /// Preempts the item of the greatest preemption rank at a target; returns whether there
+    /// was one.
+    pub(crate) fn preempt_one(&self, target: &str) -> bool {
+        let entry = lock(&self.running).take_to_preempt(target);
+        // Dropping the entry frees the slot at once and cancels the item's task.
         entry.is_some()
     }
 
-    /// Cuts items that are not wanted any more.
-    fn cut_unwanted(&self, is_wanted: impl Fn(&ItemKey) -> bool) {
-        let unwanted = lock(&self.running).take_unwanted(is_wanted);
-        // Not before the registry is free again: the end of a count wakes
-        // whoever looks there.
-        drop(unwanted);
+    /// Cancels running items for which a predicate returns false.
+    fn retain_running(&self, is_retained: impl Fn(&ItemKey) -> bool) {
+        let cancelled = lock(&self.running).take_except(is_retained);
+        // Dropped after the registry is unlocked: freeing a slot wakes tasks that lock it.
+        drop(cancelled);
     }
 }
 
-/// Starts to run items.
+/// Starts the tasks that run items.
 pub(crate) fn start(ctx: &Arc<Context>) {
     tokio::spawn(schedule(Arc::clone(ctx)));
-    tokio::spawn(take_over::take_over(Arc::clone(ctx)));
+    tokio::spawn(takeover::run(Arc::clone(ctx)));
     let saves = ctx.timer.subscribe(ms(ctx.settings.batch.save_ms));
     let phase = ctx.phase.subscribe();
     let shared = Arc::clone(ctx);
@@ -149,8 +148,8 @@
 async fn schedule(ctx: Arc<Context>) {
     let mut changed = ctx.journal.subscribe();
     let mut ticks = ctx.timer.subscribe(TICK);
-    let mut gauge_ticks = ctx.timer.subscribe(GAUGE_PERIOD);
-    // The records may have been listed before anybody subscribed.
+    let mut gauge_ticks = ctx.timer.subscribe(GAUGE_INTERVAL);
+    // The records may have been loaded before the subscription.
     sync(&ctx);
     while ctx.phase() < Phase::Leaving {
         tokio::select! {
@@ -160,158 +159,160 @@
                 if tick.is_none() {
                     return;
                 }
-                relieve(&ctx);
+                preempt_overcommitted(&ctx);
                 if gauge_ticks.try_recv().is_ok() {
-                    gauge(&ctx);
+                    update_gauges(&ctx);
                 }
             }
         }
-        // An item that is blamed may be the first that a host reads when it starts.
+        // Suspects must be known first: the first item that a host reads after its start may
+        // be one.
         if ctx.startup.is_ready(Dependency::Suspects) {
             start_items(&ctx).await;
         }
     }
-    hand_over(&ctx).await;
+    release_jobs(&ctx).await;
 }
 
-/// Stops all items and saves how far they have got; then others are told that
-/// they may take the jobs over.
-async fn hand_over(ctx: &Context) {
-    ctx.items.cut_unwanted(|_| false);
+/// Stops all items, saves their progress, and then notifies peers that they may take over the
+/// jobs.
+async fn release_jobs(ctx: &Context) {
+    ctx.items.retain_running(|_| false);
     let saved = async {
-        let mut ticks = ctx.timer.subscribe(HAND_OVER_TICK);
+        let mut ticks = ctx.timer.subscribe(RELEASE_TICK);
         while ctx.items.runs.count() > 0 && ticks.recv().await.is_some() {}
-        for item in lock(&ctx.items.backlog).waiting_mut() {
+        for item in lock(&ctx.items.backlog).iter_mut() {
             if item.is_unsaved() {
-                ctx.progress.note(item);
+                ctx.progress.record(item);
             }
         }
-        ctx.progress.save().await
+        ctx.progress.flush().await
     };
-    match tokio::time::timeout(HAND_OVER_TIMEOUT, saved).await {
+    match tokio::time::timeout(RELEASE_TIMEOUT, saved).await {
         Ok(Ok(())) => {}
         Ok(Err(err)) => slog::warn!(ctx.logger, "progress of items not saved";
             "error" => err.to_string()),
         Err(_) => slog::warn!(ctx.logger, "progress of items not saved"; "error" => "timed out"),
     }
-    ctx.items.is_handed_over.store(true, Ordering::Relaxed);
+    ctx.items.has_released_jobs.store(true, Ordering::Relaxed);
     ctx.peers.notify();
 }
 
-/// Takes in what the job records say.
+/// Applies the job records to the backlog and cancels items that are no longer this host's.
 fn sync(ctx: &Arc<Context>) {
     let missing = {
         let jobs = ctx.journal.jobs();
-        lock(&ctx.items.backlog).sync(&jobs, ctx.host())
+        lock(&ctx.items.backlog).update(&jobs, ctx.host())
     };
     for (epoch, accepted) in missing {
         tokio::spawn(load::load(Arc::clone(ctx), epoch, accepted));
     }
     let backlog = lock(&ctx.items.backlog);
-    ctx.items.cut_unwanted(|key| backlog.is_wanted(key));
+    ctx.items.retain_running(|key| backlog.is_item_open(key));
     ctx.metrics.set("items_waiting", backlog.len());
 }
 
-/// Cuts an item at each target that has more than it can run.
-fn relieve(ctx: &Arc<Context>) {
-    let overfull = lock(&ctx.balancer).overcommitted(ctx.host());
-    for target in overfull {
-        if ctx.items.cut_one(&target) {
+/// Preempts an item at each overcommitted target.
+fn preempt_overcommitted(ctx: &Arc<Context>) {
+    let overcommitted = lock(&ctx.balancer).overcommitted(ctx.host());
+    for target in overcommitted {
+        if ctx.items.preempt_one(&target) {
             ctx.metrics.count(Counted::Items, "cut, target overfull");
         }
     }
 }
 
-/// Shows how full the targets are and which items come too late.
-fn gauge(ctx: &Context) {
-    let (taken, all) = lock(&ctx.balancer).slot_usage();
-    ctx.metrics.set("places_taken", taken as usize);
-    ctx.metrics.set("places", all as usize);
-    let late = lock(&ctx.items.backlog).late();
+/// Updates the gauges of slot usage and of late items.
+fn update_gauges(ctx: &Context) {
+    let (used, total) = lock(&ctx.balancer).slot_usage();
+    ctx.metrics.set("places_taken", used as usize);
+    ctx.metrics.set("places", total as usize);
+    let late = lock(&ctx.items.backlog).late_len();
     ctx.metrics.set("items_late", late);
 }
 
-/// Starts items while there is room for them.
+/// Starts items while there are free slots.
 async fn start_items(ctx: &Arc<Context>) {
-    let gap = ms(ctx.settings.batch.start_gap_ms);
-    let most = ctx.settings.batch.running_max as usize;
-    while ctx.phase() == Phase::Ready && lock(&ctx.items.running).len() < most {
-        let next = work::timed(&ctx.metrics, Part::Items, || next(ctx));
+    let interval = ms(ctx.settings.batch.start_gap_ms);
+    let running_max = ctx.settings.batch.running_max as usize;
+    while ctx.phase() == Phase::Ready && lock(&ctx.items.running).len() < running_max {
+        let next = cpu_time::measure(&ctx.metrics, Activity::ScheduleItems, || next(ctx));
         let Some(next) = next else {
             return;
         };
         match next {
-            Next::Run(start) => {
-                let Start {
+            Next::Start(start) => {
+                let ItemStart {
                     item,
-                    place,
+                    deadline,
                     route,
                     target,
-                    trial,
+                    guard,
                 } = *start;
                 let running = Running::start(ctx, &target, Class::Batch);
-                let ticket = lock(&ctx.items.running).add(&target, &item, place, running);
-                let run = run::run(Arc::clone(ctx), item, route, target, ticket, trial);
+                let ticket = lock(&ctx.items.running).add(&target, &item, deadline, running);
+                let run = run::run(Arc::clone(ctx), item, route, target, ticket, guard);
                 tokio::spawn(run);
-                tokio::time::sleep(gap).await;
+                tokio::time::sleep(interval).await;
             }
-            Next::KeepBack(item) => {
-                tokio::spawn(keep_back(Arc::clone(ctx), item));
+            Next::Postpone(item) => {
+                tokio::spawn(postpone(Arc::clone(ctx), item));
             }
-            Next::GiveUp(item, reason) => settle::give_up(ctx, &item, reason),
+            Next::Fail(item, reason) => completion::fail(ctx, &item, reason),
         }
     }
 }
 
-/// Puts an item that must not run now back after a moment, so that it holds up none
-/// behind it.
-async fn keep_back(ctx: Arc<Context>, item: Item) {
-    tokio::time::sleep(KEPT_BACK).await;
-    lock(&ctx.items.backlog).put_back(item);
+/// Queues a blocked item again after a delay, so that it does not delay those behind it.
+async fn postpone(ctx: Arc<Context>, item: Item) {
+    tokio::time::sleep(BLOCKED_DELAY).await;
+    lock(&ctx.items.backlog).requeue(item);
     ctx.items.wake();
 }
 
-/// What to do with an item.
+/// What to do with the next item.
 enum Next {
-    Run(Box<Start>),
-    /// Targets crash under it, or may: not now.
-    KeepBack(Item),
-    GiveUp(Item, Reason),
+    Start(Box<ItemStart>),
+    /// The quarantine blocks the item, because targets crash or may crash while they run it.
+    Postpone(Item),
+    Fail(Item, Reason),
 }
 
 /// An item that is about to run.
-struct Start {
+struct ItemStart {
     item: Item,
-    place: queue::Deadline,
+    deadline: queue::Deadline,
     route: Arc<Route>,
     target: TargetId,
-    /// Its run, if it is a suspect.
-    trial: Option<RunGuard>,
+    /// The quarantine's guard of this run, if the item is a suspect.
+    guard: Option<RunGuard>,
 }
 
+/// Removes the next item that can start or fail from the backlog; `None` if there is no item
+/// or no target with a free slot for it.
 fn next(ctx: &Context) -> Option<Next> {
     let table = ctx.table()?;
     let mut backlog = lock(&ctx.items.backlog);
-    let usual = lock(&ctx.items.usual);
-    backlog.put_late_behind(|item| is_late(&table, item, &usual));
-    drop(usual);
-    let (place, item) = backlog.peek()?;
-    let path = item.forward.path.split('?').next().unwrap_or_default();
+    let estimators = lock(&ctx.items.estimators);
+    backlog.demote_late(|item| is_late(&table, item, &estimators));
+    drop(estimators);
+    let (deadline, item) = backlog.peek()?;
+    let path = item.request.path.split('?').next().unwrap_or_default();
     let Some(route) = table.find(&item.host, path).cloned() else {
-        let item = backlog.take()?;
-        return Some(Next::GiveUp(item, Reason::NoRoute));
+        let item = backlog.pop()?;
+        return Some(Next::Fail(item, Reason::NoRoute));
     };
     let abandon_after = route.jobs.abandon_after;
-    if !abandon_after.is_zero() && item.known_since.elapsed() >= abandon_after {
-        let item = backlog.take()?;
-        return Some(Next::GiveUp(item, Reason::Expired));
+    if !abandon_after.is_zero() && item.loaded_at.elapsed() >= abandon_after {
+        let item = backlog.pop()?;
+        return Some(Next::Fail(item, Reason::Expired));
     }
-    let service = route.select_service(hash(&item.forward.id))?;
-    let ahead = lock(&ctx.items.line).ahead(place.sort_key_unix_ms());
+    let service = route.select_service(hash(&item.request.id))?;
+    let ahead = lock(&ctx.items.peer_queues).ahead(deadline.sort_key_unix_ms());
     ctx.metrics.set("items_ahead", ahead.items as usize);
-    let mut places = lock(&ctx.balancer);
-    let has_failed_everywhere = places.ids().all(|id| item.failed_at.contains(id));
-    let want = Criteria {
+    let mut balancer = lock(&ctx.balancer);
+    let has_failed_everywhere = balancer.ids().all(|id| item.failed_at.contains(id));
+    let criteria = Criteria {
         service,
         data_centre: &ctx.settings.host.data_centre,
         affinity: 0,
@@ -323,36 +324,36 @@
         objective: None,
         ahead,
     };
-    let target = places.choose_batch(&want, Instant::now())?;
-    drop(places);
+    let target = balancer.choose_batch(&criteria, Instant::now())?;
+    drop(balancer);
     let admitted = quarantine::try_admit(ctx, item);
-    let item = backlog.take()?;
-    // One that is refused is not given up: its caller is owed a result until its job
-    // may be abandoned, and blamed by mistake it ends well at its next trial.
-    let Ok(trial) = admitted else {
-        return Some(Next::KeepBack(item));
+    let item = backlog.pop()?;
+    // A blocked item does not fail: its caller expects a result until the job may be
+    // abandoned, and an item that was suspected by mistake succeeds at its next run.
+    let Ok(guard) = admitted else {
+        return Some(Next::Postpone(item));
     };
-    let start = Start {
+    let start = ItemStart {
         item,
-        place,
+        deadline,
         route,
         target,
-        trial,
+        guard,
     };
-    Some(Next::Run(Box::new(start)))
+    Some(Next::Start(Box::new(start)))
 }
 
-/// Returns whether an item that starts now ends after its job's objective.
-fn is_late(table: &Table, item: &Item, usual: &Estimators) -> bool {
-    let path = item.forward.path.split('?').next().unwrap_or_default();
+/// Returns whether an item that starts now is expected to end after its job's objective.
+fn is_late(table: &Table, item: &Item, estimators: &Estimators) -> bool {
+    let path = item.request.path.split('?').next().unwrap_or_default();
     let objective = table.find(&item.host, path).map(|r| r.jobs.objective);
     let Some(objective) = objective.filter(|o| !o.is_zero()) else {
         return false;
     };
-    // Either clock may have missed some time: the host's own began when it
-    // read the job, and the time of day may have been set back.
-    let by_day = Duration::from_millis(unix_ms().saturating_sub(item.submitted_unix_ms));
-    let age = item.known_since.elapsed().max(by_day);
-    let rest = usual.remaining(&item.route, item.size, item.events());
-    age + rest.unwrap_or_default() > objective
+    // Each clock may give too small an age: the monotonic one counts from when this host read
+    // the item, and the wall clock may have been set back.
+    let wall_age = Duration::from_millis(unix_ms().saturating_sub(item.submitted_unix_ms));
+    let age = item.loaded_at.elapsed().max(wall_age);
+    let remaining = estimators.remaining(&item.route, item.size, item.event_count());
+    age + remaining.unwrap_or_default() > objective
 }
--- a/crates/gateway/src/items/settle.rs
+++ b/crates/gateway/src/items/completion.rs
@@ -1,4 +1,4 @@
-//! Records how items ended.
+//! Records the outcomes of items.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,39 +15,39 @@
 use crate::ports::Topic;
 use crate::sync::lock;
 
-/// Time for which a record of an item is tried; the store may be down long.
+/// Timeout of an item's record, longer than outages of the store usually last.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Pause before a result is written again.
-const WRITE_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a result is written again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Lists an item as failed.
-pub(super) fn give_up(ctx: &Arc<Context>, item: &Item, reason: Reason) {
-    slog::info!(ctx.logger, "item given up"; "job" => item.key.0.as_str(),
-        "id" => item.forward.id.as_str(), "reason" => ?reason, "failures" => item.failures);
-    is_ending(ctx, item);
+/// Records an item as failed.
+pub(super) fn fail(ctx: &Arc<Context>, item: &Item, reason: Reason) {
+    slog::info!(ctx.logger, "item failed permanently"; "job" => item.key.0.as_str(),
+        "id" => item.request.id.as_str(), "reason" => ?reason, "failures" => item.failures);
+    stop_tracking(ctx, item);
     let record = Record::Listed {
         job: item.key.0.clone(),
         item: item.key.1,
         outcome: Outcome::Failed(reason),
     };
     ctx.metrics.count(Counted::Items, "given up");
-    tokio::spawn(list(Arc::clone(ctx), record));
+    tokio::spawn(append(Arc::clone(ctx), record));
 }
 
-/// Records the end of an item.
-async fn list(ctx: Arc<Context>, record: Record) {
-    let _unsettled = ctx.items.unsettled.enter();
+/// Appends the record of an item's outcome.
+async fn append(ctx: Arc<Context>, record: Record) {
+    let _unrecorded = ctx.items.unrecorded.enter();
     let job = record.job().clone();
     let deadline = Instant::now() + RECORD_TIMEOUT;
     if let Err(err) = ctx.journal.append(record, deadline).await {
-        slog::error!(ctx.logger, "end of an item not recorded"; "job" => job, "error" => ?err);
+        slog::error!(ctx.logger, "outcome of an item not recorded"; "job" => job, "error" => ?err);
     }
 }
 
-/// Writes an item's text and records its end.
+/// Writes an item's text and records the item as completed.
 pub(super) async fn complete(ctx: Arc<Context>, item: Item) {
-    let _unsettled = ctx.items.unsettled.enter();
+    let _unrecorded = ctx.items.unrecorded.enter();
     let (job, number) = &item.key;
     let key = format!("{job}/{number}/{}", ctx.writer_id);
     let text = bytes::Bytes::from(item.text);
@@ -64,10 +64,10 @@
             Ok(blobs) => break blobs,
             Err(err) if Instant::now() >= deadline || ctx.phase() == Phase::Stopped => {
                 slog::error!(ctx.logger, "result not written"; "job" => job.as_str(),
-                    "id" => item.forward.id.as_str(), "error" => err.to_string());
+                    "id" => item.request.id.as_str(), "error" => err.to_string());
                 return;
             }
-            Err(_) => tokio::time::sleep(WRITE_PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     };
     let record = Record::Listed {
@@ -75,11 +75,11 @@
         item: *number,
         outcome: Outcome::Completed(blobs),
     };
-    list(Arc::clone(&ctx), record).await;
+    append(Arc::clone(&ctx), record).await;
 }
 
-/// Notes that an item's end is about to be recorded.
-pub(super) fn is_ending(ctx: &Context, item: &Item) {
-    lock(&ctx.items.backlog).settled(&item.key);
-    ctx.progress.settled(&item.key);
+/// Removes an item whose outcome is about to be recorded from the backlog and the progress.
+pub(super) fn stop_tracking(ctx: &Context, item: &Item) {
+    lock(&ctx.items.backlog).remove(&item.key);
+    ctx.progress.remove(&item.key);
 }
--- a/crates/gateway/src/items/load.rs
+++ b/crates/gateway/src/items/load.rs
@@ -1,4 +1,4 @@
-//! Reads what a job's items say, and how far other hosts had got with them.
+//! Loads the items of a job and the progress that other hosts have made on them.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -18,14 +18,14 @@
 use crate::ports::ForwardedRequest;
 use crate::sync::lock;
 
-/// Pause before a job's items are read again.
-const LOAD_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a job's items are read again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Time after which items are due for which no time is told: they come after
-/// all that callers wait for, and not after jobs of the next hours.
-const DUE_MAX: Duration = Duration::from_secs(600);
+/// Time after which items are due that have neither an objective nor a time limit: they run
+/// after all items that callers wait for, and before jobs of the next hours.
+const DEFAULT_DUE_AFTER: Duration = Duration::from_secs(600);
 
-/// Reads the items of a job.
+/// Loads the items of a job into the backlog.
 pub(super) async fn load(ctx: Arc<Context>, epoch: Offset, accepted: Arc<Accepted>) {
     let job = &accepted.job;
     match Payload::read(&ctx, &accepted).await {
@@ -33,13 +33,13 @@
             let mut items = to_items(&ctx, &accepted, payload);
             resume(&ctx, &accepted, epoch, &mut items).await;
             let jobs = ctx.journal.jobs();
-            lock(&ctx.items.backlog).loaded(epoch, job, items, &jobs);
+            lock(&ctx.items.backlog).add_items(epoch, job, items, &jobs);
         }
         Err(err) => {
             slog::warn!(ctx.logger, "job's items not read"; "job" => job.as_str(),
                 "error" => err.to_string());
-            tokio::time::sleep(LOAD_PAUSE).await;
-            lock(&ctx.items.backlog).not_loaded(job);
+            tokio::time::sleep(RETRY_DELAY).await;
+            lock(&ctx.items.backlog).remove_unloaded(job);
             sync(&ctx);
         }
     }
@@ -47,26 +47,25 @@
     ctx.peers.notify();
 }
 
-/// Lets items go on from where other hosts, or this one before it started
-/// again, had got with them.
+/// Restores the progress that the previous owner, or this host before a restart, has saved.
 async fn resume(ctx: &Context, accepted: &Accepted, epoch: Offset, items: &mut [Item]) {
     let job = &accepted.job;
-    let owner_before = ctx
+    let previous_owner = ctx
         .journal
         .jobs()
         .get(job)
         .and_then(|j| j.owner_before.clone());
-    if owner_before.is_none() && !ctx.journal.is_older_than_listing(epoch) {
+    if previous_owner.is_none() && !ctx.journal.is_before_loading(epoch) {
         return;
     }
-    let hosts: Vec<HostId> = owner_before
+    let hosts: Vec<HostId> = previous_owner
         .into_iter()
         .chain([ctx.host().to_owned()])
         .collect();
     let mut found = match ctx.progress.read(job, &hosts).await {
         Ok(found) => found,
         Err(err) => {
-            slog::warn!(ctx.logger, "progress of items not read, they begin anew";
+            slog::warn!(ctx.logger, "progress of items not read; they start over";
                 "job" => job.as_str(), "error" => err.to_string());
             return;
         }
@@ -80,26 +79,26 @@
     }
 }
 
-/// Returns the time after which items of a job are due. Without an objective
-/// they are when they may be given up: before that, they wait for others.
-fn due(terms: &JobPolicy) -> Duration {
-    let times = [terms.objective, terms.abandon_after];
-    let told = times.into_iter().find(|time| !time.is_zero());
-    told.unwrap_or(DUE_MAX)
+/// Returns the time after which items of a job are due. Without an objective they are due when
+/// they may be abandoned; until then other items precede them.
+fn due_after(policy: &JobPolicy) -> Duration {
+    let times = [policy.objective, policy.abandon_after];
+    let configured = times.into_iter().find(|time| !time.is_zero());
+    configured.unwrap_or(DEFAULT_DUE_AFTER)
 }
 
 fn to_items(ctx: &Context, accepted: &Accepted, payload: Payload) -> Vec<Item> {
     let host = payload.host;
     let table = ctx.table();
     let route = table.as_ref().and_then(|t| t.by_name(&accepted.route));
-    let due_after = route.map_or(DUE_MAX, |route| due(&route.jobs));
-    let is_told_apart = table.as_ref().is_some_and(|t| t.workspaces().is_some());
+    let due_after = route.map_or(DEFAULT_DUE_AFTER, |route| due_after(&route.jobs));
+    let has_workspaces = table.as_ref().is_some_and(|t| t.workspaces().is_some());
     let workspace = workspace_of(&accepted.job);
     let specs = accepted.items.iter();
-    let both = specs.zip(payload.items).zip(0..);
-    let items = both.map(|((spec, item), number)| {
+    let pairs = specs.zip(payload.items).zip(0..);
+    let items = pairs.map(|((spec, item), number)| {
         let mut headers = item.headers();
-        if is_told_apart || workspace.is_some() {
+        if has_workspaces || workspace.is_some() {
             (ctx.decode.set_workspace)(&mut headers, workspace);
         }
         Item {
@@ -107,7 +106,7 @@
             key: (accepted.job.clone(), number),
             route: accepted.route.clone(),
             host: host.clone(),
-            forward: Arc::new(ForwardedRequest {
+            request: Arc::new(ForwardedRequest {
                 id: spec.id.clone(),
                 method: hyper::Method::POST,
                 headers,
@@ -124,7 +123,7 @@
             saved_failures: 0,
             submitted_unix_ms: accepted.submitted_unix_ms,
             due_after,
-            known_since: Instant::now(),
+            loaded_at: Instant::now(),
             fingerprint: OnceLock::new(),
         }
     });
--- a/crates/gateway/src/items/registry.rs
+++ b/crates/gateway/src/items/registry.rs
@@ -1,4 +1,4 @@
-//! The items that run now, target by target.
+//! The running items by target.
 
 use std::collections::HashMap;
 
@@ -11,96 +11,95 @@
 use crate::backlog::ItemKey;
 use crate::target::Running;
 
-/// The items that run now.
+/// The running items.
 #[derive(Debug, Default)]
 pub(super) struct Registry {
-    number: u64,
+    /// The number of the newest run.
+    last_run: u64,
     by_target: HashMap<TargetId, Vec<Entry>>,
 }
 
-/// An item that runs. Dropped, it is not counted any more and its task is told.
+/// A running item. Dropping the entry frees the slot and cancels the item's task.
 #[derive(Debug)]
 pub(super) struct Entry {
-    number: u64,
+    run: u64,
     key: ItemKey,
-    spare: Rank,
+    rank: Rank,
     _running: Running,
     _cancel: oneshot::Sender<()>,
 }
 
-/// What a running item holds: its number, and word when it is cut.
+/// The number of a run, and the receiver that is notified when it is cancelled.
 pub(super) struct Ticket {
-    pub(super) number: u64,
+    pub(super) run: u64,
     pub(super) cancelled: oneshot::Receiver<()>,
 }
 
 impl Registry {
-    /// Returns the number of items that run.
+    /// Returns the number of running items.
     pub(super) fn len(&self) -> usize {
         self.by_target.values().map(Vec::len).sum()
     }
 
-    /// Adds an item that begins to run.
+    /// Adds an item that starts.
     pub(super) fn add(
         &mut self,
         target: &TargetId,
         item: &Item,
-        place: Deadline,
+        deadline: Deadline,
         running: Running,
     ) -> Ticket {
         let (cancel, cancelled) = oneshot::channel();
-        self.number += 1;
-        let number = self.number;
+        self.last_run += 1;
+        let run = self.last_run;
         let entry = Entry {
-            number,
+            run,
             key: item.key.clone(),
-            spare: Rank {
-                is_late: place.is_late,
-                due_unix_ms: place.due_unix_ms,
-                run: number,
+            rank: Rank {
+                is_late: deadline.is_late,
+                due_unix_ms: deadline.due_unix_ms,
+                run,
             },
             _running: running,
             _cancel: cancel,
         };
         let at_target = self.by_target.entry(target.clone()).or_default();
         at_target.push(entry);
-        Ticket { number, cancelled }
+        Ticket { run, cancelled }
     }
 
-    /// Takes out an item by its number.
-    pub(super) fn take(&mut self, target: &str, number: u64) -> Option<Entry> {
-        self.take_at(target, |entries| {
-            entries.iter().position(|e| e.number == number)
-        })
+    /// Removes an item by the number of its run.
+    pub(super) fn take(&mut self, target: &str, run: u64) -> Option<Entry> {
+        self.take_at(target, |entries| entries.iter().position(|e| e.run == run))
     }
 
-    /// Takes out the item at a target that can best be spared.
-    pub(super) fn take_spare(&mut self, target: &str) -> Option<Entry> {
+    /// Removes the item of the greatest preemption rank at a target.
+    pub(super) fn take_to_preempt(&mut self, target: &str) -> Option<Entry> {
         self.take_at(target, |entries| {
-            let spare = entries.iter().enumerate().max_by_key(|(_, e)| e.spare);
-            spare.map(|(place, _)| place)
+            let preempted = entries.iter().enumerate().max_by_key(|(_, e)| e.rank);
+            preempted.map(|(index, _)| index)
         })
     }
 
-    /// Takes out the items that are not wanted any more.
-    pub(super) fn take_unwanted(&mut self, is_wanted: impl Fn(&ItemKey) -> bool) -> Vec<Entry> {
-        let mut all_unwanted = Vec::new();
+    /// Removes the items for which a predicate returns false.
+    pub(super) fn take_except(&mut self, is_retained: impl Fn(&ItemKey) -> bool) -> Vec<Entry> {
+        let mut taken = Vec::new();
         for entries in self.by_target.values_mut() {
-            let (wanted, unwanted) = entries.drain(..).partition(|e| is_wanted(&e.key));
-            *entries = wanted;
-            all_unwanted.extend::<Vec<Entry>>(unwanted);
+            let (retained, removed) = entries.drain(..).partition(|e| is_retained(&e.key));
+            *entries = retained;
+            taken.extend::<Vec<Entry>>(removed);
         }
         self.by_target.retain(|_, entries| !entries.is_empty());
-        all_unwanted
+        taken
     }
 
     fn take_at(
         &mut self,
         target: &str,
-        place: impl FnOnce(&[Entry]) -> Option<usize>,
+        index: impl FnOnce(&[Entry]) -> Option<usize>,
     ) -> Option<Entry> {
         let entries = self.by_target.get_mut(target)?;
-        let entry = entries.remove(place(entries)?);
+        let entry = entries.remove(index(entries)?);
         if entries.is_empty() {
             self.by_target.remove(target);
         }
--- a/crates/gateway/src/items/run.rs
+++ b/crates/gateway/src/items/run.rs
@@ -11,8 +11,8 @@
 use notchwharf_quarantine::gate::RunGuard;
 use notchwharf_routing::balancer::TargetId;
 
+use super::completion;
 use super::registry::Ticket;
-use super::settle;
 use crate::backlog::Item;
 use crate::backlog::count;
 use crate::context::Context;
@@ -28,111 +28,117 @@
 use crate::time::millis;
 use crate::time::ms;
 
-/// Time that a target is given for an item: far more than any takes, so that
-/// only silence or the job's end stops it.
+/// Timeout of a run: far more than any item takes, so that only a stalled response or the end
+/// of the job stops a run.
 const RUN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause before an item that failed goes on, so that a fault that repeats at
-/// once does not keep a target busy.
-const FAILED_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before an item is queued again after a failure, so that an immediate failure that
+/// repeats does not keep a target busy.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
-    /// The whole answer is here.
-    Whole,
-    /// It was cut for an online request or since it is not wanted.
-    Cut,
-    /// The target failed at it.
+enum RunOutcome {
+    /// The response is complete.
+    Completed,
+    /// The run was preempted, or its item is no longer this host's to run.
+    Cancelled,
+    /// The target reported a failure.
     Failed,
-    /// It can never be done.
+    /// The target reported that the item can never succeed.
     Impossible,
-    /// Nothing was run.
+    /// The target did not run the item.
     NotRun(NoReply),
-    /// The connection broke in the midst of it.
-    BrokeOff(&'static str),
-    /// The target fell silent or sent something else.
-    Broken(&'static str),
+    /// The connection broke during the run.
+    Interrupted(&'static str),
+    /// The target stalled, or its response was invalid.
+    Unusable(&'static str),
 }
 
+/// Runs an item at a target, and queues it again or records its outcome.
 pub(super) async fn run(
     ctx: Arc<Context>,
     mut item: Item,
     route: Arc<Route>,
     target: TargetId,
     ticket: Ticket,
-    trial: Option<RunGuard>,
+    guard: Option<RunGuard>,
 ) {
-    let under_way = ctx.items.runs.enter();
+    let in_progress = ctx.items.runs.enter();
     let started = Instant::now();
-    let had = item.last_event;
-    let Ticket { number, cancelled } = ticket;
-    let ended = tokio::select! {
-        ended = exchange(&ctx, &mut item, &target) => ended,
-        _ = cancelled => Ended::Cut,
+    let resumed_after = item.last_event;
+    let Ticket {
+        run: number,
+        cancelled,
+    } = ticket;
+    let outcome = tokio::select! {
+        outcome = exchange(&ctx, &mut item, &target) => outcome,
+        _ = cancelled => RunOutcome::Cancelled,
     };
     let entry = lock(&ctx.items.running).take(&target, number);
-    // Not before the registry is free again: the end of its count wakes whoever
-    // looks there.
+    // Dropped after the registry is unlocked: freeing the slot wakes tasks that lock it.
     drop(entry);
     let took = started.elapsed();
-    ctx.metrics.count(Counted::Items, label(ended));
-    let is_broken = matches!(ended, Ended::BrokeOff(_) | Ended::Broken(_));
+    ctx.metrics.count(Counted::Items, label(outcome));
+    let is_broken = matches!(
+        outcome,
+        RunOutcome::Interrupted(_) | RunOutcome::Unusable(_)
+    );
     let fingerprint = is_broken.then(|| item.fingerprint(&ctx.decode));
     slog::info!(ctx.logger, "item run"; "job" => item.key.0.as_str(),
-        "id" => item.forward.id.as_str(), "target" => target.as_str(), "ended" => label(ended),
-        "from_event" => had, "last_event" => item.last_event, "failures" => item.failures,
+        "id" => item.request.id.as_str(), "target" => target.as_str(), "ended" => label(outcome),
+        "from_event" => resumed_after, "last_event" => item.last_event, "failures" => item.failures,
         "took_ms" => millis(took),
         "fingerprint" => fingerprint.map(fingerprint::to_hex));
-    note(&ctx, &target, ended);
-    let events = item.events().saturating_sub(count(had));
-    lock(&ctx.items.usual)
+    update_balancer(&ctx, &target, outcome);
+    let events = item.event_count().saturating_sub(count(resumed_after));
+    lock(&ctx.items.estimators)
         .kind_mut(&item.route)
         .record_run(events, took);
-    match ended {
-        Ended::Whole => {
-            lock(&ctx.items.usual)
+    match outcome {
+        RunOutcome::Completed => {
+            lock(&ctx.items.estimators)
                 .kind_mut(&item.route)
-                .record_completion(item.size, item.events());
+                .record_completion(item.size, item.event_count());
             quarantine::record_success(&ctx, || item.fingerprint(&ctx.decode));
-            settle::is_ending(&ctx, &item);
-            drop(under_way);
-            settle::complete(Arc::clone(&ctx), item).await;
+            completion::stop_tracking(&ctx, &item);
+            drop(in_progress);
+            completion::complete(Arc::clone(&ctx), item).await;
         }
-        Ended::Impossible => settle::give_up(&ctx, &item, Reason::Impossible),
-        Ended::Failed => {
-            let is_targets_fault = lock(&ctx.balancer).is_failing(&target, Instant::now());
-            item.failed(&target, is_targets_fault);
-            if item.is_spent(route.attempts_max) {
-                settle::give_up(&ctx, &item, Reason::Attempts);
+        RunOutcome::Impossible => completion::fail(&ctx, &item, Reason::Impossible),
+        RunOutcome::Failed => {
+            let is_target_failing = lock(&ctx.balancer).is_failing(&target, Instant::now());
+            item.record_failure(&target, is_target_failing);
+            if item.has_exhausted_attempts(route.attempts_max) {
+                completion::fail(&ctx, &item, Reason::Attempts);
             } else {
-                put_back(&ctx, item).await;
+                requeue_after_delay(&ctx, item).await;
             }
         }
-        Ended::Cut => {
+        RunOutcome::Cancelled => {
             if events > 0 {
                 quarantine::record_survival(&ctx, &item, took);
             }
-            lock(&ctx.items.backlog).put_back(item);
+            lock(&ctx.items.backlog).requeue(item);
         }
-        Ended::BrokeOff(_) => {
-            broke_off(&ctx, &item, target, took).await;
-            put_back(&ctx, item).await;
+        RunOutcome::Interrupted(_) => {
+            check_crash(&ctx, &item, target, took).await;
+            requeue_after_delay(&ctx, item).await;
         }
-        Ended::NotRun(_) | Ended::Broken(_) => put_back(&ctx, item).await,
+        RunOutcome::NotRun(_) | RunOutcome::Unusable(_) => requeue_after_delay(&ctx, item).await,
     }
-    // The next run of a suspect begins when it is known how this one ended.
-    drop(trial);
+    // The next run of a suspect may start only when the outcome of this one is known.
+    drop(guard);
     ctx.items.wake();
 }
 
-/// Finds out whether a target crashed under an item.
-async fn broke_off(ctx: &Arc<Context>, item: &Item, target: TargetId, ran: Duration) {
+/// Checks whether a target crashed while it ran an item.
+async fn check_crash(ctx: &Arc<Context>, item: &Item, target: TargetId, ran: Duration) {
     let Some(addr) = lock(&ctx.balancer).spec(&target).map(|spec| spec.addr) else {
         return;
     };
     let run = quarantine::BrokenRun {
         fingerprint: item.fingerprint(&ctx.decode),
-        id: item.forward.id.clone(),
+        id: item.request.id.clone(),
         target,
         addr,
         run_time: ran,
@@ -141,77 +147,85 @@
     quarantine::check_crash(ctx, run).await;
 }
 
-async fn put_back(ctx: &Context, item: Item) {
-    tokio::time::sleep(FAILED_PAUSE).await;
-    lock(&ctx.items.backlog).put_back(item);
+async fn requeue_after_delay(ctx: &Context, item: Item) {
+    tokio::time::sleep(RETRY_DELAY).await;
+    lock(&ctx.items.backlog).requeue(item);
 }
 
-fn label(ended: Ended) -> &'static str {
-    match ended {
-        Ended::Whole => "whole",
-        Ended::Cut => "cut",
-        Ended::Failed => "failed",
-        Ended::Impossible => "impossible",
-        Ended::NotRun(err) => err.reason(),
-        Ended::BrokeOff(reason) | Ended::Broken(reason) => reason,
+/// Returns the name of an outcome in metrics and logs.
+fn label(outcome: RunOutcome) -> &'static str {
+    match outcome {
+        RunOutcome::Completed => "whole",
+        RunOutcome::Cancelled => "cut",
+        RunOutcome::Failed => "failed",
+        RunOutcome::Impossible => "impossible",
+        RunOutcome::NotRun(err) => err.reason(),
+        RunOutcome::Interrupted(reason) | RunOutcome::Unusable(reason) => reason,
     }
 }
 
-fn note(ctx: &Context, target: &TargetId, ended: Ended) {
+/// Reports the outcome of a run to the balancer.
+fn update_balancer(ctx: &Context, target: &TargetId, outcome: RunOutcome) {
     let now = Instant::now();
-    let mut places = lock(&ctx.balancer);
-    match ended {
-        Ended::Whole | Ended::Impossible => places.record_success(target, None),
-        Ended::Failed => places.record_item_failure(target, now),
-        Ended::NotRun(NoReply::Full) => places.record_rejection(target, now),
-        Ended::NotRun(NoReply::Rejected(_)) | Ended::Cut => {}
-        Ended::NotRun(_) | Ended::BrokeOff(_) | Ended::Broken(_) => {
-            places.record_connection_failure(target, now)
+    let mut balancer = lock(&ctx.balancer);
+    match outcome {
+        RunOutcome::Completed | RunOutcome::Impossible => balancer.record_success(target, None),
+        RunOutcome::Failed => balancer.record_item_failure(target, now),
+        RunOutcome::NotRun(NoReply::Full) => balancer.record_rejection(target, now),
+        RunOutcome::NotRun(NoReply::Rejected(_)) | RunOutcome::Cancelled => {}
+        RunOutcome::NotRun(_) | RunOutcome::Interrupted(_) | RunOutcome::Unusable(_) => {
+            balancer.record_connection_failure(target, now)
         }
     }
 }
 
-async fn exchange(ctx: &Context, item: &mut Item, target: &TargetId) -> Ended {
+/// Sends an item to a target and reads the response.
+async fn exchange(ctx: &Context, item: &mut Item, target: &TargetId) -> RunOutcome {
     let Some(addr) = lock(&ctx.balancer).spec(target).map(|spec| spec.addr) else {
-        return Ended::NotRun(NoReply::NotSent("target gone"));
+        return RunOutcome::NotRun(NoReply::NotSent("target gone"));
     };
     let call = Call {
-        request: Arc::clone(&item.forward),
+        request: Arc::clone(&item.request),
         target: target.clone(),
         addr,
         remaining: RUN_TIMEOUT,
         resume_after: item.last_event,
     };
-    let stall = ms(ctx.settings.batch.stall_ms);
-    let replied = tokio::time::timeout(stall, (ctx.targets.call)(call)).await;
-    let reply = match replied {
-        Err(_) => return Ended::Broken("silent"),
-        Ok(Err(err @ NoReply::Broken)) => return Ended::BrokeOff(err.reason()),
-        Ok(Err(NoReply::Unknown(reason))) => return Ended::Broken(reason),
-        Ok(Err(err)) => return Ended::NotRun(err),
+    let stall_timeout = ms(ctx.settings.batch.stall_ms);
+    let response = tokio::time::timeout(stall_timeout, (ctx.targets.call)(call)).await;
+    let reply = match response {
+        Err(_) => return RunOutcome::Unusable("silent"),
+        Ok(Err(err @ NoReply::Broken)) => return RunOutcome::Interrupted(err.reason()),
+        Ok(Err(NoReply::Unknown(reason))) => return RunOutcome::Unusable(reason),
+        Ok(Err(err)) => return RunOutcome::NotRun(err),
         Ok(Ok(reply)) => reply,
     };
     match reply.status {
-        StatusCode::UNPROCESSABLE_ENTITY => Ended::Impossible,
-        StatusCode::INTERNAL_SERVER_ERROR => Ended::Failed,
-        status if !status.is_success() => Ended::Broken("other status"),
-        _ if !reply.is_signed => Ended::Broken("unsigned success"),
-        _ => read(ctx, reply, item, stall).await,
+        StatusCode::UNPROCESSABLE_ENTITY => RunOutcome::Impossible,
+        StatusCode::INTERNAL_SERVER_ERROR => RunOutcome::Failed,
+        status if !status.is_success() => RunOutcome::Unusable("other status"),
+        _ if !reply.is_signed => RunOutcome::Unusable("unsigned success"),
+        _ => read(ctx, reply, item, stall_timeout).await,
     }
 }
 
-/// Reads an answer; whole events are kept however it ends.
-async fn read(ctx: &Context, mut reply: Reply, item: &mut Item, stall: Duration) -> Ended {
+/// Reads a response. Complete events are kept whatever the outcome.
+async fn read(
+    ctx: &Context,
+    mut reply: Reply,
+    item: &mut Item,
+    stall_timeout: Duration,
+) -> RunOutcome {
     let mut events = Events::default();
     loop {
-        let Ok(frame) = tokio::time::timeout(stall, reply.body.frame()).await else {
-            return Ended::Broken("silent");
+        let Ok(frame) = tokio::time::timeout(stall_timeout, reply.body.frame()).await else {
+            return RunOutcome::Unusable("silent");
         };
         let frame = match frame {
             Some(Ok(frame)) => frame,
-            Some(Err(_)) => return Ended::BrokeOff("broke off"),
-            None if events.is_empty() => return Ended::Whole,
-            None => return Ended::BrokeOff("ended in an event"),
+            Some(Err(_)) => return RunOutcome::Interrupted("broke off"),
+            None if events.is_empty() => return RunOutcome::Completed,
+            None => return RunOutcome::Interrupted("ended in an event"),
         };
         let Ok(bytes) = frame.into_data() else {
             continue;
@@ -219,7 +233,7 @@
         events.push(&bytes);
         for event in events.by_ref() {
             if !is_next(item.last_event, event.id) {
-                return Ended::Broken("event out of order");
+                return RunOutcome::Unusable("event out of order");
             }
             if item.last_event.is_some() {
                 item.text.push(b'\n');
@@ -227,8 +241,8 @@
             item.text.extend_from_slice(&event.data());
             item.last_event = event.id;
         }
-        if item.unsaved_events() >= ctx.settings.batch.save_events {
-            ctx.progress.note(item);
+        if item.unsaved_event_count() >= ctx.settings.batch.save_events {
+            ctx.progress.record(item);
         }
     }
 }
--- a/crates/gateway/src/items/take_over.rs
+++ b/crates/gateway/src/items/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes over jobs whose owners are down, leave, or do not reach the store.
+//! Takes over jobs whose owners are down, shut down, or do not reach the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,47 +14,49 @@
 use crate::peers::STORE_OUTAGE_MAX;
 use crate::time::ms;
 
-/// Time between two looks at jobs whose owners are gone.
-const TAKE_OVER_TICK: Duration = Duration::from_millis(250);
+/// Interval of checks for jobs to take over.
+const TICK: Duration = Duration::from_millis(250);
 
-/// Time after a peer was lost in which its jobs are looked for: it is lost to
-/// all hosts within that time.
-const TAKE_OVER_TIME: Duration = Duration::from_secs(2);
+/// Time after the loss of a peer for which the job records are read before each check. All
+/// hosts detect the loss within that time.
+const PEER_LOSS_WINDOW: Duration = Duration::from_secs(2);
 
-/// Takes over jobs whose owners are down, leave, or do not reach the store.
-pub(super) async fn take_over(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(TAKE_OVER_TICK);
-    // Peers make themselves heard in this time.
-    let settled = ctx.started + 2 * ms(ctx.settings.peers.down_ms);
+/// Takes over jobs whose owners are down, shut down, or do not reach the store.
+pub(super) async fn run(ctx: Arc<Context>) {
+    let mut ticks = ctx.timer.subscribe(TICK);
+    // Until then this host has received messages of all live peers.
+    let peers_known_at = ctx.started + 2 * ms(ctx.settings.peers.down_ms);
     while ticks.recv().await.is_some() && ctx.phase() < Phase::Leaving {
-        // After an outage others may have the store back too and not have said
-        // so yet.
+        // After an outage of the store, peers may have reconnected as well without having
+        // reported it yet.
         let has_store = ctx.store.has_been_up_for(STORE_OUTAGE_MAX) && ctx.journal.is_loaded();
-        if Instant::now() < settled || !has_store {
+        if Instant::now() < peers_known_at || !has_store {
             continue;
         }
-        let is_old = ctx.journal.age().is_none_or(|age| age > TAKE_OVER_TICK);
-        if is_old
-            && ctx.peers.has_lost_peer_within(TAKE_OVER_TIME)
+        let is_stale = ctx.journal.staleness().is_none_or(|age| age > TICK);
+        if is_stale
+            && ctx.peers.has_lost_peer_within(PEER_LOSS_WINDOW)
             && ctx.journal.sync().await.is_err()
         {
             continue;
         }
         for (job, epoch, owner) in orphans(&ctx) {
-            slog::info!(ctx.logger, "taking a job over"; "job" => job.as_str(),
+            slog::info!(ctx.logger, "taking over job"; "job" => job.as_str(),
                 "owner" => owner, "epoch" => epoch);
             let record = Record::Taken {
                 job,
                 epoch,
                 host: ctx.host().to_owned(),
             };
-            let deadline = Instant::now() + TAKE_OVER_TICK;
-            // Not done, it is tried again; done by another host, it is theirs.
+            let deadline = Instant::now() + TICK;
+            // After a failure the next check retries. If another host was first, it owns the
+            // job.
             let _ = ctx.journal.append(record, deadline).await;
         }
     }
 }
 
+/// Returns the open jobs that this host is to take over, with their epochs and owners.
 fn orphans(ctx: &Context) -> Vec<(JobId, Offset, String)> {
     let jobs = ctx.journal.jobs();
     let orphans = jobs.open().filter(|job| {
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -1,14 +1,14 @@
 //! Calls about jobs: submit, read results, read an item's body, end.
 //!
-//! Any host answers for any job. It says that there is none only after reading
-//! the job records to their end; when it cannot read them it passes the call on
-//! to a peer that can, and says so if there is none.
+//! Any host serves calls about any job. A host reports that a job does not exist only after
+//! reading the job records to their end. If it cannot read them, it forwards the call to a
+//! peer that can, and refuses the call for now if there is no such peer.
 //!
-//! A job belongs to the workspace whose key it came with, whose name is part of its own
-//! in the records: for another workspace there is no such job, and each of the
-//! workspace's keys will do for it.
+//! A job belongs to the workspace whose key its submission carried. The name of the workspace
+//! is part of the job's ID in the records, so the job does not exist for other workspaces, and
+//! any key of its workspace gives access to it.
 
-mod passed_on;
+mod forwarding;
 mod read;
 mod submit;
 
@@ -31,26 +31,26 @@
 use crate::ports::StoreError;
 use crate::ports::Topic;
 
-pub(crate) use self::passed_on::answer;
-pub use self::read::body;
-pub use self::read::read;
+pub(crate) use self::forwarding::handle_forwarded;
+pub use self::read::read_item_body;
+pub use self::read::read_results;
 pub use self::submit::end;
 pub use self::submit::submit;
 
-/// When to come back if this host does not reach the store and others do: the
-/// caller finds another host at once.
+/// Retry delay if this host does not reach the store and others do: the retry is routed to
+/// another host.
 const OTHER_HOST_RETRY: Duration = Duration::from_millis(50);
 
-/// When to come back if no host reaches the store: outages last some seconds,
-/// and callers wait a third of their time at most.
+/// Retry delay if no host reaches the store: outages last some seconds, and callers wait a
+/// third of their timeout at most.
 const STORE_RETRY: Duration = Duration::from_millis(1_300);
 
 /// A job as its caller submits it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Submission {
-    /// The job's name in the records, with its workspace.
+    /// The job's ID in the records, which contains its workspace.
     pub job: JobId,
-    /// The host that the request named.
+    /// The `Host` of the request.
     pub host: String,
     /// The path of the request.
     pub path: String,
@@ -58,7 +58,7 @@
     pub items: Vec<(ItemSpec, PayloadItem)>,
 }
 
-/// What an item says.
+/// The request of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PayloadItem {
     /// The path of its request.
@@ -70,8 +70,8 @@
 }
 
 impl PayloadItem {
-    /// Returns the headers; those that HTTP cannot carry are left out, which
-    /// the adapter has refused before.
+    /// Returns the headers without invalid ones. The adapter refuses jobs with invalid
+    /// headers, so usually there are none.
     pub(crate) fn headers(&self) -> HeaderMap {
         let pairs = self.headers.iter().filter_map(|(name, value)| {
             let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
@@ -82,19 +82,19 @@
     }
 }
 
-/// Returns the name in the records of a job that a caller names. A job that was taken
-/// in before callers were told apart keeps its own.
-pub fn id_of(ctx: &Context, caller: &Caller, name: &str) -> JobId {
-    let own = job_id(caller.name(), name);
-    let before = job_id(None, name);
+/// Returns the ID in the records of a job that a caller names. A job that was accepted before
+/// workspaces were configured keeps its ID without a workspace.
+pub fn resolve_job_id(ctx: &Context, caller: &Caller, name: &str) -> JobId {
+    let in_workspace = job_id(caller.name(), name);
+    let without_workspace = job_id(None, name);
     let jobs = ctx.journal.jobs();
-    if jobs.get(&own).is_none() && jobs.get(&before).is_some() {
-        return before;
+    if jobs.get(&in_workspace).is_none() && jobs.get(&without_workspace).is_some() {
+        return without_workspace;
     }
-    own
+    in_workspace
 }
 
-/// What the items of a job say.
+/// The requests of a job's items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Payload {
     pub(crate) host: String,
@@ -108,27 +108,27 @@
     }
 }
 
-/// A result as it is read.
+/// The result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
-    /// The item's name.
+    /// The item's ID.
     pub item: String,
-    /// Its whole text; nothing if it was given up.
+    /// Its complete text; `None` if the item failed.
     pub text: Option<Bytes>,
 }
 
-/// Results from a position on.
+/// Results of a job from a position on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reading {
+pub struct ResultPage {
     /// The number of the job's items.
     pub total: usize,
-    /// The position that follows the last result.
+    /// The position after the last result of the page.
     pub next: usize,
     /// The results.
     pub results: Vec<ItemResult>,
 }
 
-type Res<T> = Result<T, JobError>;
+type JobResult<T> = Result<T, JobError>;
 
 fn not_now(ctx: &Context, reason: &'static str) -> JobError {
     let retry_after = if ctx.peers.with_store() > 0 {
@@ -142,14 +142,15 @@
     }
 }
 
-async fn sync(ctx: &Context) -> Res<()> {
+async fn sync(ctx: &Context) -> JobResult<()> {
     let synced = ctx.journal.sync().await;
     synced.map_err(|_| not_now(ctx, "the job records cannot be read"))
 }
 
-fn label<T>(done: &'static str, res: &Res<T>) -> &'static str {
+/// Returns the metric label of a call, which is `success` if it succeeded.
+fn label<T>(success: &'static str, res: &JobResult<T>) -> &'static str {
     match res {
-        Ok(_) => done,
+        Ok(_) => success,
         Err(JobError::Malformed(_)) => "malformed",
         Err(JobError::NoRoute) => "no route",
         Err(JobError::OverQuota { .. }) => "over quota",
--- a/crates/gateway/src/jobs/passed_on.rs
+++ b/crates/gateway/src/jobs/forwarding.rs
@@ -1,10 +1,9 @@
-//! Calls about jobs that a host passes on to a peer.
+//! Forwards calls about jobs to peers that reach the store.
 //!
-//! The store may turn away some hosts and serve the others, and callers may
-//! reach just those that it turns away: all of one data centre. So a host that
-//! cannot answer asks a peer that reaches the store. A call is passed on once;
-//! the peer answers for itself. Telling the caller to try another host was
-//! rejected: callers do not choose theirs.
+//! The store may be unreachable for some hosts only, such as all hosts of one data centre, and
+//! a caller may reach only these. So a host that cannot serve a call forwards it to a peer that
+//! reaches the store. A call is forwarded once; the peer does not forward it again. Asking the
+//! caller to retry at another host was rejected because callers do not choose their host.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,7 +15,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::Res;
+use super::JobResult;
 use super::Submission;
 use super::read::try_body;
 use super::read::try_read;
@@ -27,23 +26,24 @@
 use crate::metrics::Counted;
 use crate::peers::CallError;
 
-/// Time for a peer's answer, beside the time that a reading may wait: what a
-/// record takes at most, and the way there and back.
+/// Timeout of a forwarded call, not counting the time for which a read may wait: the timeout
+/// of a record and a round trip.
 const TIMEOUT: Duration = Duration::from_millis(2_800);
 
-/// Peers that are tried in this host's cell, and in others: the first may just have died.
+/// Maximum number of peers tried in this host's cell, and in others: the first may just have
+/// failed.
 const PEERS_MAX: usize = 2;
 
 /// A call about a job.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Call {
-    /// Takes a job in.
+    /// Submits a job.
     Submit(Submission),
     /// Reads results.
     Read {
         /// The job.
         job: String,
-        /// The position to begin at.
+        /// The position of the first result.
         from: usize,
         /// Time to wait for a result.
         wait: Duration,
@@ -70,8 +70,9 @@
         }
     }
 
-    /// Returns what the call comes to if a peer may have done it.
-    fn lost(&self) -> Option<JobError> {
+    /// Returns the error of a call that a peer may have executed; `None` if the call can be
+    /// repeated.
+    fn unknown_outcome(&self) -> Option<JobError> {
         match self {
             Self::Submit(_) | Self::End { .. } => Some(JobError::Unknown),
             Self::Read { .. } | Self::Body { .. } => None,
@@ -86,80 +87,87 @@
     }
 }
 
-/// Answers a call here, or passes it on if that cannot be done now.
-pub(super) async fn here_or_passed_on<T: DeserializeOwned>(
+/// Runs a call at this host, or forwards it if this host cannot serve it now.
+pub(super) async fn run_or_forward<T: DeserializeOwned>(
     ctx: &Context,
     call: &Call,
-    here: impl Future<Output = Res<T>>,
-) -> Res<T> {
+    local: impl Future<Output = JobResult<T>>,
+) -> JobResult<T> {
     if ctx.store.is_up() {
-        let res = here.await;
+        let res = local.await;
         if !matches!(res, Err(JobError::NotNow { .. })) {
             return res;
         }
-        return pass_on(ctx, call).await.unwrap_or(res);
+        return forward(ctx, call).await.unwrap_or(res);
     }
-    match pass_on(ctx, call).await {
-        None | Some(Err(JobError::NotNow { .. })) => here.await,
+    match forward(ctx, call).await {
+        None | Some(Err(JobError::NotNow { .. })) => local.await,
         Some(res) => res,
     }
 }
 
-/// Returns what a peer answers; nothing if none did and none has done it. One that says
-/// that it cannot do it now may have lost the store as well, and the next is asked.
-async fn pass_on<T: DeserializeOwned>(ctx: &Context, call: &Call) -> Option<Res<T>> {
+/// Forwards a call and returns the response; `None` if no peer responded and none executed the
+/// call. A peer that cannot serve the call now may have lost the store as well, so the next
+/// one is tried.
+async fn forward<T: DeserializeOwned>(ctx: &Context, call: &Call) -> Option<JobResult<T>> {
     let mut not_now = None;
     let bytes = postcard::to_stdvec(call).expect("Calls are representable.");
     let bytes = Bytes::from(bytes);
     for addr in ctx.peers.sample_with_store(PEERS_MAX) {
-        let answered = ctx.peers.call(addr, bytes.clone(), call.timeout()).await;
-        let res = match answered {
+        let response = ctx.peers.call(addr, bytes.clone(), call.timeout()).await;
+        let res = match response {
             Ok(bytes) => decode(ctx, addr, &bytes),
-            Err(CallError::NotSent(why)) => {
-                note(ctx, call, addr, why);
+            Err(CallError::NotSent(reason)) => {
+                record(ctx, call, addr, reason);
                 continue;
             }
-            Err(CallError::Lost(why)) => {
-                note(ctx, call, addr, why);
+            Err(CallError::Lost(reason)) => {
+                record(ctx, call, addr, reason);
                 None
             }
         };
         if let Some(Err(JobError::NotNow { .. })) = &res {
-            note(ctx, call, addr, "not now");
+            record(ctx, call, addr, "not now");
             not_now = res;
             continue;
         }
         if res.is_some() {
-            note(ctx, call, addr, "answered");
+            record(ctx, call, addr, "answered");
         }
-        return res.or_else(|| call.lost().map(Err));
+        return res.or_else(|| call.unknown_outcome().map(Err));
     }
     not_now
 }
 
-fn decode<T: DeserializeOwned>(ctx: &Context, addr: SocketAddr, bytes: &[u8]) -> Option<Res<T>> {
+fn decode<T: DeserializeOwned>(
+    ctx: &Context,
+    addr: SocketAddr,
+    bytes: &[u8],
+) -> Option<JobResult<T>> {
     match postcard::from_bytes(bytes) {
         Ok(res) => Some(res),
         Err(err) => {
-            slog::error!(ctx.logger, "unreadable answer of a peer";
+            slog::error!(ctx.logger, "invalid response from peer";
                 "addr" => addr.to_string(), "error" => err.to_string());
             None
         }
     }
 }
 
-fn note(ctx: &Context, call: &Call, addr: SocketAddr, outcome: &'static str) {
+/// Counts and logs a forwarded call.
+fn record(ctx: &Context, call: &Call, addr: SocketAddr, outcome: &'static str) {
     ctx.metrics.count(Counted::Jobs, "passed on");
-    slog::info!(ctx.logger, "job call passed on"; "id" => call.job(),
+    slog::info!(ctx.logger, "job call forwarded"; "id" => call.job(),
         "peer" => addr.to_string(), "outcome" => outcome);
 }
 
-/// Answers a call that a peer has passed on; nothing if it is unreadable.
-pub(crate) async fn answer(ctx: &Arc<Context>, bytes: &[u8]) -> Option<Vec<u8>> {
+/// Serves a call that a peer forwarded and returns the encoded response; `None` if the call
+/// is invalid.
+pub(crate) async fn handle_forwarded(ctx: &Arc<Context>, bytes: &[u8]) -> Option<Vec<u8>> {
     let call = match postcard::from_bytes::<Call>(bytes) {
         Ok(call) => call,
         Err(err) => {
-            slog::error!(ctx.logger, "unreadable call of a peer"; "error" => err.to_string());
+            slog::error!(ctx.logger, "invalid forwarded job call"; "error" => err.to_string());
             return None;
         }
     };
@@ -171,5 +179,5 @@
         Call::Body { job, item } => postcard::to_stdvec(&try_body(ctx, &job, &item).await),
         Call::End { job } => postcard::to_stdvec(&try_end(ctx, &job).await),
     };
-    Some(encoded.expect("Answers are representable."))
+    Some(encoded.expect("Responses are representable."))
 }
--- a/crates/gateway/src/jobs/read.rs
+++ b/crates/gateway/src/jobs/read.rs
@@ -9,15 +9,15 @@
 use notchwharf_ledger::jobs::Outcome;
 
 use super::ItemResult;
+use super::JobResult;
 use super::Payload;
-use super::Reading;
-use super::Res;
+use super::ResultPage;
+use super::forwarding::Call;
+use super::forwarding::run_or_forward;
 use super::label;
 use super::not_now;
-use super::passed_on::Call;
-use super::passed_on::here_or_passed_on;
 use super::sync;
-use crate::blobs::joined;
+use crate::blobs::concat;
 use crate::context::Context;
 use crate::error::JobError;
 use crate::metrics::Counted;
@@ -25,31 +25,36 @@
 use crate::ports::Topic;
 use crate::time::millis;
 
-/// Bytes of results that one reading returns at most, where there are more
-/// than one.
-const READ_BYTES_MAX: usize = 900 << 10;
+/// Maximum bytes of a page of more than one result.
+const PAGE_BYTES_MAX: usize = 900 << 10;
 
-/// Age of the newest reading of the job records up to which a host answers
-/// without another: what one host has shown, all must show within a second.
-const AGE_MAX: Duration = Duration::from_millis(600);
+/// Maximum staleness of the job records at which a host responds without reading them again:
+/// what one host has returned, all must return within a second.
+const STALENESS_MAX: Duration = Duration::from_millis(600);
 
-/// Reads results from a position on, waiting if there is none yet.
+/// Reads results from a position on, waiting for the first one if there is none yet.
 ///
 /// # Errors
 ///
-/// Returns that there is no such job, or that the host cannot tell.
-pub async fn read(ctx: &Context, job: &str, from: usize, wait: Duration) -> Res<Reading> {
+/// Returns an error if the job does not exist, or if the job records or the results cannot be
+/// read now.
+pub async fn read_results(
+    ctx: &Context,
+    job: &str,
+    from: usize,
+    wait: Duration,
+) -> JobResult<ResultPage> {
     let call = Call::Read {
         job: job.to_owned(),
         from,
         wait,
     };
-    let res = here_or_passed_on(ctx, &call, try_read(ctx, job, from, wait)).await;
+    let res = run_or_forward(ctx, &call, try_read(ctx, job, from, wait)).await;
     ctx.metrics.count(Counted::Jobs, label("read", &res));
     if let Err(err) = &res {
         slog::info!(ctx.logger, "results not read"; "id" => job, "from" => from,
             "outcome" => err.to_string(), "records_end" => ctx.journal.jobs().end(),
-            "records_age_ms" => ctx.journal.age().map(millis));
+            "records_age_ms" => ctx.journal.staleness().map(millis));
     }
     res
 }
@@ -59,55 +64,60 @@
     job: &str,
     from: usize,
     wait: Duration,
-) -> Res<Reading> {
+) -> JobResult<ResultPage> {
     let deadline = tokio::time::Instant::now() + wait;
     let mut changed = ctx.journal.watch();
-    let mut listed = listed(ctx, job);
+    let mut listed = listed_count(ctx, job);
     if listed.is_none_or(|listed| from >= listed) {
-        sync_if_old(ctx).await?;
+        sync_if_stale(ctx).await?;
         if listed.is_none() {
             sync(ctx).await?;
         }
-        listed = self::listed(ctx, job);
+        listed = listed_count(ctx, job);
     }
-    let mut known = listed.ok_or(JobError::NotFound)?;
-    while known <= from && !is_over(ctx, job) {
-        // Both ends of the wait are looked at below.
+    let mut count = listed.ok_or(JobError::NotFound)?;
+    while count <= from && !is_closed(ctx, job) {
+        // After a timeout the page is empty.
         if tokio::time::timeout_at(deadline, changed.changed())
             .await
             .is_err()
         {
             break;
         }
-        known = self::listed(ctx, job).ok_or(JobError::NotFound)?;
+        count = listed_count(ctx, job).ok_or(JobError::NotFound)?;
     }
-    results(ctx, job, from).await
+    page_from(ctx, job, from).await
 }
 
-fn listed(ctx: &Context, job: &str) -> Option<usize> {
+/// Returns the number of a job's recorded results.
+fn listed_count(ctx: &Context, job: &str) -> Option<usize> {
     ctx.journal.jobs().get(job).map(|j| j.listed.len())
 }
 
-/// Returns whether no more results of a job are to come.
-fn is_over(ctx: &Context, job: &str) -> bool {
+/// Returns whether a job gets no more results.
+fn is_closed(ctx: &Context, job: &str) -> bool {
     ctx.journal.jobs().get(job).is_none_or(|j| !j.is_open())
 }
 
-async fn sync_if_old(ctx: &Context) -> Res<()> {
-    if ctx.journal.age().is_none_or(|age| age > AGE_MAX) {
+async fn sync_if_stale(ctx: &Context) -> JobResult<()> {
+    if ctx
+        .journal
+        .staleness()
+        .is_none_or(|age| age > STALENESS_MAX)
+    {
         sync(ctx).await?;
     }
     Ok(())
 }
 
-async fn results(ctx: &Context, job: &str, from: usize) -> Res<Reading> {
+async fn page_from(ctx: &Context, job: &str, from: usize) -> JobResult<ResultPage> {
     let (accepted, listed) = {
         let jobs = ctx.journal.jobs();
-        let known = jobs.get(job).ok_or(JobError::NotFound)?;
-        let listed = known.listed.get(from..).unwrap_or_default().to_vec();
-        (Arc::clone(&known.accepted), listed)
+        let state = jobs.get(job).ok_or(JobError::NotFound)?;
+        let listed = state.listed.get(from..).unwrap_or_default().to_vec();
+        (Arc::clone(&state.accepted), listed)
     };
-    let mut reading = Reading {
+    let mut page = ResultPage {
         total: accepted.items.len(),
         next: from,
         results: Vec::new(),
@@ -122,9 +132,9 @@
                 let parts: Result<Vec<Bytes>, StoreError> =
                     parts.by_ref().take(blobs.len()).collect();
                 match parts {
-                    Ok(parts) => Some(joined(parts)),
-                    // What is here already is worth having.
-                    Err(_) if !reading.results.is_empty() => break,
+                    Ok(parts) => Some(concat(parts)),
+                    // The results read so far are returned.
+                    Err(_) if !page.results.is_empty() => break,
                     Err(err) => {
                         slog::warn!(ctx.logger, "result not read"; "job" => job,
                             "error" => err.to_string());
@@ -133,15 +143,14 @@
                 }
             }
         };
-        reading.next += 1;
+        page.next += 1;
         let item = accepted.items[entry.item as usize].id.clone();
-        reading.results.push(ItemResult { item, text });
+        page.results.push(ItemResult { item, text });
     }
-    Ok(reading)
+    Ok(page)
 }
 
-/// Returns the results that one reading may return: the first, and as many
-/// more as stay below its bytes.
+/// Returns the results that fit into one page: at least the first one.
 fn fitting(listed: &[Listed]) -> &[Listed] {
     let mut bytes = 0;
     let sizes = listed.iter().map(|entry| {
@@ -150,7 +159,7 @@
     });
     let count = sizes.take_while(|size| {
         bytes += size;
-        bytes <= READ_BYTES_MAX
+        bytes <= PAGE_BYTES_MAX
     });
     let count = count.count().max(1).min(listed.len());
     &listed[..count]
@@ -167,13 +176,14 @@
 ///
 /// # Errors
 ///
-/// Returns that there is no such item, or that the host cannot tell.
-pub async fn body(ctx: &Context, job: &str, item: &str) -> Res<Bytes> {
+/// Returns an error if the item does not exist, or if the job records or the item cannot be
+/// read now.
+pub async fn read_item_body(ctx: &Context, job: &str, item: &str) -> JobResult<Bytes> {
     let call = Call::Body {
         job: job.to_owned(),
         item: item.to_owned(),
     };
-    let res = here_or_passed_on(ctx, &call, try_body(ctx, job, item)).await;
+    let res = run_or_forward(ctx, &call, try_body(ctx, job, item)).await;
     ctx.metrics.count(Counted::Jobs, label("body", &res));
     if let Err(err) = &res {
         slog::info!(ctx.logger, "item's body not read"; "id" => job, "item" => item,
@@ -182,25 +192,25 @@
     res
 }
 
-pub(super) async fn try_body(ctx: &Context, job: &str, item: &str) -> Res<Bytes> {
+pub(super) async fn try_body(ctx: &Context, job: &str, item: &str) -> JobResult<Bytes> {
     if ctx.journal.jobs().get(job).is_none() {
         sync(ctx).await?;
     }
-    let (accepted, place) = {
+    let (accepted, index) = {
         let jobs = ctx.journal.jobs();
-        let known = jobs
+        let state = jobs
             .get(job)
             .filter(|j| !j.is_ended)
             .ok_or(JobError::NotFound)?;
-        let place = known.item_index(item).ok_or(JobError::NotFound)?;
-        (Arc::clone(&known.accepted), place as usize)
+        let index = state.item_index(item).ok_or(JobError::NotFound)?;
+        (Arc::clone(&state.accepted), index as usize)
     };
     let payload = Payload::read(ctx, &accepted).await;
     let payload = payload.map_err(|_| not_now(ctx, "the items cannot be read"))?;
     let item = payload
         .items
         .into_iter()
-        .nth(place)
+        .nth(index)
         .ok_or(JobError::NotFound)?;
     Ok(item.body.into())
 }
--- a/crates/gateway/src/jobs/submit.rs
+++ b/crates/gateway/src/jobs/submit.rs
@@ -1,4 +1,4 @@
-//! Takes jobs in, and ends them.
+//! Submits and ends jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use notchwharf_ledger::jobs::Record;
 use notchwharf_ledger::jobs::workspace_of;
 
+use super::JobResult;
 use super::Payload;
-use super::Res;
 use super::Submission;
+use super::forwarding::Call;
+use super::forwarding::run_or_forward;
 use super::label;
 use super::not_now;
-use super::passed_on::Call;
-use super::passed_on::here_or_passed_on;
 use super::sync;
 use crate::context::Context;
 use crate::error::JobError;
-use crate::journal::NotAppended;
+use crate::journal::AppendError;
 use crate::metrics::Counted;
 use crate::ports::Topic;
 use crate::time::millis;
 use crate::time::unix_ms;
 
-/// When to come back after a limit on waiting tokens left no room: about the time in
-/// which a few items end.
+/// Retry delay if a job exceeds the limit on waiting tokens: about the time in which a few
+/// items complete.
 const QUOTA_RETRY: Duration = Duration::from_secs(1);
 
-/// Time for the record of an acceptance or an end: below what callers wait.
+/// Timeout of the record of an acceptance or an end, below the timeout of callers.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Takes a job in; repeated, it says so again.
+/// Submits a job. The call is idempotent.
 ///
 /// # Errors
 ///
-/// Returns why the job was not taken in, and whether it may have been.
-pub async fn submit(ctx: &Arc<Context>, submission: Submission) -> Res<()> {
+/// Returns why the job was not accepted, or [`JobError::Unknown`] if it may have been.
+pub async fn submit(ctx: &Arc<Context>, submission: Submission) -> JobResult<()> {
     let job = submission.job.clone();
     let items = submission.items.len();
     let started = Instant::now();
     let call = Call::Submit(submission.clone());
-    let res = here_or_passed_on(ctx, &call, try_submit(ctx, submission)).await;
+    let res = run_or_forward(ctx, &call, try_submit(ctx, submission)).await;
     let outcome = res
         .as_ref()
         .err()
@@ -52,11 +52,11 @@
     slog::info!(ctx.logger, "job submitted"; "id" => job.as_str(), "items" => items,
         "outcome" => outcome, "took_ms" => millis(started.elapsed()),
         "records_end" => ctx.journal.jobs().end(),
-        "records_age_ms" => ctx.journal.age().map(millis));
+        "records_age_ms" => ctx.journal.staleness().map(millis));
     res
 }
 
-pub(super) async fn try_submit(ctx: &Context, submission: Submission) -> Res<()> {
+pub(super) async fn try_submit(ctx: &Context, submission: Submission) -> JobResult<()> {
     if ctx.journal.jobs().get(&submission.job).is_some() {
         return Ok(());
     }
@@ -73,16 +73,16 @@
     let (specs, items): (Vec<_>, Vec<_>) = submission.items.into_iter().unzip();
     let tokens: u64 = specs.iter().map(|s| u64::from(s.tokens)).sum();
     let tokens_max = route.jobs.tokens_max;
-    let is_over = || {
+    let exceeds_limit = || {
         let workspace = workspace_of(&submission.job);
         let jobs = ctx.journal.jobs();
         let waiting = jobs.waiting_tokens_of(workspace, &route.name);
         tokens_max.is_some_and(|max| waiting + tokens > max)
     };
-    if is_over() {
-        // What is known may be old: look again before the job is refused.
+    if exceeds_limit() {
+        // The records known so far may be stale, so they are read again before a refusal.
         sync(ctx).await?;
-        if is_over() {
+        if exceeds_limit() {
             return Err(over_quota());
         }
     }
@@ -97,7 +97,7 @@
         .blobs
         .write(Topic::Payloads, &submission.job, &key, bytes.into())
         .await;
-    // Without its acceptance a payload means nothing.
+    // A payload without the record of the acceptance has no effect.
     let payload = blobs.map_err(|_| not_now(ctx, "the store does not take the items"))?;
     let record = Record::Accepted(Accepted {
         job: submission.job,
@@ -116,8 +116,8 @@
     {
         Ok(Applied::OverQuota { .. }) => Err(over_quota()),
         Ok(_) => Ok(()),
-        Err(NotAppended::NotDone(_)) => Err(not_now(ctx, "the store does not take the job")),
-        Err(NotAppended::Unknown) => Err(JobError::Unknown),
+        Err(AppendError::NotDone(_)) => Err(not_now(ctx, "the store does not take the job")),
+        Err(AppendError::Unknown) => Err(JobError::Unknown),
     }
 }
 
@@ -127,16 +127,17 @@
     }
 }
 
-/// Ends a job; repeated, it does nothing.
+/// Ends a job. The call is idempotent.
 ///
 /// # Errors
 ///
-/// Returns that there is no such job, or that the end may not be recorded.
-pub async fn end(ctx: &Context, job: &str) -> Res<()> {
+/// Returns an error if the job does not exist, or if its end was not or may not have been
+/// recorded.
+pub async fn end(ctx: &Context, job: &str) -> JobResult<()> {
     let call = Call::End {
         job: job.to_owned(),
     };
-    let res = here_or_passed_on(ctx, &call, try_end(ctx, job)).await;
+    let res = run_or_forward(ctx, &call, try_end(ctx, job)).await;
     ctx.metrics.count(Counted::Jobs, label("ended", &res));
     let outcome = res
         .as_ref()
@@ -146,7 +147,7 @@
     res
 }
 
-pub(super) async fn try_end(ctx: &Context, job: &str) -> Res<()> {
+pub(super) async fn try_end(ctx: &Context, job: &str) -> JobResult<()> {
     if ctx.journal.jobs().get(job).is_none() {
         sync(ctx).await?;
     }
@@ -163,7 +164,7 @@
         .await
     {
         Ok(_) => Ok(()),
-        Err(NotAppended::NotDone(_)) => Err(not_now(ctx, "the store does not take the end")),
-        Err(NotAppended::Unknown) => Err(JobError::Unknown),
+        Err(AppendError::NotDone(_)) => Err(not_now(ctx, "the store does not take the end")),
+        Err(AppendError::Unknown) => Err(JobError::Unknown),
     }
 }
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -1,13 +1,14 @@
-//! The stream of job records: reads it, folds it, appends to it.
+//! The log of job records: reads it, applies its records to the state of the jobs, and appends
+//! to it.
 //!
-//! Every record has a key of its own, so the store keeps all of them for good
-//! and a host that starts lists them, in the order of their offsets, and goes on
-//! from there. An append without an answer is made again under another key; the
-//! fold counts the first copy.
+//! Every record has a unique key, so the store keeps all of them until they are deleted, and a
+//! host that starts lists them in the order of their offsets and continues from there. An
+//! append with an unknown outcome is retried under another key; only the first copy of a
+//! record takes effect.
 //!
-//! Waiting reads were rejected: with a record every few milliseconds each would
-//! return at once, on every host. Hosts read a few times a second, at once when
-//! somebody asks for what they do not know, and sooner when a peer is ahead.
+//! Reads that wait for new records were rejected: with a record every few milliseconds they
+//! would return at once, on every host. Hosts read a few times a second, at once when a caller
+//! needs records that may be missing, and sooner when a peer has read further.
 
 mod append;
 mod read;
@@ -35,53 +36,56 @@
 use tokio::sync::watch;
 
 use self::append::Append;
+use crate::cleanup;
 use crate::context::Context;
+use crate::cpu_time;
+use crate::cpu_time::Activity;
 use crate::ports::StoreError;
 use crate::ports::StoredRecord;
 use crate::sync::lock;
-use crate::upkeep;
-use crate::work;
-use crate::work::Part;
 
-/// The only partition: one order for all jobs, a few records a second.
-const PART: u32 = 0;
+/// The only partition: it orders the records of all jobs, a few a second.
+const PARTITION: u32 = 0;
 
-/// Outcomes of records that are remembered: more than any host appends while
-/// one of its appends is under way.
+/// Maximum number of record outcomes kept: more than any host appends while one of its appends
+/// is in flight.
 const RECENT_MAX: usize = 4_096;
 
-/// Why a record is not known to be in the stream.
+/// Why a record is not known to be in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotAppended {
-    /// It is not there and will not be.
+pub enum AppendError {
+    /// The record was not appended and will not be.
     NotDone(StoreError),
-    /// It may be there, or come there.
+    /// The record may have been or may still be appended.
     Unknown,
 }
 
-/// The stream as this host knows it.
+/// The log as far as this host has read it.
 #[derive(Debug)]
 pub struct Journal {
     state: Mutex<State>,
     changed: watch::Sender<Offset>,
-    told_end: AtomicU64,
+    /// The greatest end of the log that a peer has reported.
+    peer_end: AtomicU64,
     /// Callers that wait for records.
     waiting: Gauge,
     appends: OnceLock<mpsc::UnboundedSender<Append>>,
-    asks: OnceLock<mpsc::UnboundedSender<Ask>>,
+    syncs: OnceLock<mpsc::UnboundedSender<SyncRequest>>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     jobs: Jobs,
+    /// The outcomes of the newest records.
     recent: VecDeque<(Offset, Applied)>,
+    /// The start of the newest read that reached the end of the log.
     read_at: Option<Instant>,
     is_loaded: bool,
-    /// The end of the stream when this host listed it.
-    listed_end: Offset,
+    /// The end of the log when this host loaded it.
+    loaded_end: Offset,
 }
 
-/// The stream's end, while a caller waits for it to move.
+/// Notifies a caller when the known end of the log moves.
 #[derive(Debug)]
 pub(crate) struct Watch {
     changed: watch::Receiver<Offset>,
@@ -89,24 +93,25 @@
 }
 
 impl Watch {
-    /// Waits until more of the stream is known.
+    /// Waits until more of the log has been read.
     pub(crate) async fn changed(&mut self) {
         // The sender lives as long as the journal.
         let _ = self.changed.changed().await;
     }
 }
 
-type Ask = oneshot::Sender<Result<(), StoreError>>;
+/// Receives the result of a read to the end of the log.
+type SyncRequest = oneshot::Sender<Result<(), StoreError>>;
 
 impl Default for Journal {
     fn default() -> Self {
         Self {
             state: Mutex::default(),
             changed: watch::Sender::new(0),
-            told_end: AtomicU64::new(0),
+            peer_end: AtomicU64::new(0),
             waiting: Gauge::default(),
             appends: OnceLock::new(),
-            asks: OnceLock::new(),
+            syncs: OnceLock::new(),
         }
     }
 }
@@ -131,34 +136,33 @@
 }
 
 impl Journal {
-    /// Returns the jobs as far as the stream is known.
+    /// Returns the jobs according to the records read so far.
     pub fn jobs(&self) -> View<'_> {
         View(lock(&self.state))
     }
 
-    /// Returns whether the stream has been read from its beginning.
+    /// Returns whether the log has been loaded from its beginning.
     pub fn is_loaded(&self) -> bool {
         lock(&self.state).is_loaded
     }
 
-    /// Returns whether a record was there before this host listed the stream.
-    pub(crate) fn is_older_than_listing(&self, offset: Offset) -> bool {
-        offset < lock(&self.state).listed_end
+    /// Returns whether a record was in the log before this host loaded it.
+    pub(crate) fn is_before_loading(&self, offset: Offset) -> bool {
+        offset < lock(&self.state).loaded_end
     }
 
-    /// Returns how long ago the stream was read to its end.
-    pub fn age(&self) -> Option<Duration> {
+    /// Returns the time since the log was read to its end.
+    pub fn staleness(&self) -> Option<Duration> {
         lock(&self.state).read_at.map(|at| at.elapsed())
     }
 
-    /// Returns a receiver of the stream's end as it becomes known.
+    /// Returns a receiver of the known end of the log.
     pub(crate) fn subscribe(&self) -> watch::Receiver<Offset> {
         self.changed.subscribe()
     }
 
-    /// Returns a receiver of the stream's end as it becomes known, while a
-    /// caller waits for it: as long as the receiver lives, the stream is read
-    /// as soon as a peer is ahead.
+    /// Returns a receiver for a waiting caller: until it is dropped, the log is read as soon as
+    /// a peer has read further.
     pub(crate) fn watch(&self) -> Watch {
         Watch {
             changed: self.changed.subscribe(),
@@ -166,56 +170,57 @@
         }
     }
 
-    /// Notes how far a peer knows the stream.
-    pub(crate) fn told(&self, end: Offset) {
-        self.told_end.fetch_max(end, Ordering::Relaxed);
+    /// Records the end of the log that a peer knows.
+    pub(crate) fn record_peer_end(&self, end: Offset) {
+        self.peer_end.fetch_max(end, Ordering::Relaxed);
     }
 
-    /// Reads the stream to its end, as of now or later.
+    /// Reads the log to its end, as of the time of the call or later.
     ///
     /// # Errors
     ///
     /// Returns the store's failure.
     pub async fn sync(&self) -> Result<(), StoreError> {
         const STOPPED: StoreError = StoreError::Refused("the host stops");
-        let (done, answer) = oneshot::channel();
-        let asks = self.asks.get().ok_or(STOPPED)?;
-        asks.send(done).map_err(|_| STOPPED)?;
-        answer.await.unwrap_or(Err(STOPPED))
+        let (done, result) = oneshot::channel();
+        let syncs = self.syncs.get().ok_or(STOPPED)?;
+        syncs.send(done).map_err(|_| STOPPED)?;
+        result.await.unwrap_or(Err(STOPPED))
     }
 
-    /// Appends a record; returns what it did at its place in the stream.
+    /// Appends a record and returns its effect at its offset.
     ///
     /// # Errors
     ///
-    /// Returns whether it may be there if that is not known at the deadline.
-    pub async fn append(&self, record: Record, deadline: Instant) -> Result<Applied, NotAppended> {
-        let stopped = NotAppended::NotDone(StoreError::Refused("the host stops"));
-        let (done, answer) = oneshot::channel();
+    /// Returns an error if the record was not appended, or if its outcome is unknown at the
+    /// deadline.
+    pub async fn append(&self, record: Record, deadline: Instant) -> Result<Applied, AppendError> {
+        let stopped = AppendError::NotDone(StoreError::Refused("the host stops"));
+        let (done, result) = oneshot::channel();
         let append = Append {
             record,
             deadline,
-            may_be_done: false,
+            may_be_appended: false,
             done,
         };
         let appends = self.appends.get().ok_or(stopped)?;
         appends.send(append).map_err(|_| stopped)?;
-        answer.await.unwrap_or(Err(NotAppended::Unknown))
+        result.await.unwrap_or(Err(AppendError::Unknown))
     }
 
-    /// Forgets jobs that were submitted before a time of day and are over;
-    /// returns how many.
-    pub(crate) fn forget_before(&self, unix_ms: u64) -> usize {
+    /// Removes closed jobs that were submitted before a time from memory; returns their
+    /// number.
+    pub(crate) fn remove_expired(&self, expiry_unix_ms: u64) -> usize {
         let mut state = lock(&self.state);
-        let over = state
+        let expired = state
             .jobs
             .iter()
-            .filter(|(_, job)| upkeep::is_over(job, unix_ms));
-        let over: Vec<JobId> = over.map(|(id, _)| id.clone()).collect();
-        for job in &over {
+            .filter(|(_, job)| cleanup::is_expired(job, expiry_unix_ms));
+        let expired: Vec<JobId> = expired.map(|(id, _)| id.clone()).collect();
+        for job in &expired {
             state.jobs.remove_job(job);
         }
-        over.len()
+        expired.len()
     }
 
     fn apply(&self, ctx: &Context, records: Vec<StoredRecord>) {
@@ -224,7 +229,7 @@
         }
         let end = {
             let mut state = lock(&self.state);
-            work::timed(&ctx.metrics, Part::Records, || {
+            cpu_time::measure(&ctx.metrics, Activity::ApplyRecords, || {
                 for record in records {
                     state.apply(ctx, record);
                 }
@@ -234,43 +239,45 @@
         self.changed.send_replace(end);
     }
 
+    /// Replaces the state by that of a listing of the log.
     fn rebuild(&self, ctx: &Context, end: Offset, records: Vec<StoredRecord>) {
-        let mut fresh = State::default();
+        let mut loaded = State::default();
         let count = records.len();
         for record in records {
-            fresh.apply(ctx, record);
+            loaded.apply(ctx, record);
         }
-        fresh.jobs.advance(end);
-        fresh.is_loaded = true;
-        fresh.listed_end = end;
+        loaded.jobs.advance(end);
+        loaded.is_loaded = true;
+        loaded.loaded_end = end;
         slog::info!(ctx.logger, "job records loaded"; "records" => count, "end" => end,
-            "jobs" => fresh.jobs.iter().count());
-        *lock(&self.state) = fresh;
+            "jobs" => loaded.jobs.iter().count());
+        *lock(&self.state) = loaded;
         self.changed.send_replace(end);
     }
 
-    /// Takes in what a peer knows of the jobs.
+    /// Replaces the state by a snapshot from a peer.
     fn restore(&self, ctx: &Context, snapshot: Snapshot) {
         let jobs = Jobs::restore(snapshot);
         let end = jobs.end();
-        slog::info!(ctx.logger, "job records taken from a peer"; "end" => end,
+        slog::info!(ctx.logger, "job records received from a peer"; "end" => end,
             "jobs" => jobs.iter().count());
         *lock(&self.state) = State {
             jobs,
             is_loaded: true,
-            listed_end: end,
+            loaded_end: end,
             ..State::default()
         };
         self.changed.send_replace(end);
     }
 
+    /// Returns the effect of a recent record.
     fn outcome(&self, offset: Offset) -> Option<Applied> {
         let state = lock(&self.state);
         let found = state
             .recent
             .iter()
             .rev()
-            .find(|(known, _)| *known == offset);
+            .find(|(recent, _)| *recent == offset);
         found.map(|(_, applied)| *applied)
     }
 }
@@ -282,21 +289,21 @@
             return;
         }
         self.jobs.advance(offset + 1);
-        // A dropped key: its job was forgotten.
+        // A deleted key: its job has expired.
         let Some(value) = record.entry.value else {
             return;
         };
         let Some(record) = Record::decode(&value) else {
-            slog::error!(ctx.logger, "unreadable job record"; "offset" => offset);
+            slog::error!(ctx.logger, "invalid job record"; "offset" => offset);
             return;
         };
         let job = record.job().clone();
         let applied = self.jobs.apply(offset, record);
-        if let Applied::Ignored(why) = applied
-            && why != Ignored::AlreadyListed
+        if let Applied::Ignored(reason) = applied
+            && reason != Ignored::AlreadyListed
         {
             slog::info!(ctx.logger, "job record ignored"; "job" => job, "offset" => offset,
-                "why" => ?why);
+                "why" => ?reason);
         }
         self.recent.push_back((offset, applied));
         if self.recent.len() > RECENT_MAX {
@@ -305,13 +312,13 @@
     }
 }
 
-/// Starts to read and append.
+/// Starts reading and appending.
 pub(crate) fn start(ctx: &Arc<Context>) {
-    let (asks, asked) = mpsc::unbounded_channel();
-    let (appends, appended) = mpsc::unbounded_channel();
-    // The context is new, so nothing was set in it before.
-    let _ = ctx.journal.asks.set(asks);
+    let (syncs, sync_requests) = mpsc::unbounded_channel();
+    let (appends, append_requests) = mpsc::unbounded_channel();
+    // The context is new, so neither was set before.
+    let _ = ctx.journal.syncs.set(syncs);
     let _ = ctx.journal.appends.set(appends);
-    tokio::spawn(read::read_loop(Arc::clone(ctx), asked));
-    tokio::spawn(append::append_loop(Arc::clone(ctx), appended));
+    tokio::spawn(read::read_loop(Arc::clone(ctx), sync_requests));
+    tokio::spawn(append::append_loop(Arc::clone(ctx), append_requests));
 }
--- a/crates/gateway/src/journal/append.rs
+++ b/crates/gateway/src/journal/append.rs
@@ -1,4 +1,4 @@
-//! Appends records, those of many callers in one call.
+//! Appends the records of many callers in one call.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,39 +12,39 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use super::NotAppended;
-use super::PART;
+use super::AppendError;
+use super::PARTITION;
 use crate::context::Context;
 use crate::ports::Entry;
 use crate::ports::StoreError;
 use crate::ports::StoredRecord;
 use crate::ports::Topic;
 
-/// Records in one append: well below the bytes that a call may carry.
+/// Maximum number of records in one append: far below the maximum bytes of a call.
 const APPEND_RECORDS_MAX: usize = 256;
 
-/// Pause after an append that failed.
-const APPEND_PAUSE: Duration = Duration::from_millis(60);
+/// Delay after a failed append.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 #[derive(Debug)]
 pub(super) struct Append {
     pub(super) record: Record,
     pub(super) deadline: Instant,
-    pub(super) may_be_done: bool,
-    pub(super) done: oneshot::Sender<Result<Applied, NotAppended>>,
+    pub(super) may_be_appended: bool,
+    pub(super) done: oneshot::Sender<Result<Applied, AppendError>>,
 }
 
-pub(super) async fn append_loop(ctx: Arc<Context>, mut appended: mpsc::UnboundedReceiver<Append>) {
+pub(super) async fn append_loop(ctx: Arc<Context>, mut requests: mpsc::UnboundedReceiver<Append>) {
     let mut queue: VecDeque<Append> = VecDeque::new();
     let mut number = 0;
     loop {
         if queue.is_empty() {
-            match appended.recv().await {
+            match requests.recv().await {
                 Some(append) => queue.push_back(append),
                 None => return,
             }
         }
-        while let Ok(append) = appended.try_recv() {
+        while let Ok(append) = requests.try_recv() {
             queue.push_back(append);
         }
         let count = queue.len().min(APPEND_RECORDS_MAX);
@@ -55,13 +55,17 @@
             let value = Some(append.record.encode().into());
             Entry { key, value }
         });
-        match ctx.store.append(Topic::Jobs, PART, entries.collect()).await {
-            Ok(offset) => settle(&ctx, offset, batch),
+        match ctx
+            .store
+            .append(Topic::Jobs, PARTITION, entries.collect())
+            .await
+        {
+            Ok(offset) => report_outcomes(&ctx, offset, batch),
             Err(err) => {
-                for append in retried(batch, err).into_iter().rev() {
+                for append in to_retry(batch, err).into_iter().rev() {
                     queue.push_front(append);
                 }
-                tokio::time::sleep(APPEND_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
         if ctx.phase() == Phase::Stopped {
@@ -70,33 +74,34 @@
     }
 }
 
-/// Answers those whose time is over, and returns the others.
-fn retried(batch: Vec<Append>, err: StoreError) -> Vec<Append> {
+/// Fails the appends whose deadline has passed, and returns the others.
+fn to_retry(batch: Vec<Append>, err: StoreError) -> Vec<Append> {
     let now = Instant::now();
-    let mut again = Vec::new();
+    let mut retried = Vec::new();
     for mut append in batch {
-        append.may_be_done |= matches!(err, StoreError::Unknown(_));
+        append.may_be_appended |= matches!(err, StoreError::Unknown(_));
         if now < append.deadline && !append.done.is_closed() {
-            again.push(append);
+            retried.push(append);
             continue;
         }
-        let failure = if append.may_be_done {
-            NotAppended::Unknown
+        let failure = if append.may_be_appended {
+            AppendError::Unknown
         } else {
-            NotAppended::NotDone(err)
+            AppendError::NotDone(err)
         };
-        // Whoever appended may have gone.
+        // The caller may have stopped waiting.
         let _ = append.done.send(Err(failure));
     }
-    again
+    retried
 }
 
-/// Tells those who appended what their records did.
-fn settle(ctx: &Arc<Context>, offset: Offset, batch: Vec<Append>) {
+/// Reports the effects of appended records to the callers.
+fn report_outcomes(ctx: &Arc<Context>, offset: Offset, batch: Vec<Append>) {
     let journal = &ctx.journal;
     let is_next = journal.jobs().end() == offset && journal.is_loaded();
     if is_next {
-        // Nobody wrote in between: what the records do is known already.
+        // No other record was appended before these, so their effects are known without
+        // reading them.
         let records = batch
             .iter()
             .zip(offset..)
@@ -113,21 +118,22 @@
     let ctx = Arc::clone(ctx);
     tokio::spawn(async move {
         for (append, offset) in batch.into_iter().zip(offset..) {
-            let applied = read_back(&ctx, offset, append.deadline).await;
-            // Whoever appended may have gone.
-            let _ = append.done.send(applied.ok_or(NotAppended::Unknown));
+            let applied = wait_outcome(&ctx, offset, append.deadline).await;
+            // The caller may have stopped waiting.
+            let _ = append.done.send(applied.ok_or(AppendError::Unknown));
         }
     });
 }
 
-async fn read_back(ctx: &Context, offset: Offset, deadline: Instant) -> Option<Applied> {
+/// Reads the log until the effect of a record is known, or until the deadline.
+async fn wait_outcome(ctx: &Context, offset: Offset, deadline: Instant) -> Option<Applied> {
     loop {
         let applied = ctx.journal.outcome(offset);
         if applied.is_some() {
             return applied;
         }
         if ctx.journal.sync().await.is_err() {
-            tokio::time::sleep(APPEND_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         if Instant::now() >= deadline {
             return ctx.journal.outcome(offset);
--- a/crates/gateway/src/journal/read.rs
+++ b/crates/gateway/src/journal/read.rs
@@ -1,4 +1,4 @@
-//! Reads the stream as often as somebody needs it.
+//! Reads the log when a caller or the state of this host requires it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,8 +8,8 @@
 use notchwharf_listen::Phase;
 use tokio::sync::mpsc;
 
-use super::Ask;
-use super::PART;
+use super::PARTITION;
+use super::SyncRequest;
 use crate::context::Context;
 use crate::peers;
 use crate::ports::Read;
@@ -19,27 +19,30 @@
 use crate::time::ms;
 use crate::time::sleep_random;
 
-/// Bytes read at once.
+/// Maximum bytes of a read.
 const READ_BYTES: u64 = 1 << 20;
 
-/// Age of a reading after which a host reads that nobody has asked: also how
-/// soon an outage of the store is noticed.
-const IDLE_AGE_MAX: Duration = Duration::from_secs(2);
+/// Maximum staleness at a host that runs no items. It is also the time to detect an outage of
+/// the store.
+const IDLE_STALENESS_MAX: Duration = Duration::from_secs(2);
 
-/// Age of a reading after which a host reads that runs items: their job may
-/// have been ended or taken over, and items stop within three seconds of it.
-const OWNER_AGE_MAX: Duration = Duration::from_secs(1);
+/// Maximum staleness at a host that runs items: a job may have ended or been taken over, and
+/// its items must stop within three seconds.
+const OWNER_STALENESS_MAX: Duration = Duration::from_secs(1);
 
-/// Pause after a listing failed, drawn: about what one takes.
-const LOAD_PAUSE_MS: std::ops::Range<u64> = 50..350;
+/// Random delay after a failed listing: about the duration of a listing.
+const LOAD_RETRY_DELAY_MS: std::ops::Range<u64> = 50..350;
 
-pub(super) async fn read_loop(ctx: Arc<Context>, mut asked: mpsc::UnboundedReceiver<Ask>) {
+pub(super) async fn read_loop(
+    ctx: Arc<Context>,
+    mut requests: mpsc::UnboundedReceiver<SyncRequest>,
+) {
     let mut ticks = ctx.timer.subscribe(ms(ctx.settings.store.poll_ms));
     while ctx.phase() != Phase::Stopped {
-        let mut asks = Vec::new();
+        let mut waiting = Vec::new();
         if ctx.journal.is_loaded() {
             tokio::select! {
-                ask = asked.recv() => asks.extend(ask),
+                request = requests.recv() => waiting.extend(request),
                 _ = ticks.recv() => {
                     if !is_due(&ctx) {
                         continue;
@@ -49,47 +52,48 @@
         } else if lock(&ctx.journal.state).read_at.is_none() && !ctx.store.is_up() {
             let _ = ticks.recv().await;
         }
-        while let Ok(ask) = asked.try_recv() {
-            asks.push(ask);
+        while let Ok(request) = requests.try_recv() {
+            waiting.push(request);
         }
-        let res = catch_up(&ctx).await;
-        for ask in asks {
-            // Whoever asked may have gone.
-            let _ = ask.send(res);
+        let res = read_to_end(&ctx).await;
+        for request in waiting {
+            // The caller may have stopped waiting.
+            let _ = request.send(res);
         }
     }
 }
 
+/// Returns whether the log is to be read without a request.
 fn is_due(ctx: &Context) -> bool {
     let journal = &ctx.journal;
     let (end, read_at) = {
         let state = lock(&journal.state);
         (state.jobs.end(), state.read_at)
     };
-    let is_behind = journal.told_end.load(Ordering::Relaxed) > end;
+    let is_behind = journal.peer_end.load(Ordering::Relaxed) > end;
     if is_behind && journal.waiting.count() > 0 {
         return true;
     }
-    let age_max = if ctx.items.is_idle() {
-        IDLE_AGE_MAX
+    let staleness_max = if ctx.items.is_idle() {
+        IDLE_STALENESS_MAX
     } else {
-        OWNER_AGE_MAX
+        OWNER_STALENESS_MAX
     };
-    read_at.is_none_or(|at| at.elapsed() >= age_max)
+    read_at.is_none_or(|at| at.elapsed() >= staleness_max)
 }
 
-/// Takes the records in from a peer, or lists them.
+/// Loads the state from a peer, or lists the log.
 async fn load(ctx: &Context) -> Result<(), StoreError> {
     if let Some(snapshot) = peers::fetch_job_records(ctx).await {
         ctx.journal.restore(ctx, snapshot);
         return Ok(());
     }
-    let listing = ctx.store.all_newest(Topic::Jobs, PART).await;
+    let listing = ctx.store.all_newest(Topic::Jobs, PARTITION).await;
     let listing = match listing {
         Ok(listing) => listing,
         Err(err) => {
-            // Hosts that start together would all ask again at once.
-            sleep_random(LOAD_PAUSE_MS).await;
+            // Without a random delay, hosts that start together would retry at the same time.
+            sleep_random(LOAD_RETRY_DELAY_MS).await;
             return Err(err);
         }
     };
@@ -97,7 +101,8 @@
     Ok(())
 }
 
-async fn catch_up(ctx: &Context) -> Result<(), StoreError> {
+/// Loads the log if necessary, and reads it to its end.
+async fn read_to_end(ctx: &Context) -> Result<(), StoreError> {
     let journal = &ctx.journal;
     let started = Instant::now();
     if !journal.is_loaded() {
@@ -107,14 +112,14 @@
         let from = journal.jobs().end();
         let read = Read {
             topic: Topic::Jobs,
-            part: PART,
+            part: PARTITION,
             from,
             bytes_max: READ_BYTES,
             wait: Duration::ZERO,
         };
         let tail = ctx.store.read(read).await;
         if tail == Err(StoreError::Expired) {
-            slog::warn!(ctx.logger, "job records expired unread, loading anew"; "from" => from);
+            slog::warn!(ctx.logger, "job records expired before they were read; loading them again"; "from" => from);
             lock(&journal.state).is_loaded = false;
         }
         let tail = tail?;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -14,10 +14,12 @@
 mod backlog;
 pub mod blobs;
 mod catalog;
+mod cleanup;
 pub mod context;
+mod cpu_time;
 pub mod error;
 mod fingerprint;
-mod follow;
+mod follower;
 mod items;
 pub mod jobs;
 pub mod journal;
@@ -35,9 +37,7 @@
 mod sync;
 mod target;
 mod time;
-mod upkeep;
 mod waiting;
-mod work;
 
 /// The name of a request, chosen by its caller.
 pub type RequestId = String;
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -11,7 +11,9 @@
 use tokio::net::UdpSocket;
 
 use crate::catalog;
+use crate::cleanup;
 use crate::context::Context;
+use crate::cpu_time;
 use crate::error::StartError;
 use crate::items;
 use crate::journal;
@@ -20,9 +22,7 @@
 use crate::ports::Ports;
 use crate::quarantine;
 use crate::time::ms;
-use crate::upkeep;
 use crate::waiting;
-use crate::work;
 use notchwharf_listen::Phase;
 
 const DRAIN_PERIOD: Duration = Duration::from_millis(20);
@@ -66,11 +66,11 @@
             ctx.phase.subscribe(),
         ));
         items::start(&ctx);
-        tokio::spawn(upkeep::run(Arc::clone(&ctx)));
-        tokio::spawn(work::report(
+        tokio::spawn(cleanup::run(Arc::clone(&ctx)));
+        tokio::spawn(cpu_time::report(
             Arc::clone(&ctx.metrics),
             ctx.logger.clone(),
-            ctx.timer.subscribe(work::REPORT),
+            ctx.timer.subscribe(cpu_time::REPORT_INTERVAL),
             ctx.phase.subscribe(),
         ));
         slog::info!(ctx.logger, "started"; "incarnation" => ctx.incarnation,
@@ -109,7 +109,7 @@
         // A host that could not drop its entry is found out by its silence.
         let _ = tokio::time::timeout(LEAVE_LIST_TIMEOUT, peers::leave(ctx)).await;
         tokio::time::sleep(ms(ctx.settings.shutdown.notice_ms)).await;
-        while ctx.in_flight.count() + ctx.items.unsettled.count() > 0 {
+        while ctx.in_flight.count() + ctx.items.unrecorded.count() > 0 {
             if ticks.recv().await.is_none() {
                 return;
             }
--- a/crates/gateway/src/online/placing.rs
+++ b/crates/gateway/src/online/placing.rs
@@ -12,6 +12,8 @@
 
 use super::sending::LEFT_MIN;
 use super::sending::Sending;
+use crate::cpu_time;
+use crate::cpu_time::Activity;
 use crate::error::Failure;
 use crate::sync::lock;
 use crate::target::Class;
@@ -19,8 +21,6 @@
 use crate::waiting::Refused;
 use crate::waiting::Standing;
 use crate::waiting::Wanted;
-use crate::work;
-use crate::work::Part;
 
 impl Sending {
     /// Finds a place for the request, and counts it: in the line if requests wait at hosts,
@@ -76,7 +76,7 @@
             objective: self.objective(),
             ahead: Ahead::default(),
         };
-        let chosen = work::timed(&self.ctx.metrics, Part::Placing, || {
+        let chosen = cpu_time::measure(&self.ctx.metrics, Activity::SelectTarget, || {
             lock(&self.ctx.balancer).choose_online(&want, now)
         });
         match chosen {
@@ -91,7 +91,7 @@
         self.trace.chose(choice);
         match &choice.slot_source {
             SlotSource::PreemptOwn => {
-                self.ctx.items.cut_one(&choice.target);
+                self.ctx.items.preempt_one(&choice.target);
             }
             SlotSource::PreemptPeer(host) => self
                 .ctx
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -55,7 +55,7 @@
 use tokio::sync::Notify;
 
 use crate::context::Context;
-use crate::follow::Source;
+use crate::follower::Source;
 use crate::metrics::Counted;
 use crate::ports::Topic;
 use crate::spread;
@@ -412,7 +412,7 @@
             ctx.metrics.count(Counted::Changes, "host down");
             *lock(&ctx.peers.lost_at) = Some(Instant::now());
             lock(&ctx.balancer).remove_peer(&host);
-            ctx.items.peer_down(&host);
+            ctx.items.remove_peer(&host);
             ctx.waiting.remove_peer(&host);
             ctx.items.wake();
         }
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -162,7 +162,7 @@
     }
     for host in outside {
         lock(&ctx.balancer).remove_peer(&host);
-        ctx.items.peer_down(&host);
+        ctx.items.remove_peer(&host);
     }
 }
 
@@ -222,7 +222,7 @@
         lock(&ctx.balancer).set_cell_loads(&cell, loads, now);
         lock(&ctx.peers.neighbours.heard).insert(cell, now);
     }
-    ctx.journal.told(told.jobs);
+    ctx.journal.record_peer_end(told.jobs);
     let theirs = Versions {
         config: told.config,
         targets: told.targets,
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -16,8 +16,8 @@
 use super::Peer;
 use super::cell;
 use crate::context::Context;
-use crate::follow::Pace;
-use crate::follow::Reading;
+use crate::follower::PollConfig;
+use crate::follower::ReadAttempt;
 use crate::metrics::Counted;
 use crate::ports::Entry;
 use crate::ports::StoredRecord;
@@ -27,10 +27,10 @@
 
 /// How the list of hosts is read. It changes seldom, and a host that is known
 /// to one other is known to all by its own datagrams.
-pub(super) const PACE: Pace = Pace {
+pub(super) const PACE: PollConfig = PollConfig {
     wait: Duration::from_secs(10),
-    gap: Duration::from_millis(700),
-    pause_max: Duration::from_millis(400),
+    min_interval: Duration::from_millis(700),
+    backoff_max: Duration::from_millis(400),
 };
 
 /// Time for the list to be read before a host's own entry is written: two timeouts of
@@ -182,9 +182,9 @@
 }
 
 /// Applies a reading of the list.
-pub(super) fn take(ctx: &Arc<Context>, reading: Reading) {
+pub(super) fn take(ctx: &Arc<Context>, reading: ReadAttempt) {
     // The reader tries again, and the store's wrapper has logged why.
-    let Ok(seen) = reading.seen else {
+    let Ok(seen) = reading.result else {
         ctx.peers.loading.list_tried();
         return;
     };
@@ -192,7 +192,7 @@
     let records = seen.records();
     let read_to = records.last().map_or(0, |record| record.offset + 1);
     let to = listed_to.unwrap_or(read_to);
-    apply(ctx, reading.asked, listed_to.is_some(), to, records);
+    apply(ctx, reading.requested_at, listed_to.is_some(), to, records);
 }
 
 fn apply(
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -21,10 +21,10 @@
 use super::Peer;
 use super::receivers::passed_on_to;
 use crate::context::Context;
+use crate::cpu_time;
+use crate::cpu_time::Activity;
 use crate::metrics::Counted;
 use crate::sync::lock;
-use crate::work;
-use crate::work::Part;
 
 /// Hosts far away of which there is news to pass on; what it is stands with
 /// each of them as a peer.
@@ -67,7 +67,7 @@
         let Some(socket) = ctx.peers.socket.get() else {
             return;
         };
-        work::timed(&ctx.metrics, Part::NewsPassedOn, || {
+        cpu_time::measure(&ctx.metrics, Activity::RelayUpdates, || {
             pass_on(&ctx, &heard, &near, socket);
         });
     }
--- a/crates/gateway/src/peers/rpc.rs
+++ b/crates/gateway/src/peers/rpc.rs
@@ -179,7 +179,7 @@
         (RECORDS, _) if ctx.journal.is_loaded() => hand_over(ctx, under_way, records),
         (CONTACTS, Some(body)) => contact::answer(ctx, &body),
         (SUSPECTS, _) => suspects::handed_over(ctx),
-        (JOBS, Some(body)) => jobs::answer(ctx, &body).await,
+        (JOBS, Some(body)) => jobs::handle_forwarded(ctx, &body).await,
         _ => None,
     };
     let Some(bytes) = answered else {
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -27,12 +27,12 @@
 use super::suspects;
 use crate::catalog::Versions;
 use crate::context::Context;
+use crate::cpu_time;
+use crate::cpu_time::Activity;
 use crate::limits;
 use crate::metrics::Counted;
 use crate::sync::lock;
 use crate::time::ms;
-use crate::work;
-use crate::work::Part;
 
 /// Time for which a peer may know newer routes or targets before they are requested from
 /// it. Exceeds the pause between two readings, 300 ms, so that hosts whose next reading is
@@ -55,7 +55,7 @@
     };
     let waiting = ctx
         .items
-        .waiting()
+        .queue_summary()
         .into_iter()
         .map(|w| messages::WaitingItems {
             due_unix_ms: w.due_unix_ms,
@@ -65,7 +65,7 @@
         host: ctx.host().to_owned(),
         incarnation: ctx.incarnation,
         number,
-        leaving: ctx.items.is_handed_over(),
+        leaving: ctx.items.has_released_jobs(),
         store_up: ctx.store.is_up() && ctx.journal.is_loaded(),
         config: versions.config,
         targets: versions.targets,
@@ -96,7 +96,7 @@
         let Some(socket) = ctx.peers.socket.get() else {
             return;
         };
-        let pace = work::timed(&ctx.metrics, Part::NewsTold, || {
+        let pace = cpu_time::measure(&ctx.metrics, Activity::SendUpdates, || {
             tell(&ctx, number, due, socket)
         });
         if let Some(pace) = pace {
@@ -156,7 +156,7 @@
             continue;
         };
         ctx.metrics.count(Counted::Datagrams, "received");
-        work::timed(&ctx.metrics, Part::NewsTakenIn, || {
+        cpu_time::measure(&ctx.metrics, Activity::ReceiveUpdates, || {
             take(&ctx, addr, &buf[..len]);
         });
     }
@@ -186,7 +186,7 @@
 fn take_cut(ctx: &Arc<Context>, cut: Preemption) {
     let target = lock(&ctx.balancer).id_of(cut.target).cloned();
     if let Some(target) = target {
-        ctx.items.cut_one(&target);
+        ctx.items.preempt_one(&target);
     }
 }
 
@@ -219,9 +219,9 @@
     }
     // A target may fail callers of one data centre only.
     let failing = if heard.is_near { failing } else { vec![] };
-    let waits = ctx.items.peer_waits(&host, waiting);
+    let waits = ctx.items.update_peer_queue(&host, waiting);
     let runs = lock(&ctx.balancer).set_peer_loads(&host, loads, failing, Instant::now());
-    ctx.journal.told(jobs);
+    ctx.journal.record_peer_end(jobs);
     if waits || runs {
         ctx.items.wake();
     }
--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -76,7 +76,7 @@
     let caller = access::identify_job_caller(host.ctx(), presented)
         .await
         .unwrap();
-    jobs::id_of(host.ctx(), &caller, "j1")
+    jobs::resolve_job_id(host.ctx(), &caller, "j1")
 }
 
 #[tokio::test]
@@ -91,9 +91,9 @@
         assert_eq!(job_of(host, "k2").await, job);
         assert_eq!(host.results(&job, 2).await.len(), 2);
         let theirs = job_of(host, "k3").await;
-        let none = jobs::read(host.ctx(), &theirs, 0, Duration::ZERO).await;
+        let none = jobs::read_results(host.ctx(), &theirs, 0, Duration::ZERO).await;
         assert_eq!(none.unwrap_err(), JobError::NotFound);
-        let none = jobs::body(host.ctx(), &theirs, "j1-0").await;
+        let none = jobs::read_item_body(host.ctx(), &theirs, "j1-0").await;
         assert_eq!(none.unwrap_err(), JobError::NotFound);
         assert_eq!(
             jobs::end(host.ctx(), &theirs).await.unwrap_err(),
--- a/crates/gateway/tests/passed_on.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -28,7 +28,7 @@
     }
     harness.targets.hold();
     a1.submit("j2", 1, 10).await.unwrap();
-    let body = jobs::body(a1.ctx(), "j2", "j2-0").await.unwrap();
+    let body = jobs::read_item_body(a1.ctx(), "j2", "j2-0").await.unwrap();
     assert_eq!(body, "body of 0");
     jobs::end(a1.ctx(), "j2").await.unwrap();
     wait_until("its item is cut", || harness.targets.active() == 0).await;
@@ -56,9 +56,9 @@
     let too_much = u32::try_from(TOKENS_MAX).unwrap() + 1;
     let err = a1.submit("j1", 1, too_much).await.unwrap_err();
     assert!(matches!(err, JobError::OverQuota { .. }), "{err:?}");
-    let none = jobs::read(a1.ctx(), "j1", 0, Duration::ZERO).await;
+    let none = jobs::read_results(a1.ctx(), "j1", 0, Duration::ZERO).await;
     assert_eq!(none.unwrap_err(), JobError::NotFound);
-    let none = jobs::body(a1.ctx(), "j1", "j1-0").await;
+    let none = jobs::read_item_body(a1.ctx(), "j1", "j1-0").await;
     assert_eq!(none.unwrap_err(), JobError::NotFound);
     let none = jobs::end(a1.ctx(), "j1").await;
     assert_eq!(none.unwrap_err(), JobError::NotFound);
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -249,7 +249,7 @@
     pub async fn results(&self, job: &str, count: usize) -> Vec<ItemResult> {
         let started = Instant::now();
         loop {
-            let read = jobs::read(self.ctx(), job, 0, Duration::from_millis(200)).await;
+            let read = jobs::read_results(self.ctx(), job, 0, Duration::from_millis(200)).await;
             if let Ok(read) = &read
                 && read.results.len() >= count
             {
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -101,7 +101,9 @@
     let before = harness.store.records_listed(Topic::Payloads);
     for job in 0..JOBS {
         let item = format!("{}-2", name(job));
-        let body = jobs::body(second.ctx(), &name(job), &item).await.unwrap();
+        let body = jobs::read_item_body(second.ctx(), &name(job), &item)
+            .await
+            .unwrap();
         assert_eq!(body, "body of 2");
     }
     let listed = harness.store.records_listed(Topic::Payloads) - before;
--- a/crates/gateway/tests/jobs.rs
+++ b/crates/gateway/tests/jobs.rs
@@ -122,12 +122,12 @@
 async fn a_host_that_cannot_read_the_records_does_not_say_that_there_is_no_job() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
-    let err = jobs::read(a1.ctx(), "none", 0, Duration::ZERO).await;
+    let err = jobs::read_results(a1.ctx(), "none", 0, Duration::ZERO).await;
     assert_eq!(err.unwrap_err(), JobError::NotFound);
     harness.store.set_closed(true);
-    let err = jobs::read(a1.ctx(), "none", 0, Duration::ZERO).await;
+    let err = jobs::read_results(a1.ctx(), "none", 0, Duration::ZERO).await;
     assert!(matches!(err, Err(JobError::NotNow { .. })), "{err:?}");
-    let err = jobs::body(a1.ctx(), "none", "i").await;
+    let err = jobs::read_item_body(a1.ctx(), "none", "i").await;
     assert!(matches!(err, Err(JobError::NotNow { .. })), "{err:?}");
     let err = jobs::end(a1.ctx(), "none").await;
     assert!(matches!(err, Err(JobError::NotNow { .. })), "{err:?}");
@@ -144,7 +144,7 @@
     wait_until("the store is back", || {
         a1.ctx()
             .journal
-            .age()
+            .staleness()
             .is_some_and(|age| age < Duration::from_millis(100))
     })
     .await;
@@ -178,9 +178,11 @@
     harness.targets.release();
     a1.submit("j3", 1, 10).await.unwrap();
     a1.results("j3", 1).await;
-    let read = jobs::read(a1.ctx(), "j2", 0, Duration::ZERO).await.unwrap();
+    let read = jobs::read_results(a1.ctx(), "j2", 0, Duration::ZERO)
+        .await
+        .unwrap();
     assert_eq!((read.total, read.results.len()), (4, 0));
-    let gone = jobs::body(a1.ctx(), "j2", "j2-0").await;
+    let gone = jobs::read_item_body(a1.ctx(), "j2", "j2-0").await;
     assert_eq!(gone.unwrap_err(), JobError::NotFound);
     assert_eq!(a1.results("j1", 1).await.len(), 1);
 }
@@ -246,9 +248,9 @@
     let a2 = harness.start_ready("a2").await;
     harness.targets.hold();
     a1.submit("j1", 2, 10).await.unwrap();
-    let body = jobs::body(a2.ctx(), "j1", "j1-1").await.unwrap();
+    let body = jobs::read_item_body(a2.ctx(), "j1", "j1-1").await.unwrap();
     assert_eq!(body, "body of 1");
-    let none = jobs::body(a2.ctx(), "j1", "other").await;
+    let none = jobs::read_item_body(a2.ctx(), "j1", "other").await;
     assert_eq!(none.unwrap_err(), JobError::NotFound);
 }
 
@@ -306,7 +308,9 @@
     .await;
     harness.targets.hold();
     a1.submit("j1", 2, 10).await.unwrap();
-    jobs::read(a2.ctx(), "j1", 0, Duration::ZERO).await.unwrap();
+    jobs::read_results(a2.ctx(), "j1", 0, Duration::ZERO)
+        .await
+        .unwrap();
     wait_until("both items run", || harness.targets.active() == 2).await;
     connection.set_closed(true);
     wait_until("the store is lost", || !a1.ctx().is_store_up()).await;
@@ -351,7 +355,7 @@
     harness.store.expire_history();
     let a2 = harness.start_ready("a2").await;
     assert_eq!(a2.results("j1", 5).await, results);
-    let body = jobs::body(a2.ctx(), "j2", "j2-0").await.unwrap();
+    let body = jobs::read_item_body(a2.ctx(), "j2", "j2-0").await.unwrap();
     assert_eq!(body, "body of 0");
 }
 
@@ -443,7 +447,7 @@
     harness.store.expire_history();
     let a2 = harness.start_ready("a2").await;
     for job in ["j1", "j2"] {
-        let read = jobs::read(a2.ctx(), job, 0, Duration::ZERO).await;
+        let read = jobs::read_results(a2.ctx(), job, 0, Duration::ZERO).await;
         assert_eq!(read.unwrap_err(), JobError::NotFound, "{job}");
     }
 }
