--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -250,8 +250,8 @@
                     guard,
                 } = *start;
                 let running = Running::start(ctx, &target, Class::Batch);
-                let ticket = lock(&ctx.items.running).add(&target, &item, deadline, running);
-                let run = run::run(Arc::clone(ctx), item, route, target, ticket, guard);
+                let handle = lock(&ctx.items.running).add(&target, &item, deadline, running);
+                let run = run::run(Arc::clone(ctx), item, route, target, handle, guard);
                 tokio::spawn(run);
                 tokio::time::sleep(interval).await;
             }
--- a/crates/gateway/src/items/registry.rs
+++ b/crates/gateway/src/items/registry.rs
@@ -30,7 +30,7 @@
 }
 
 /// The number of a run, and the receiver that is notified when it is cancelled.
-pub(super) struct Ticket {
+pub(super) struct RunHandle {
     pub(super) run: u64,
     pub(super) cancelled: oneshot::Receiver<()>,
 }
@@ -48,7 +48,7 @@
         item: &Item,
         deadline: Deadline,
         running: Running,
-    ) -> Ticket {
+    ) -> RunHandle {
         let (cancel, cancelled) = oneshot::channel();
         self.last_run += 1;
         let run = self.last_run;
@@ -65,7 +65,7 @@
         };
         let at_target = self.by_target.entry(target.clone()).or_default();
         at_target.push(entry);
-        Ticket { run, cancelled }
+        RunHandle { run, cancelled }
     }
 
     /// Removes an item by the number of its run.
--- a/crates/gateway/src/items/run.rs
+++ b/crates/gateway/src/items/run.rs
@@ -12,7 +12,7 @@
 use notchwharf_routing::balancer::TargetId;
 
 use super::completion;
-use super::registry::Ticket;
+use super::registry::RunHandle;
 use crate::backlog::Item;
 use crate::backlog::count;
 use crate::context::Context;
@@ -60,16 +60,16 @@
     mut item: Item,
     route: Arc<Route>,
     target: TargetId,
-    ticket: Ticket,
+    handle: RunHandle,
     guard: Option<RunGuard>,
 ) {
     let in_progress = ctx.items.runs.enter();
     let started = Instant::now();
     let resumed_after = item.last_event;
-    let Ticket {
+    let RunHandle {
         run: number,
         cancelled,
-    } = ticket;
+    } = handle;
     let outcome = tokio::select! {
         outcome = exchange(&ctx, &mut item, &target) => outcome,
         _ = cancelled => RunOutcome::Cancelled,
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -209,8 +209,8 @@
         let mut found: HashMap<u32, SavedProgress> = HashMap::new();
         for part in parts {
             for (item, saved) in self.read_partition(job, part).await? {
-                let known = found.get(&item).map(|known| known.last_event);
-                if known.is_none_or(|known| known < saved.last_event) {
+                let newest = found.get(&item).map(|newest| newest.last_event);
+                if newest.is_none_or(|newest| newest < saved.last_event) {
                     found.insert(item, saved);
                 }
             }
--- a/crates/gateway/tests/forwarding.rs
+++ b/crates/gateway/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Calls about jobs at a host that does not reach the store while a peer does.
+//! Forwarding of calls about jobs by a host that does not reach the store while a peer does.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod harness;
@@ -16,7 +16,7 @@
 use rstest::rstest;
 
 #[tokio::test]
-async fn a_job_is_taken_in_read_and_ended_through_a_host_without_the_store() {
+async fn a_host_without_the_store_forwards_all_job_calls() {
     let harness = Harness::new(&["t1"]);
     let (a1, connection, _a2) = start(&harness).await;
     close_connection(&a1, &connection).await;
@@ -31,11 +31,11 @@
     let body = jobs::read_item_body(a1.ctx(), "j2", "j2-0").await.unwrap();
     assert_eq!(body, "body of 0");
     jobs::end(a1.ctx(), "j2").await.unwrap();
-    wait_until("its item is cut", || harness.targets.active() == 0).await;
+    wait_until("its item is cancelled", || harness.targets.active() == 0).await;
 }
 
 #[tokio::test]
-async fn a_job_submitted_through_a_host_without_the_store_is_accepted_once() {
+async fn a_job_submitted_through_forwarding_is_accepted_once() {
     let harness = Harness::new(&["t1"]);
     let (a1, connection, a2) = start(&harness).await;
     close_connection(&a1, &connection).await;
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn what_a_peer_says_of_a_job_is_said() {
+async fn errors_of_the_peer_are_returned() {
     let harness = Harness::new(&["t1"]);
     let (a1, connection, _a2) = start(&harness).await;
     close_connection(&a1, &connection).await;
@@ -65,14 +65,14 @@
 }
 
 #[rstest]
-#[case::a_peer_that_died(true)]
-#[case::a_peer_that_lost_the_store_too(false)]
+#[case::peer_failed(true)]
+#[case::peer_lost_the_store(false)]
 #[tokio::test]
-async fn without_a_peer_that_can_a_job_is_refused_as_not_run(#[case] dies: bool) {
+async fn without_a_peer_that_reaches_the_store_a_job_is_refused_for_now(#[case] has_failed: bool) {
     let harness = Harness::new(&["t1"]);
     let (a1, connection, a2) = start(&harness).await;
     close_connection(&a1, &connection).await;
-    if dies {
+    if has_failed {
         a2.kill();
     } else {
         harness.store.set_closed(true);
--- a/crates/gateway/tests/jobs.rs
+++ b/crates/gateway/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs, from their callers' side, under faults of the store and of hosts.
+//! Calls about jobs and their results under failures of the store, targets and hosts.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod harness;
@@ -25,7 +25,7 @@
 use notchwharf_ledger::jobs::Record;
 use rstest::rstest;
 
-fn assert_whole(results: &[ItemResult]) {
+fn assert_complete(results: &[ItemResult]) {
     for result in results {
         let text = result.text.as_ref().unwrap();
         assert_eq!(text, &item_text(&result.item));
@@ -33,31 +33,31 @@
 }
 
 #[tokio::test]
-async fn a_job_s_results_are_whole_and_stand_alike_at_every_host() {
+async fn results_are_complete_and_identical_at_every_host() {
     let harness = Harness::new(&["t1", "t2"]);
     let a1 = harness.start_ready("a1").await;
     let a2 = harness.start_ready("a2").await;
     a1.submit("j1", 7, 10).await.unwrap();
     let results = a1.results("j1", 7).await;
-    assert_whole(&results);
+    assert_complete(&results);
     assert_eq!(a2.results("j1", 7).await, results);
 }
 
 #[rstest]
 #[case::refused_once(&[AppendOutcome::Refused])]
-#[case::lost_before(&[AppendOutcome::RequestLost])]
-#[case::lost_after(&[AppendOutcome::ResponseLost])]
-#[case::lost_after_twice(&[AppendOutcome::ResponseLost, AppendOutcome::ResponseLost])]
-#[case::late(&[AppendOutcome::Delayed(Duration::from_millis(150))])]
-#[case::late_and_lost(&[AppendOutcome::Delayed(Duration::from_millis(150)), AppendOutcome::ResponseLost])]
+#[case::request_lost(&[AppendOutcome::RequestLost])]
+#[case::response_lost(&[AppendOutcome::ResponseLost])]
+#[case::response_lost_twice(&[AppendOutcome::ResponseLost, AppendOutcome::ResponseLost])]
+#[case::delayed(&[AppendOutcome::Delayed(Duration::from_millis(150))])]
+#[case::delayed_then_response_lost(&[AppendOutcome::Delayed(Duration::from_millis(150)), AppendOutcome::ResponseLost])]
 #[tokio::test]
-async fn a_job_is_accepted_once_whatever_happens_to_its_record(#[case] fates: &[AppendOutcome]) {
+async fn a_job_is_accepted_once_despite_append_failures(#[case] outcomes: &[AppendOutcome]) {
     let harness = Harness::new(&["t1", "t2"]);
     let a1 = harness.start_ready("a1").await;
-    harness.store.script(Topic::Jobs, fates);
+    harness.store.script(Topic::Jobs, outcomes);
     a1.submit("j1", 3, 10).await.unwrap();
     let results = a1.results("j1", 3).await;
-    assert_whole(&results);
+    assert_complete(&results);
     let restarted = harness.start_ready("a2").await;
     assert_eq!(restarted.results("j1", 3).await, results);
     assert_eq!(restarted.results("j1", 3).await.len(), 3);
@@ -65,25 +65,27 @@
 
 #[rstest]
 #[case::refused(&[AppendOutcome::Refused])]
-#[case::lost_before(&[AppendOutcome::RequestLost])]
-#[case::lost_after(&[AppendOutcome::ResponseLost])]
-#[case::late(&[AppendOutcome::Delayed(Duration::from_millis(100))])]
+#[case::request_lost(&[AppendOutcome::RequestLost])]
+#[case::response_lost(&[AppendOutcome::ResponseLost])]
+#[case::delayed(&[AppendOutcome::Delayed(Duration::from_millis(100))])]
 #[tokio::test]
-async fn an_item_is_listed_once_whatever_happens_to_its_record(#[case] fates: &[AppendOutcome]) {
+async fn an_item_outcome_is_recorded_once_despite_append_failures(
+    #[case] outcomes: &[AppendOutcome],
+) {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     harness.targets.hold();
     a1.submit("j1", 1, 10).await.unwrap();
-    wait_until("it runs", || harness.targets.active() == 1).await;
-    harness.store.script(Topic::Jobs, fates);
+    wait_until("the item runs", || harness.targets.active() == 1).await;
+    harness.store.script(Topic::Jobs, outcomes);
     harness.targets.release();
     let results = a1.results("j1", 1).await;
-    assert_whole(&results);
+    assert_complete(&results);
     assert_eq!(results.len(), 1);
 }
 
 #[tokio::test]
-async fn a_job_submitted_again_at_another_host_is_the_same_job() {
+async fn submitting_a_job_again_at_another_host_has_no_effect() {
     let harness = Harness::new(&["t1", "t2"]);
     let a1 = harness.start_ready("a1").await;
     let a2 = harness.start_ready("a2").await;
@@ -97,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn jobs_beyond_the_limit_are_refused_at_every_host_and_never_run() {
+async fn jobs_over_quota_are_refused_at_every_host_and_never_run() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     let a2 = harness.start_ready("a2").await;
@@ -113,13 +115,13 @@
     a1.results("j1", 1).await;
     a1.results("j3", 1).await;
     assert_eq!(harness.targets.runs("j2-0"), []);
-    // Room again: the same job may come once more.
+    // There is quota again, so the job can be submitted again.
     a2.submit("j2", 1, 11).await.unwrap();
-    assert_whole(&a1.results("j2", 1).await);
+    assert_complete(&a1.results("j2", 1).await);
 }
 
 #[tokio::test]
-async fn a_host_that_cannot_read_the_records_does_not_say_that_there_is_no_job() {
+async fn a_host_that_cannot_read_the_records_does_not_respond_not_found() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     let err = jobs::read_results(a1.ctx(), "none", 0, Duration::ZERO).await;
@@ -134,14 +136,14 @@
 }
 
 #[tokio::test]
-async fn without_the_store_a_job_is_refused_as_not_run_and_nothing_runs() {
+async fn without_the_store_a_job_is_refused_for_now_and_not_run() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     harness.store.set_closed(true);
     let err = a1.submit("j1", 1, 10).await.unwrap_err();
     assert!(matches!(err, JobError::NotNow { .. }), "{err:?}");
     harness.store.set_closed(false);
-    wait_until("the store is back", || {
+    wait_until("the store is available again", || {
         a1.ctx()
             .journal
             .staleness()
@@ -152,7 +154,7 @@
 }
 
 #[tokio::test]
-async fn a_job_whose_record_may_be_there_is_not_called_refused() {
+async fn a_job_with_an_unknown_append_outcome_is_not_reported_as_refused() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     harness
@@ -163,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn an_ended_job_runs_no_more_items_and_keeps_what_is_listed() {
+async fn an_ended_job_runs_no_more_items_and_other_jobs_keep_their_results() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     let a2 = harness.start_ready("a2").await;
@@ -174,7 +176,7 @@
     wait_until("an item runs", || harness.targets.active() > 0).await;
     jobs::end(a2.ctx(), "j2").await.unwrap();
     jobs::end(a2.ctx(), "j2").await.unwrap();
-    wait_until("it was cut", || harness.targets.active() == 0).await;
+    wait_until("its items are cancelled", || harness.targets.active() == 0).await;
     harness.targets.release();
     a1.submit("j3", 1, 10).await.unwrap();
     a1.results("j3", 1).await;
@@ -182,17 +184,17 @@
         .await
         .unwrap();
     assert_eq!((read.total, read.results.len()), (4, 0));
-    let gone = jobs::read_item_body(a1.ctx(), "j2", "j2-0").await;
-    assert_eq!(gone.unwrap_err(), JobError::NotFound);
+    let ended = jobs::read_item_body(a1.ctx(), "j2", "j2-0").await;
+    assert_eq!(ended.unwrap_err(), JobError::NotFound);
     assert_eq!(a1.results("j1", 1).await.len(), 1);
 }
 
 #[rstest]
 #[case::impossible(&["t1"], 422, 1)]
-#[case::failing_everywhere(&["t1", "t2", "t3"], 500, 3)]
+#[case::failing_at_every_target(&["t1", "t2", "t3"], 500, 3)]
 #[case::failing_at_the_only_target(&["t1"], 500, 6)]
 #[tokio::test]
-async fn an_item_that_cannot_be_done_is_given_up(
+async fn an_item_that_cannot_succeed_fails(
     #[case] targets: &[&str],
     #[case] status: u16,
     #[case] runs: usize,
@@ -211,38 +213,37 @@
     assert_eq!(harness.targets.runs("j1-0").len(), runs);
 }
 
-/// Regression: targets that fail all that they are given, and so are always
-/// free, made sound items fail as often as their route allows (the incident of
-/// sul-permissoes-grown).
+/// Regression: targets that fail every item are always free, so valid items ran there until
+/// they had failed as often as their route allows.
 #[tokio::test]
-async fn targets_that_fail_everything_do_not_make_items_fail() {
+async fn items_do_not_fail_because_of_targets_that_fail_everything() {
     let harness = Harness::new(&["t1", "t2", "t3", "t4"]);
     for target in ["t1", "t2", "t3"] {
         harness.targets.script(target, &[Action::Status(500); 200]);
     }
     let a1 = harness.start_ready("a1").await;
     a1.submit("j1", 12, 10).await.unwrap();
-    assert_whole(&a1.results("j1", 12).await);
+    assert_complete(&a1.results("j1", 12).await);
 }
 
 #[rstest]
 #[case::refused(Action::NoReply(NoReply::Full))]
-#[case::lost(Action::NoReply(NoReply::Unknown("scripted")))]
-#[case::broken_off(Action::BreakAfter(3))]
-#[case::silent(Action::HangAfter(2))]
+#[case::response_lost(Action::NoReply(NoReply::Unknown("scripted")))]
+#[case::interrupted(Action::BreakAfter(3))]
+#[case::stalled(Action::HangAfter(2))]
 #[case::unsigned(Action::Unsigned)]
 #[case::other_status(Action::Status(504))]
 #[tokio::test]
-async fn an_item_whose_run_breaks_goes_on_after_its_last_whole_event(#[case] act: Action) {
+async fn an_interrupted_item_resumes_after_its_last_complete_event(#[case] action: Action) {
     let harness = Harness::new(&["t1", "t2"]);
     let a1 = harness.start_ready("a1").await;
-    harness.targets.script_request("j1-0", &[act; 2]);
+    harness.targets.script_request("j1-0", &[action; 2]);
     a1.submit("j1", 1, 10).await.unwrap();
-    assert_whole(&a1.results("j1", 1).await);
+    assert_complete(&a1.results("j1", 1).await);
 }
 
 #[tokio::test]
-async fn an_item_s_body_comes_back_from_every_host() {
+async fn every_host_returns_an_item_body() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     let a2 = harness.start_ready("a2").await;
@@ -255,11 +256,11 @@
 }
 
 #[tokio::test]
-async fn the_jobs_of_a_host_that_dies_are_finished_by_others() {
+async fn others_complete_the_jobs_of_a_host_that_fails() {
     let harness = Harness::new(&["t1", "t2"]);
     let a1 = harness.start_ready("a1").await;
     let a2 = harness.start_ready("a2").await;
-    wait_until("both know each other", || {
+    wait_until("the hosts have discovered each other", || {
         a1.ctx().peers_alive() == 1 && a2.ctx().peers_alive() == 1
     })
     .await;
@@ -268,11 +269,11 @@
     wait_until("items run", || harness.targets.active() > 0).await;
     a1.kill();
     harness.targets.release();
-    assert_whole(&a2.results("j1", 4).await);
+    assert_complete(&a2.results("j1", 4).await);
 }
 
 #[tokio::test]
-async fn the_jobs_of_a_host_that_is_cut_from_the_store_are_finished_by_others() {
+async fn others_complete_the_jobs_of_a_host_that_loses_the_store() {
     let harness = Harness::new(&["t1", "t2"]);
     let (a1, connection, a2) = start_two_hosts(&harness).await;
     harness.targets.hold();
@@ -280,25 +281,24 @@
     connection.set_closed(true);
     harness.targets.release();
     let results = a2.results("j1", 4).await;
-    assert_whole(&results);
+    assert_complete(&results);
     connection.set_closed(false);
     assert_eq!(a1.results("j1", 4).await, results);
 }
 
-/// Regression: as the store came back to all hosts, jobs were taken over from
-/// owners that had it back too but had not said so yet, and their items ran
-/// again (the first incident of vantu-lectii).
+/// Regression: when the store recovered, hosts took over jobs from owners that had reconnected
+/// as well but had not reported it yet, and their items ran again.
 #[tokio::test]
-async fn a_host_that_loses_the_store_for_a_moment_keeps_its_jobs() {
+async fn a_host_keeps_its_jobs_through_a_short_store_outage() {
     let harness = Harness::new(&["t1", "t2"]);
     let connection = harness.store.connection();
-    let patient = |s: &mut Settings| s.batch.stall_ms = 10_000;
+    let long_stall_timeout = |s: &mut Settings| s.batch.stall_ms = 10_000;
     let a1 = harness
-        .start_with_store("a1", connection.clone(), patient)
+        .start_with_store("a1", connection.clone(), long_stall_timeout)
         .await;
     a1.wait_ready().await;
     let a2 = harness.start_ready("a2").await;
-    wait_until("both know each other", || {
+    wait_until("the hosts have discovered each other", || {
         a1.ctx().peers_alive() == 1 && a2.ctx().peers_alive() == 1
     })
     .await;
@@ -313,13 +313,13 @@
         .unwrap();
     wait_until("both items run", || harness.targets.active() == 2).await;
     connection.set_closed(true);
-    wait_until("the store is lost", || !a1.ctx().is_store_up()).await;
-    // Longer than others take to look whose owners are away.
+    wait_until("the store is unavailable", || !a1.ctx().is_store_up()).await;
+    // Longer than the interval in which other hosts check for jobs to take over.
     tokio::time::sleep(Duration::from_millis(600)).await;
     connection.set_closed(false);
-    wait_until("the store is back", || a1.ctx().is_store_up()).await;
+    wait_until("the store is available again", || a1.ctx().is_store_up()).await;
     harness.targets.release();
-    assert_whole(&a2.results("j1", 2).await);
+    assert_complete(&a2.results("j1", 2).await);
     let owner = a2
         .ctx()
         .journal
@@ -333,19 +333,19 @@
 }
 
 #[tokio::test]
-async fn a_job_is_finished_after_all_hosts_have_stopped() {
+async fn a_job_completes_after_a_restart_of_all_hosts() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     harness.targets.hold();
     a1.submit("j1", 5, 10).await.unwrap();
     a1.kill();
     harness.targets.release();
-    let again = harness.start_ready("a1").await;
-    assert_whole(&again.results("j1", 5).await);
+    let restarted = harness.start_ready("a1").await;
+    assert_complete(&restarted.results("j1", 5).await);
 }
 
 #[tokio::test]
-async fn a_host_that_starts_after_the_history_is_gone_knows_jobs_positions_and_bodies() {
+async fn a_host_that_starts_after_the_history_expired_serves_results_and_bodies() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     a1.submit("j1", 5, 10).await.unwrap();
@@ -360,7 +360,7 @@
 }
 
 #[tokio::test]
-async fn a_host_whose_place_in_the_history_is_gone_lists_anew() {
+async fn a_host_whose_read_offset_expired_lists_the_records_again() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     let connection = harness.store.connection();
@@ -377,27 +377,27 @@
 }
 
 #[tokio::test]
-async fn items_whose_route_is_dropped_are_given_up_and_not_run() {
+async fn items_whose_route_is_removed_fail_and_do_not_run() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     harness.targets.hold();
     a1.submit("j1", 4, 10).await.unwrap();
     wait_until("an item runs", || harness.targets.active() > 0).await;
     harness.configure(2, false);
-    wait_until("the configuration is in force", || {
+    wait_until("the configuration is applied", || {
         a1.ctx().table().unwrap().version() == 2
     })
     .await;
     harness.targets.release();
     let results = a1.results("j1", 4).await;
-    let given_up = results.iter().filter(|r| r.text.is_none()).count();
-    assert!(given_up > 0, "{results:?}");
+    let failed = results.iter().filter(|r| r.text.is_none()).count();
+    assert!(failed > 0, "{results:?}");
     let err = a1.submit("j2", 1, 10).await.unwrap_err();
     assert_eq!(err, JobError::NoRoute);
 }
 
 #[tokio::test]
-async fn an_item_whose_time_is_over_is_given_up_and_not_before() {
+async fn an_item_fails_after_its_time_limit_and_not_before() {
     let harness = Harness::new(&["t1"]);
     let a1 = harness.start_ready("a1").await;
     let refuse = Action::NoReply(NoReply::Full);
@@ -410,15 +410,15 @@
 }
 
 #[tokio::test]
-async fn what_nobody_can_ask_for_any_more_is_removed_from_the_store() {
+async fn expired_jobs_are_deleted_from_the_store() {
     let harness = Harness::new(&["t1"]);
-    let forgetful = |s: &mut Settings| s.batch.readable_ms = 1_000;
-    let a1 = harness.start_with("a1", forgetful).await;
+    let short_retention = |s: &mut Settings| s.batch.readable_ms = 1_000;
+    let a1 = harness.start_with("a1", short_retention).await;
     a1.wait_ready().await;
     let tokens = u32::try_from(TOKENS_MAX).unwrap();
     harness.targets.hold();
     a1.submit("j1", 1, tokens).await.unwrap();
-    // Refused, its record would be accepted once the other's is gone.
+    // This refused submission would be accepted if only the other job's record were deleted.
     let refused = Record::Accepted(Accepted {
         job: "j2".into(),
         attempt: 7,
@@ -437,7 +437,7 @@
     assert!(matches!(applied, Applied::OverQuota { .. }), "{applied:?}");
     harness.targets.release();
     a1.results("j1", 1).await;
-    wait_until("the records are gone", || {
+    wait_until("the records are deleted", || {
         let topics = [Topic::Jobs, Topic::Payloads, Topic::Results];
         topics
             .iter()
--- a/crates/gateway/tests/progress.rs
+++ b/crates/gateway/tests/progress.rs
@@ -1,5 +1,4 @@
-//! What becomes of unfinished items when their host dies, leaves or starts
-//! again.
+//! Progress of unfinished items when their host fails, shuts down or restarts.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod harness;
@@ -14,15 +13,15 @@
 use notchwharf_gateway::ports::Topic;
 use rstest::rstest;
 
-/// Saves after each event, at once.
-fn eager(settings: &mut Settings) {
+/// Saves progress immediately after each event.
+fn save_at_once(settings: &mut Settings) {
     settings.batch.save_events = 1;
     settings.batch.save_ms = 10;
     settings.batch.stall_ms = 10_000;
 }
 
-/// Saves nothing before the host leaves.
-fn lazy(settings: &mut Settings) {
+/// Saves progress only at shutdown.
+fn save_at_shutdown(settings: &mut Settings) {
     settings.batch.save_events = 1_000_000;
     settings.batch.stall_ms = 10_000;
 }
@@ -33,8 +32,8 @@
     host
 }
 
-async fn until_acquainted(hosts: &[&RunningHost]) {
-    wait_until("all know each other", || {
+async fn wait_discovered(hosts: &[&RunningHost]) {
+    wait_until("the hosts have discovered each other", || {
         hosts
             .iter()
             .all(|h| h.ctx().peers_alive() == hosts.len() - 1)
@@ -42,23 +41,27 @@
     .await;
 }
 
-/// Runs a job's only item at a host up to its second event.
-async fn begin(harness: &Harness, host: &RunningHost) {
+/// Submits a job of one item and runs it up to its second event.
+async fn start_item(harness: &Harness, host: &RunningHost) {
     harness.targets.hold();
     host.submit("j1", 1, 10).await.unwrap();
     wait_until("the item runs", || harness.targets.active() == 1).await;
 }
 
-async fn until_saved(harness: &Harness) {
+async fn wait_saved(harness: &Harness) {
     wait_until("progress is saved", || {
         harness.store.key_count(Topic::Progress) == 1
     })
     .await;
 }
 
-/// Lets the item end, which runs a second time: it goes on and is whole.
-async fn finish_resumed(harness: &Harness, host: &RunningHost) {
-    wait_until("it runs again", || harness.targets.runs("j1-0").len() == 2).await;
+/// Completes the second run of the item, and checks that it was resumed and that the text is
+/// complete.
+async fn complete_resumed(harness: &Harness, host: &RunningHost) {
+    wait_until("the item runs again", || {
+        harness.targets.runs("j1-0").len() == 2
+    })
+    .await;
     harness.targets.release();
     let results = host.results("j1", 1).await;
     assert_eq!(results[0].text.as_ref().unwrap(), &item_text("j1-0"));
@@ -68,79 +71,81 @@
 
 #[rstest]
 #[case::history_kept(false)]
-#[case::history_gone(true)]
+#[case::history_expired(true)]
 #[tokio::test]
-async fn another_host_goes_on_behind_the_last_event_that_a_dead_one_saved(#[case] expire: bool) {
+async fn another_host_resumes_after_the_last_event_that_a_failed_host_saved(
+    #[case] expires_history: bool,
+) {
     let harness = Harness::new(&["t1"]);
-    let a1 = start(&harness, "a1", eager).await;
-    let a2 = start(&harness, "a2", eager).await;
-    until_acquainted(&[&a1, &a2]).await;
-    begin(&harness, &a1).await;
-    until_saved(&harness).await;
+    let a1 = start(&harness, "a1", save_at_once).await;
+    let a2 = start(&harness, "a2", save_at_once).await;
+    wait_discovered(&[&a1, &a2]).await;
+    start_item(&harness, &a1).await;
+    wait_saved(&harness).await;
     a1.kill();
-    if expire {
+    if expires_history {
         harness.store.expire_history();
     }
-    finish_resumed(&harness, &a2).await;
+    complete_resumed(&harness, &a2).await;
 }
 
 #[tokio::test]
-async fn a_host_that_starts_again_goes_on_behind_the_last_event_that_it_saved() {
+async fn a_restarted_host_resumes_after_the_last_event_that_it_saved() {
     let harness = Harness::new(&["t1"]);
-    let a1 = start(&harness, "a1", eager).await;
-    begin(&harness, &a1).await;
-    until_saved(&harness).await;
+    let a1 = start(&harness, "a1", save_at_once).await;
+    start_item(&harness, &a1).await;
+    wait_saved(&harness).await;
     a1.kill();
-    let again = start(&harness, "a1", eager).await;
-    finish_resumed(&harness, &again).await;
+    let restarted = start(&harness, "a1", save_at_once).await;
+    complete_resumed(&harness, &restarted).await;
 }
 
 #[tokio::test]
-async fn a_host_that_leaves_hands_over_what_its_items_generated() {
+async fn a_host_saves_the_progress_of_its_items_at_shutdown() {
     let harness = Harness::new(&["t1"]);
-    let a1 = start(&harness, "a1", lazy).await;
-    let a2 = start(&harness, "a2", lazy).await;
-    until_acquainted(&[&a1, &a2]).await;
-    begin(&harness, &a1).await;
+    let a1 = start(&harness, "a1", save_at_shutdown).await;
+    let a2 = start(&harness, "a2", save_at_shutdown).await;
+    wait_discovered(&[&a1, &a2]).await;
+    start_item(&harness, &a1).await;
     assert_eq!(harness.store.key_count(Topic::Progress), 0);
     assert!(a1.leave().await);
-    finish_resumed(&harness, &a2).await;
+    complete_resumed(&harness, &a2).await;
 }
 
 #[tokio::test]
-async fn failures_at_a_host_that_left_count() {
+async fn failures_at_the_previous_owner_count() {
     let harness = Harness::new(&["t1"]);
-    let a1 = start(&harness, "a1", lazy).await;
-    let a2 = start(&harness, "a2", lazy).await;
-    until_acquainted(&[&a1, &a2]).await;
+    let a1 = start(&harness, "a1", save_at_shutdown).await;
+    let a2 = start(&harness, "a2", save_at_shutdown).await;
+    wait_discovered(&[&a1, &a2]).await;
     let failed = Action::Status(500);
-    // Two failures at the first host; then it runs and does not end.
+    // The item fails twice at the first host; its third run does not end.
     let acts = [&[failed, failed, Action::HangAfter(0)], &[failed; 9][..]].concat();
     harness.targets.script_request("j1-0", &acts);
     a1.submit("j1", 1, 10).await.unwrap();
-    wait_until("it failed twice", || {
+    wait_until("the item has failed twice", || {
         harness.targets.runs("j1-0").len() == 3
     })
     .await;
     assert!(a1.leave().await);
     let results = a2.results("j1", 1).await;
     assert_eq!(results[0].text, None);
-    // The only target fails it again and again, so it may do so six times.
+    // At the only target, which fails every run, an item may fail six times.
     assert_eq!(harness.targets.runs("j1-0").len(), 6 + 1);
 }
 
 #[rstest]
 #[case::refused(AppendOutcome::Refused)]
-#[case::lost(AppendOutcome::RequestLost)]
-#[case::done_and_not_answered(AppendOutcome::ResponseLost)]
+#[case::request_lost(AppendOutcome::RequestLost)]
+#[case::response_lost(AppendOutcome::ResponseLost)]
 #[tokio::test]
-async fn an_item_is_done_whatever_happens_to_its_progress(#[case] fate: AppendOutcome) {
+async fn an_item_completes_despite_failures_to_save_its_progress(#[case] outcome: AppendOutcome) {
     let harness = Harness::new(&["t1"]);
-    harness.store.script(Topic::Progress, &[fate; 3]);
-    let a1 = start(&harness, "a1", eager).await;
-    let a2 = start(&harness, "a2", eager).await;
-    until_acquainted(&[&a1, &a2]).await;
-    begin(&harness, &a1).await;
+    harness.store.script(Topic::Progress, &[outcome; 3]);
+    let a1 = start(&harness, "a1", save_at_once).await;
+    let a2 = start(&harness, "a2", save_at_once).await;
+    wait_discovered(&[&a1, &a2]).await;
+    start_item(&harness, &a1).await;
     a1.kill();
     harness.targets.release();
     let results = a2.results("j1", 1).await;
@@ -148,44 +153,44 @@
 }
 
 #[tokio::test]
-async fn the_progress_of_an_item_that_is_done_is_dropped() {
+async fn the_progress_of_a_completed_item_is_deleted() {
     let harness = Harness::new(&["t1"]);
-    let a1 = start(&harness, "a1", eager).await;
-    begin(&harness, &a1).await;
-    until_saved(&harness).await;
+    let a1 = start(&harness, "a1", save_at_once).await;
+    start_item(&harness, &a1).await;
+    wait_saved(&harness).await;
     harness.targets.release();
     a1.results("j1", 1).await;
-    wait_until("it is dropped", || {
+    wait_until("the progress is deleted", || {
         harness.store.key_count(Topic::Progress) == 0
     })
     .await;
 }
 
 #[tokio::test]
-async fn the_progress_of_a_job_whose_owner_died_is_dropped_with_the_job() {
+async fn the_progress_saved_by_a_failed_owner_is_deleted_with_the_job() {
     let harness = Harness::new(&["t1"]);
-    let forgetful = |s: &mut Settings| {
-        eager(s);
+    let short_retention = |s: &mut Settings| {
+        save_at_once(s);
         s.batch.readable_ms = 1_000;
     };
-    let a1 = start(&harness, "a1", eager).await;
-    let a2 = start(&harness, "a2", forgetful).await;
-    until_acquainted(&[&a1, &a2]).await;
-    begin(&harness, &a1).await;
-    until_saved(&harness).await;
+    let a1 = start(&harness, "a1", save_at_once).await;
+    let a2 = start(&harness, "a2", short_retention).await;
+    wait_discovered(&[&a1, &a2]).await;
+    start_item(&harness, &a1).await;
+    wait_saved(&harness).await;
     a1.kill();
     harness.targets.release();
     a2.results("j1", 1).await;
-    wait_until("it is dropped", || {
+    wait_until("the progress is deleted", || {
         harness.store.key_count(Topic::Progress) == 0
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_job_that_was_just_taken_in_costs_no_reading_of_progress() {
+async fn a_new_job_causes_no_reads_of_progress() {
     let harness = Harness::new(&["t1"]);
-    let a1 = start(&harness, "a1", eager).await;
+    let a1 = start(&harness, "a1", save_at_once).await;
     a1.submit("j1", 3, 10).await.unwrap();
     a1.results("j1", 3).await;
     assert_eq!(harness.store.pages_read(Topic::Progress), 0);
