--- a/crates/gateway/src/items/completion.rs
+++ b/crates/gateway/src/items/completion.rs
@@ -15,7 +15,7 @@
 use crate::ports::Topic;
 use crate::sync::lock;
 
-/// Timeout of an item's record, longer than outages of the store usually last.
+/// Timeout for recording an item's outcome: the store may be unavailable for a long time.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Delay before a result is written again after a failure.
--- a/crates/gateway/src/jobs/read.rs
+++ b/crates/gateway/src/jobs/read.rs
@@ -77,7 +77,7 @@
     }
     let mut count = listed.ok_or(JobError::NotFound)?;
     while count <= from && !is_closed(ctx, job) {
-        // After a timeout the page is empty.
+        // A timeout is not an error: the page then has the results recorded so far, if any.
         if tokio::time::timeout_at(deadline, changed.changed())
             .await
             .is_err()
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Records the end of the log that a peer knows.
+    /// Records the end of the log that a peer has reported.
     pub(crate) fn record_peer_end(&self, end: Offset) {
         self.peer_end.fetch_max(end, Ordering::Relaxed);
     }
