--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,10 +13,12 @@
 mod backlog;
 pub mod blobs;
 mod catalog;
+mod cleanup;
 pub mod context;
+mod cpu_time;
 pub mod error;
 mod fingerprint;
-mod follow;
+mod follower;
 mod items;
 pub mod jobs;
 pub mod journal;
@@ -34,9 +36,7 @@
 mod sync;
 mod target;
 mod time;
-mod upkeep;
 mod waiting;
-mod work;
 
 /// The ID of a request, chosen by its caller.
 pub type RequestId = String;
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -20,10 +20,10 @@
 use super::Peer;
 use super::recipients::relay_recipients;
 use crate::context::Context;
+use crate::cpu_time;
+use crate::cpu_time::Activity;
 use crate::metrics::Counted;
 use crate::sync::lock;
-use crate::work;
-use crate::work::Part;
 
 /// Remote hosts whose status is to be relayed. The status itself is stored with the peer.
 #[derive(Debug, Default)]
@@ -65,7 +65,7 @@
         let Some(socket) = ctx.peers.socket.get() else {
             return;
         };
-        work::timed(&ctx.metrics, Part::NewsPassedOn, || {
+        cpu_time::measure(&ctx.metrics, Activity::RelayUpdates, || {
             relay(&ctx, &pending, &local, socket);
         });
     }
--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -75,7 +75,7 @@
     let caller = access::identify_job_caller(host.ctx(), presented)
         .await
         .unwrap();
-    jobs::id_of(host.ctx(), &caller, "j1")
+    jobs::resolve_job_id(host.ctx(), &caller, "j1")
 }
 
 #[tokio::test]
@@ -90,9 +90,9 @@
         assert_eq!(job_of(host, "k2").await, job);
         assert_eq!(host.results(&job, 2).await.len(), 2);
         let other_job = job_of(host, "k3").await;
-        let read = jobs::read(host.ctx(), &other_job, 0, Duration::ZERO).await;
+        let read = jobs::read_results(host.ctx(), &other_job, 0, Duration::ZERO).await;
         assert_eq!(read.unwrap_err(), JobError::NotFound);
-        let read = jobs::body(host.ctx(), &other_job, "j1-0").await;
+        let read = jobs::read_item_body(host.ctx(), &other_job, "j1-0").await;
         assert_eq!(read.unwrap_err(), JobError::NotFound);
         assert_eq!(
             jobs::end(host.ctx(), &other_job).await.unwrap_err(),
