--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -15,10 +15,9 @@
             format_value(&value["version"]),
             format_value(&value["digest"])
         ),
-        Command::SignOff { .. } => format!(
-            "version {} is now current\n",
-            format_value(&value["version"])
-        ),
+        Command::SignOff { .. } => {
+            format!("version {} is in force\n", format_value(&value["version"]))
+        }
         Command::Bundle => format!("{value:#}\n"),
         Command::History => table(
             &value["events"],
@@ -44,7 +43,7 @@
                 format_value(&value["state"])
             )
         }
-        Command::Drain { .. } => format!("{} is draining\n", format_value(&value["draining"])),
+        Command::Drain { .. } => format!("{} is leaving\n", format_value(&value["draining"])),
     }
 }
 
