--- a/crates/server/src/members.rs
+++ b/crates/server/src/members.rs
@@ -1,4 +1,5 @@
-//! The fleet as this host sees it, kept by gossip, the list and observation.
+//! Maintains this host's view of the fleet from gossip, the platform's host list and its own
+//! observations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,39 +24,38 @@
 use tokio::net::UdpSocket;
 use xtra::prelude::*;
 
-use crate::bundle::Feed;
+use crate::bundle::BundleFollower;
 use crate::context::Context as Shared;
 use crate::context::post;
-use crate::dispatch::Online;
+use crate::dispatch::OnlineStreams;
 use crate::dispatch::Reannounce;
 use crate::metrics::Counted;
 use crate::quarantine;
-use crate::shards::HostGone;
+use crate::shards::HostFailed;
 use notchwharf_listen::Phase;
 
-const TICK_PERIOD: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const DATAGRAM_BYTES_MAX: usize = 2_048;
-/// Time the log has to bring a bundle before a peer is asked for it.
-const BUNDLE_PATIENCE: Duration = Duration::from_millis(500);
+/// Time to wait for a bundle from the log before requesting it from a peer.
+const BUNDLE_FETCH_DELAY: Duration = Duration::from_millis(500);
 const PEER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Roles of targets as facts spell them.
+/// Roles of targets as encoded in facts.
 pub(crate) const ROLE_ANY: u8 = 0;
 pub(crate) const ROLE_ONLINE: u8 = 1;
 pub(crate) const ROLE_BATCH: u8 = 2;
 
-/// Something became known.
-pub(crate) struct Heard(pub(crate) Fact);
-/// A datagram of gossip came.
-struct Incoming(Vec<u8>);
-/// Time passed.
+/// A fact observed by this host.
+pub(crate) struct LocalFact(pub(crate) Fact);
+/// A gossip datagram was received.
+struct GossipReceived(Vec<u8>);
 struct Tick;
-/// This host leaves.
+/// Announces that this host leaves.
 pub(crate) struct Leave;
 
-/// The gossip of this host.
+/// The actor that runs the gossip protocol.
 pub(crate) struct Members {
     shared: Arc<Shared>,
-    feed: Arc<Feed>,
+    follower: Arc<BundleFollower>,
     gossip: Gossip,
     socket: Arc<UdpSocket>,
 }
@@ -66,19 +66,19 @@
     async fn stopped(self) {}
 }
 
-impl Handler<Heard> for Members {
+impl Handler<LocalFact> for Members {
     type Return = ();
 
-    async fn handle(&mut self, heard: Heard, _: &mut Context<Self>) {
-        self.step(Input::Fact(heard.0)).await;
+    async fn handle(&mut self, local: LocalFact, _: &mut Context<Self>) {
+        self.step(Input::Fact(local.0)).await;
     }
 }
 
-impl Handler<Incoming> for Members {
+impl Handler<GossipReceived> for Members {
     type Return = ();
 
-    async fn handle(&mut self, incoming: Incoming, _: &mut Context<Self>) {
-        self.step(Input::Datagram(incoming.0)).await;
+    async fn handle(&mut self, received: GossipReceived, _: &mut Context<Self>) {
+        self.step(Input::Datagram(received.0)).await;
     }
 }
 
@@ -102,21 +102,21 @@
     async fn step(&mut self, input: Input) {
         let out = self.gossip.step(Instant::now(), input);
         for fact in out.changed {
-            self.note(fact);
+            self.apply_fact(fact);
         }
         for (addr, bytes) in out.sends {
             let bytes = datagram::encode(&Datagram::Gossip(bytes));
             let len = bytes.len() as u64;
             self.shared.metrics.add(Counted::GossipBytes, "sent", len);
-            // A datagram lost here is a datagram lost on the way.
+            // A failed send is treated like a datagram lost in transit.
             let _ = self.socket.send_to(&bytes, addr).await;
         }
     }
 
-    fn note(&self, fact: Fact) {
+    fn apply_fact(&self, fact: Fact) {
         let shared = &self.shared;
         match fact {
-            Fact::Host(id, host) => self.note_host(id, host),
+            Fact::Host(id, host) => self.apply_host(id, host),
             Fact::Shard(shard, holder) => {
                 shared.view_mut().shard_holders.insert(shard, holder);
                 for dispatcher in shared.all_dispatchers() {
@@ -126,7 +126,7 @@
             Fact::Backlog(host, backlog) => {
                 shared.view_mut().backlogs.insert(host, backlog);
             }
-            Fact::Bundle(version) => self.note_bundle(version),
+            Fact::Bundle(version) => self.fetch_bundle_later(version),
             Fact::Target(id, target) => {
                 shared.view_mut().targets.insert(id.clone(), target);
                 update_table(shared, &id);
@@ -134,56 +134,57 @@
         }
     }
 
-    fn note_host(&self, id: String, host: fact::Host) {
+    fn apply_host(&self, id: String, host: fact::Host) {
         let before = self
             .shared
             .view_mut()
             .hosts
             .insert(id.clone(), host.clone());
-        let restarted = before.as_ref().map(|b| b.incarnation) != Some(host.incarnation);
-        let gone = if host.health == Health::Down {
+        let has_restarted = before.as_ref().map(|b| b.incarnation) != Some(host.incarnation);
+        let failed = if host.health == Health::Down {
             Some(host.incarnation)
-        } else if restarted {
+        } else if has_restarted {
             host.incarnation.checked_sub(1)
         } else {
             None
         };
-        if let Some(incarnation) = gone {
-            let gone = HostGone {
+        if let Some(incarnation) = failed {
+            let failed = HostFailed {
                 host: id.clone(),
                 incarnation,
             };
             for (_, shard) in self.shared.shard_actors() {
-                post(&shard, gone.clone());
+                post(&shard, failed.clone());
             }
         }
-        let changed = before.is_none_or(|b| (b.health, b.leaving) != (host.health, host.leaving));
-        if changed {
+        let has_changed =
+            before.is_none_or(|b| (b.health, b.leaving) != (host.health, host.leaving));
+        if has_changed {
             slog::info!(self.shared.logger, "host changed";
                 "peer" => id, "health" => ?host.health, "leaving" => host.leaving);
         }
     }
 
-    fn note_bundle(&self, version: u64) {
+    fn fetch_bundle_later(&self, version: u64) {
         let shared = Arc::clone(&self.shared);
-        let feed = Arc::clone(&self.feed);
+        let follower = Arc::clone(&self.follower);
         tokio::spawn(async move {
-            tokio::time::sleep(BUNDLE_PATIENCE).await;
-            fetch_bundle(&shared, &feed, version).await;
+            tokio::time::sleep(BUNDLE_FETCH_DELAY).await;
+            fetch_bundle(&shared, &follower, version).await;
         });
     }
 }
 
-/// Takes the bundle from a peer if the log has not brought it.
-async fn fetch_bundle(shared: &Shared, feed: &Feed, version: u64) {
-    let behind = || shared.active().map(|a| a.version) < Some(version);
+/// Fetches the bundle from a peer if it has not arrived from the log.
+async fn fetch_bundle(shared: &Shared, follower: &BundleFollower, version: u64) {
+    let is_behind = || shared.active().map(|a| a.version) < Some(version);
     let urls: Vec<String> = {
         let view = shared.view();
         let hosts = view.live_hosts();
         hosts.iter().filter_map(|h| view.peer_url(h)).collect()
     };
     for url in urls {
-        if !behind() {
+        if !is_behind() {
             return;
         }
         let Some(client) = shared.peer_client(&url, PEER_TIMEOUT) else {
@@ -191,12 +192,12 @@
         };
         if let Ok(Some(copy)) = client.bundle().await {
             let in_force = InForce::new(copy.version, copy.since, copy.bundle);
-            feed.adopt(shared, in_force);
+            follower.adopt(shared, in_force);
         }
     }
 }
 
-/// Brings the routing table up to what is known of a target.
+/// Updates the routing table's entry of a target.
 pub(crate) fn update_table(shared: &Shared, id: &str) {
     let report = {
         let view = shared.view();
@@ -207,38 +208,38 @@
     }
 }
 
-fn report(listed: Option<&Listed>, known: Option<&fact::Target>) -> Option<Report> {
+fn report(listed: Option<&Listed>, reported: Option<&fact::Target>) -> Option<Report> {
     if let Some(Listed { kind, .. }) = listed
         && let Kind::Service { service, .. } = kind
     {
         return Some(Report {
             incarnation: listed.map_or(0, |l| l.incarnation),
-            is_leaving: listed.is_none_or(|l| l.leaving) || known.is_some_and(|k| k.leaving),
+            is_leaving: listed.is_none_or(|l| l.leaving) || reported.is_some_and(|k| k.leaving),
             is_for_online: true,
             is_for_batch: false,
             models: vec![service_fingerprint(service)],
         });
     }
-    let known = known?;
-    let unlisted = listed.is_none();
+    let reported = reported?;
+    let is_unlisted = listed.is_none();
     Some(Report {
-        incarnation: known.incarnation,
-        is_leaving: known.leaving || unlisted,
-        is_for_online: known.role != ROLE_BATCH,
-        is_for_batch: known.role != ROLE_ONLINE,
-        models: known.holds.clone(),
+        incarnation: reported.incarnation,
+        is_leaving: reported.leaving || is_unlisted,
+        is_for_online: reported.role != ROLE_BATCH,
+        is_for_batch: reported.role != ROLE_ONLINE,
+        models: reported.holds.clone(),
     })
 }
 
-/// Returns the fingerprint under which the table knows a plain service.
+/// Returns the fingerprint of a plain service in the routing table.
 pub(crate) fn service_fingerprint(service: &str) -> String {
     format!("service/{service}")
 }
 
-/// Starts gossip, and the tasks that feed it.
+/// Starts the gossip actor and the tasks that send messages to it.
 pub(crate) fn start(
     shared: &Arc<Shared>,
-    feed: &Arc<Feed>,
+    follower: &Arc<BundleFollower>,
     socket: UdpSocket,
     addr: HostAddress,
 ) -> Address<Members> {
@@ -251,23 +252,23 @@
     let socket = Arc::new(socket);
     let now = Instant::now();
     let gossip = Gossip::new(cfg, shared.incarnation, addr, rand::random(), now);
-    let me = gossip.own_fact();
+    let own_fact = gossip.own_fact();
     let members = Members {
         shared: Arc::clone(shared),
-        feed: Arc::clone(feed),
+        follower: Arc::clone(follower),
         gossip,
         socket: Arc::clone(&socket),
     };
-    members.note(me);
+    members.apply_fact(own_fact);
     let address = xtra::spawn_tokio(members, Mailbox::unbounded());
     tokio::spawn(receive(Arc::clone(shared), socket, address.clone()));
-    tokio::spawn(tick(Arc::clone(shared), address.clone()));
-    tokio::spawn(follow_list(Arc::clone(shared), address.clone()));
+    tokio::spawn(send_ticks(Arc::clone(shared), address.clone()));
+    tokio::spawn(poll_list(Arc::clone(shared), address.clone()));
     address
 }
 
-async fn tick(shared: Arc<Shared>, members: Address<Members>) {
-    let mut ticks = shared.timer.subscribe(TICK_PERIOD);
+async fn send_ticks(shared: Arc<Shared>, members: Address<Members>) {
+    let mut ticks = shared.timer.subscribe(TICK_INTERVAL);
     while ticks.recv().await.is_some() && shared.phase() != Phase::Stopped {
         if members.send(Tick).await.is_err() {
             return;
@@ -286,38 +287,38 @@
         let Ok((len, _)) = received else {
             continue;
         };
-        handle(&shared, &members, &buf[..len]);
+        handle_datagram(&shared, &members, &buf[..len]);
     }
 }
 
-fn handle(shared: &Shared, members: &Address<Members>, bytes: &[u8]) {
+fn handle_datagram(shared: &Shared, members: &Address<Members>, bytes: &[u8]) {
     let len = bytes.len() as u64;
     shared.metrics.add(Counted::GossipBytes, "received", len);
     match datagram::decode(bytes) {
-        Some(Datagram::Gossip(bytes)) => post(members, Incoming(bytes)),
+        Some(Datagram::Gossip(bytes)) => post(members, GossipReceived(bytes)),
         Some(Datagram::Online {
             host,
             target,
             streams,
         }) => {
             if let Some(dispatcher) = shared.dispatcher(&target) {
-                post(&dispatcher, Online { host, streams });
+                post(&dispatcher, OnlineStreams { host, streams });
             }
         }
-        Some(Datagram::Suspects(told)) => quarantine::take(shared, &told),
+        Some(Datagram::Suspects(reports)) => quarantine::merge_reports(shared, &reports),
         None => {}
     }
 }
 
-/// Reads the platform's list again and again.
-async fn follow_list(shared: Arc<Shared>, members: Address<Members>) {
+/// Polls the platform's host list.
+async fn poll_list(shared: Arc<Shared>, members: Address<Members>) {
     let platform = &shared.settings.platform;
     let list = HostList::new(&platform.host_list_url, ms(platform.timeout_ms));
     let mut ticks = shared.timer.subscribe(ms(platform.poll_ms));
     while shared.phase() != Phase::Stopped {
-        // An unreadable list changes nothing: the last reading stands.
+        // If the list cannot be read, the entries of the last read are kept.
         if let Ok(listed) = list.read().await {
-            take_list(&shared, &members, listed);
+            apply_list(&shared, &members, listed);
         }
         if ticks.recv().await.is_none() {
             return;
@@ -325,10 +326,10 @@
     }
 }
 
-fn take_list(shared: &Shared, members: &Address<Members>, listed: Vec<Listed>) {
+fn apply_list(shared: &Shared, members: &Address<Members>, listed: Vec<Listed>) {
     for entry in &listed {
-        if let Some(fact) = fact_of(entry) {
-            post(members, Heard(fact));
+        if let Some(fact) = fact_from_entry(entry) {
+            post(members, LocalFact(fact));
         }
     }
     let names: Vec<String> = {
@@ -342,7 +343,7 @@
     }
 }
 
-fn fact_of(entry: &Listed) -> Option<Fact> {
+fn fact_from_entry(entry: &Listed) -> Option<Fact> {
     let name = entry.name.clone();
     let (incarnation, leaving) = (entry.incarnation, entry.leaving);
     match &entry.kind {
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -1,6 +1,6 @@
-//! What the server counts and times.
+//! The metrics of the server.
 //!
-//! The telemetry package keeps the figures; this names them.
+//! The telemetry package stores the values; this module defines names and labels.
 
 use std::time::Duration;
 
@@ -10,33 +10,33 @@
 use notchwharf_telemetry::metrics::Histogram;
 use notchwharf_telemetry::metrics::Timing;
 
-/// What is timed.
+/// A histogram of durations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Timed {
-    /// Time to the first token.
+    /// Time to the first token of a response.
     FirstToken,
     /// Time between tokens.
     InterToken,
-    /// Time of a whole answer.
+    /// Time to the complete response.
     Whole,
 }
 
-/// What is counted, with one label.
+/// A counter with one label.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Counted {
     /// Requests by outcome.
     Requests,
     /// Retries and resumes by cause.
     Retries,
-    /// Batch items by what became of them.
+    /// Batch items by event.
     Items,
-    /// Calls of the log by outcome.
+    /// Calls to the log by outcome.
     Log,
-    /// Leases by what happened to them.
+    /// Leases by event.
     Leases,
     /// Orders to targets by outcome.
     Orders,
-    /// Gossip by direction, in bytes.
+    /// Bytes of gossip by direction.
     GossipBytes,
 }
 
@@ -59,7 +59,7 @@
     ),
 ];
 
-/// The figures that are timed, in the order of [`Timed`].
+/// The histograms, in the order of [`Timed`].
 const TIMINGS: [Timing; 3] = [
     timing("notchwharf_first_token_seconds"),
     timing("notchwharf_inter_token_seconds"),
@@ -99,7 +99,7 @@
         self.timing(what, class, tenant).record(took);
     }
 
-    /// Returns a histogram to record into again and again.
+    /// Returns a histogram, for recording repeatedly without a lookup.
     pub(crate) fn timing(&self, what: Timed, class: Class, tenant: &str) -> Histogram {
         let class = match class {
             Class::Online => "online",
@@ -109,7 +109,7 @@
         self.0.histogram(what as usize, &labels)
     }
 
-    /// Returns everything in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> String {
         self.0.text()
     }
--- a/crates/server/src/online.rs
+++ b/crates/server/src/online.rs
@@ -1,8 +1,8 @@
-//! Online requests: from admission to the whole answer or a typed failure.
+//! Online requests, from admission to the complete response or a typed failure.
 //!
-//! A chat completion may be run again: it has no effect but its answer. So a
-//! stream that breaks is resumed where it stopped, on the same target or
-//! another, within the retry budget and the deadline.
+//! A chat completion has no side effects and can be repeated. An interrupted stream is
+//! therefore resumed where it stopped, on the same target or another, within the retry
+//! budget and the deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,155 +21,174 @@
 use crate::context::Context;
 use crate::context::lock;
 use crate::context::post;
-use crate::dispatch::Online;
+use crate::dispatch::OnlineStreams;
 use crate::exchange;
-use crate::exchange::Broken;
+use crate::exchange::Observation;
 use crate::exchange::Progress;
-use crate::exchange::Question;
-use crate::exchange::Seen;
-use crate::exchange::Times;
+use crate::exchange::StreamError;
+use crate::exchange::TargetRequest;
+use crate::exchange::Timeouts;
 use crate::metrics::Counted;
 use crate::metrics::Timed;
 use crate::quarantine;
 use notchwharf_listen::Phase;
 
-/// Time after which a notice is repeated.
-const NOTICE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the stream count of a target is sent again.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An online request, checked.
+/// A validated online request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) tenant: String,
     pub(crate) route: Route,
-    pub(crate) question: Question,
+    pub(crate) target_request: TargetRequest,
     pub(crate) prefix: u64,
     pub(crate) deadline: Instant,
 }
 
-/// Why a request has no whole answer.
+/// Why a request has no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No target took it; it was not run.
+    /// No target accepted the request; it was not run.
     NotRun(Refusal),
-    /// A target refused it as malformed.
+    /// A target rejected the request as invalid, with this status.
     Rejected(u16),
-    /// The deadline has passed.
-    Deadline,
-    /// Targets crash under it; it was not run.
-    Crashing {
-        /// When it may be tried once more.
+    /// The deadline of the request has passed.
+    DeadlineExceeded,
+    /// Targets crashed while running such a request; it was not run.
+    Quarantined {
+        /// Time after which the request may be retried.
         retry_after: Duration,
     },
-    /// Targets broke under it, and no more tries are allowed.
-    Broken,
-    /// The caller has gone.
-    Gone,
+    /// Targets failed, and no further attempt is allowed.
+    TargetsFailed,
+    /// The caller has disconnected.
+    Disconnected,
 }
 
-/// Runs a request; the text goes to `grown` as it comes.
+/// Runs a request and sends its text to `output_tx` as it arrives.
+///
+/// # Errors
+///
+/// Returns a [`Failure`] if there is no complete response.
 pub(crate) async fn run(
     ctx: &Arc<Context>,
     mut req: Request,
-    grown: Option<mpsc::UnboundedSender<String>>,
+    output_tx: Option<mpsc::UnboundedSender<String>>,
 ) -> Result<Progress, Failure> {
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut progress = Progress::default();
     let mut tried = Vec::new();
-    let mut sent = false;
-    let mut pauses = budget::backoff(rand::random());
+    let mut was_sent = false;
+    let mut backoff = budget::backoff(rand::random());
     loop {
-        let trial = match quarantine::admit(ctx, &req).await {
-            Ok(trial) => trial,
-            Err(_) if sent => return Err(Failure::Broken),
+        let run_guard = match quarantine::admit(ctx, &req).await {
+            Ok(run_guard) => run_guard,
+            Err(_) if was_sent => return Err(Failure::TargetsFailed),
             Err(failure) => return Err(failure),
         };
         let chosen = choose(ctx, &mut req, &tried);
         let target = match chosen {
             Ok(target) => target,
-            Err(_) if sent && tried.len() > 1 => return Err(Failure::Broken),
-            Err(_) if sent => {
-                // The target that broke is the only one; it may be back.
+            Err(_) if was_sent && tried.len() > 1 => return Err(Failure::TargetsFailed),
+            Err(_) if was_sent => {
+                // The only target is the one that failed; it may have recovered.
                 tried.clear();
-                pause(&mut pauses, req.deadline).await?;
+                wait_backoff(&mut backoff, req.deadline).await?;
                 if !lock(&ctx.budget).withdraw() {
-                    return Err(Failure::Broken);
+                    return Err(Failure::TargetsFailed);
                 }
                 continue;
             }
             Err(refusal) => return Err(Failure::NotRun(refusal)),
         };
-        let life = quarantine::life_of(ctx, &target);
-        let began = Instant::now();
-        let res = run_on(ctx, &req, &target, &mut progress, grown.as_ref()).await;
-        let broken = match res {
+        let incarnation = quarantine::incarnation_of(ctx, &target);
+        let attempt_started_at = Instant::now();
+        let result = run_on(ctx, &req, &target, &mut progress, output_tx.as_ref()).await;
+        let err = match result {
             Ok(()) => {
                 lock(&ctx.budget).deposit();
-                quarantine::ended_well(ctx, &req);
-                let took = started.elapsed();
+                quarantine::record_success(ctx, &req);
+                let elapsed = started_at.elapsed();
                 ctx.metrics
-                    .time(Timed::Whole, Class::Online, &req.tenant, took);
+                    .time(Timed::Whole, Class::Online, &req.tenant, elapsed);
                 return Ok(progress);
             }
-            Err(broken) => broken,
+            Err(err) => err,
         };
-        if broken == Broken::Cut {
-            quarantine::broke_off(ctx, &req, &target, life, began.elapsed()).await;
+        if err == StreamError::Disconnected {
+            quarantine::check_crash(
+                ctx,
+                &req,
+                &target,
+                incarnation,
+                attempt_started_at.elapsed(),
+            )
+            .await;
         }
-        // The next run of a suspect begins when it is known how this one ended.
-        drop(trial);
-        sent |= !matches!(broken, Broken::NotSent | Broken::Refused(_));
-        ctx.metrics.count(Counted::Retries, broken.label());
-        match broken {
-            Broken::Deadline => return Err(Failure::Deadline),
-            Broken::Refused(status @ (400 | 413 | 422)) => return Err(Failure::Rejected(status)),
-            Broken::Refused(404 | 429 | 503) => {}
+        // Another run of a suspect request may start only once the outcome of this one
+        // is known.
+        drop(run_guard);
+        was_sent |= !matches!(err, StreamError::NotSent | StreamError::Rejected(_));
+        ctx.metrics.count(Counted::Retries, err.label());
+        match err {
+            StreamError::DeadlineExceeded => return Err(Failure::DeadlineExceeded),
+            StreamError::Rejected(status @ (400 | 413 | 422)) => {
+                return Err(Failure::Rejected(status));
+            }
+            StreamError::Rejected(404 | 429 | 503) => {}
             _ => ctx.table().record_failure(&target, Instant::now()),
         }
         tried.push(target);
-        if grown.as_ref().is_some_and(mpsc::UnboundedSender::is_closed) {
-            return Err(Failure::Gone);
+        if output_tx
+            .as_ref()
+            .is_some_and(mpsc::UnboundedSender::is_closed)
+        {
+            return Err(Failure::Disconnected);
         }
         if !lock(&ctx.budget).withdraw() {
-            return Err(Failure::Broken);
+            return Err(Failure::TargetsFailed);
         }
-        pause(&mut pauses, req.deadline).await?;
+        wait_backoff(&mut backoff, req.deadline).await?;
     }
 }
 
-async fn pause(
-    pauses: &mut impl Iterator<Item = Duration>,
+async fn wait_backoff(
+    backoff: &mut impl Iterator<Item = Duration>,
     deadline: Instant,
 ) -> Result<(), Failure> {
-    let pause = pauses.next().unwrap_or_default();
-    if Instant::now() + pause >= deadline {
-        return Err(Failure::Deadline);
+    let delay = backoff.next().unwrap_or_default();
+    if Instant::now() + delay >= deadline {
+        return Err(Failure::DeadlineExceeded);
     }
-    tokio::time::sleep(pause).await;
+    tokio::time::sleep(delay).await;
     Ok(())
 }
 
 fn choose(ctx: &Context, req: &mut Request, tried: &[String]) -> Result<String, Refusal> {
     let now = Instant::now();
     let mut table = ctx.table();
-    let first = table.choose(&req.route.fingerprint, req.prefix, tried, now);
-    let Err(Refusal::NoTarget { .. }) = first else {
-        req.question.fingerprint.clone_from(&req.route.fingerprint);
-        return first;
+    let choice = table.choose(&req.route.fingerprint, req.prefix, tried, now);
+    let Err(Refusal::NoTarget { .. }) = choice else {
+        req.target_request
+            .fingerprint
+            .clone_from(&req.route.fingerprint);
+        return choice;
     };
-    // A roll-out under way: until some target is ready with the new version,
-    // the one signed off before serves.
+    // During a roll-out, the previous version serves until a target is ready with the
+    // new one.
     let Some(previous) = req.route.previous.clone() else {
-        return first;
+        return choice;
     };
     if table.is_served(&req.route.fingerprint) {
-        return first;
+        return choice;
     }
     let chosen = table.choose(&previous, req.prefix, tried, now)?;
-    req.question.fingerprint = previous;
+    req.target_request.fingerprint = previous;
     Ok(chosen)
 }
 
-/// A stream counted at a target; the count ends when it is dropped.
+/// Counts a stream at a target until dropped.
 struct InFlight<'a> {
     ctx: &'a Context,
     target: &'a str,
@@ -178,7 +197,7 @@
 impl<'a> InFlight<'a> {
     fn begin(ctx: &'a Context, target: &'a str) -> Self {
         ctx.table().begin(target);
-        tell_holder(ctx, target);
+        report_stream_count(ctx, target);
         Self { ctx, target }
     }
 }
@@ -186,42 +205,42 @@
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         self.ctx.table().end(self.target);
-        tell_holder(self.ctx, self.target);
+        report_stream_count(self.ctx, self.target);
     }
 }
 
-/// Tells the target's holder how many online streams this host has there.
-fn tell_holder(ctx: &Context, target: &str) {
+/// Reports to the target's lease holder how many online streams this host has there.
+fn report_stream_count(ctx: &Context, target: &str) {
     let streams = ctx.table().own_streams(target);
     let host = ctx.host().clone();
     if let Some(dispatcher) = ctx.dispatcher(target) {
-        post(&dispatcher, Online { host, streams });
+        post(&dispatcher, OnlineStreams { host, streams });
         return;
     }
     let Some(addr) = holder_addr(ctx, target) else {
         return;
     };
-    let notice = Datagram::Online {
+    let update = Datagram::Online {
         host,
         target: target.to_owned(),
         streams,
     };
-    let bytes = datagram::encode(&notice);
+    let bytes = datagram::encode(&update);
     ctx.metrics
         .add(Counted::GossipBytes, "notices sent", bytes.len() as u64);
-    if let Some(socket) = ctx.notices.get() {
-        // Lost, the next notice makes up for it.
+    if let Some(socket) = ctx.update_socket.get() {
+        // A lost datagram is made up for by the next report.
         let _ = socket.try_send_to(&bytes, addr);
     }
 }
 
-/// Repeats the notices while streams are open, in case one was lost.
-pub(crate) async fn repeat_notices(ctx: Arc<Context>) {
-    let mut ticks = ctx.timer.subscribe(NOTICE_PERIOD);
+/// Repeats the stream counts while streams are open, in case a datagram was lost.
+pub(crate) async fn resend_stream_counts(ctx: Arc<Context>) {
+    let mut ticks = ctx.timer.subscribe(REPORT_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
-        let busy = ctx.table().targets_in_use();
-        for target in busy {
-            tell_holder(&ctx, &target);
+        let targets = ctx.table().targets_in_use();
+        for target in targets {
+            report_stream_count(&ctx, &target);
         }
     }
 }
@@ -238,51 +257,62 @@
     req: &Request,
     target: &str,
     progress: &mut Progress,
-    grown: Option<&mpsc::UnboundedSender<String>>,
-) -> Result<(), Broken> {
-    let url = ctx.target_url(target).ok_or(Broken::NotSent)?;
+    output_tx: Option<&mpsc::UnboundedSender<String>>,
+) -> Result<(), StreamError> {
+    let url = ctx.target_url(target).ok_or(StreamError::NotSent)?;
     let _in_flight = InFlight::begin(ctx, target);
-    let times = Times {
+    let timeouts = Timeouts {
         deadline: req.deadline,
         idle: ms(ctx.settings.online.idle_timeout_ms),
     };
-    let mut first = progress.tokens == 0;
-    let inter = ctx
+    let mut is_first = progress.tokens == 0;
+    let inter_token_histogram = ctx
         .metrics
         .timing(Timed::InterToken, Class::Online, &req.tenant);
-    let observe = |seen: Seen<'_>| match seen {
-        Seen::Load(load) => {
+    let observe = |observation: Observation<'_>| match observation {
+        Observation::Load(load) => {
             let streams = load.running + load.waiting;
             ctx.table()
                 .set_reported_streams(target, streams, Instant::now());
         }
-        Seen::Grown { text, tokens, took } => {
+        Observation::Output {
+            text,
+            tokens,
+            elapsed,
+        } => {
             let now = Instant::now();
-            if first {
-                ctx.table().record_first_token(target, took, now);
+            if is_first {
+                ctx.table().record_first_token(target, elapsed, now);
                 let metrics = &ctx.metrics;
-                metrics.time(Timed::FirstToken, Class::Online, &req.tenant, took);
+                metrics.time(Timed::FirstToken, Class::Online, &req.tenant, elapsed);
             } else {
-                let took = took / tokens.max(1);
-                ctx.table().record_inter_token(target, took, now);
-                inter.record(took);
+                let elapsed = elapsed / tokens.max(1);
+                ctx.table().record_inter_token(target, elapsed, now);
+                inter_token_histogram.record(elapsed);
             }
-            first = false;
-            if let Some(grown) = grown {
-                // A caller that has gone is noticed below.
-                let _ = grown.send(text.to_owned());
+            is_first = false;
+            if let Some(output_tx) = output_tx {
+                // A disconnected caller is detected by `closed` below.
+                let _ = output_tx.send(text.to_owned());
             }
         }
     };
-    let exchange = exchange::run(&ctx.targets, &url, &req.question, times, progress, observe);
-    let Some(grown) = grown else {
+    let exchange = exchange::run(
+        &ctx.targets,
+        &url,
+        &req.target_request,
+        timeouts,
+        progress,
+        observe,
+    );
+    let Some(output_tx) = output_tx else {
         return exchange.await;
     };
     tokio::select! {
-        res = exchange => res,
-        () = grown.closed() => {
-            let _ = ctx.targets.cancel(&url, &req.question.request_id).await;
-            Err(Broken::Cut)
+        result = exchange => result,
+        () = output_tx.closed() => {
+            let _ = ctx.targets.cancel(&url, &req.target_request.request_id).await;
+            Err(StreamError::Disconnected)
         }
     }
 }
--- a/crates/server/src/pacer.rs
+++ b/crates/server/src/pacer.rs
@@ -1,10 +1,10 @@
-//! The time between two appends of blobs by this host.
+//! Rate limit on the blobs that this host appends to the log.
 //!
-//! The whole fleet may append only several hundred times a second. Every shard
-//! and every host's blobs are one writer each, and each writer takes its equal
-//! part of the budget. Hosts agree on nothing for this: they see the same live
-//! hosts, or nearly so. Backing off when the log refuses was rejected as the
-//! only means, since it lets writers find the limit by running into it.
+//! The whole fleet may append only a few hundred records per second. Each shard and each
+//! host's blobs count as one writer, and every writer gets an equal share of that budget.
+//! This needs no coordination, because hosts see nearly the same set of live hosts.
+//! Rejected: backing off only when the log rejects appends, since writers then exceed the
+//! limit in order to find it.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use crate::context::lock;
 
-/// Spaces the appends of one writer.
+/// Spaces out the appends of one writer.
 #[derive(Debug, Default)]
 pub(crate) struct Pacer {
     state: Mutex<(Duration, Option<Instant>)>,
@@ -21,12 +21,12 @@
 
 impl Pacer {
     /// Sets the time between two appends.
-    pub(crate) fn set(&self, pace: Duration) {
-        lock(&self.state).0 = pace;
+    pub(crate) fn set(&self, interval: Duration) {
+        lock(&self.state).0 = interval;
     }
 
     /// Waits until this host may append.
-    pub(crate) async fn turn(&self) {
+    pub(crate) async fn wait(&self) {
         let at = {
             let mut state = lock(&self.state);
             let now = Instant::now();
@@ -38,8 +38,8 @@
     }
 }
 
-/// Returns the time between two appends of one of so many writers.
-pub(crate) fn pace(writers: usize, appends_per_s: u32) -> Duration {
+/// Returns the interval between two appends of one of `writers` writers.
+pub(crate) fn append_interval(writers: usize, appends_per_s: u32) -> Duration {
     let writers = u32::try_from(writers).unwrap_or(u32::MAX);
     Duration::from_secs(1) * writers / appends_per_s.max(1)
 }
--- a/crates/server/src/peers.rs
+++ b/crates/server/src/peers.rs
@@ -1,4 +1,4 @@
-//! What other hosts call on this one.
+//! The RPC server for other hosts.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 use crate::ledger;
 use notchwharf_listen::Phase;
 
-const BYTES_MAX: u32 = 64 << 20;
+const MESSAGE_BYTES_MAX: u32 = 64 << 20;
 const CONNECTIONS_MAX: u32 = 4_096;
 
 struct Peers {
@@ -40,11 +40,11 @@
         shard: ShardId,
         command: Command,
     ) -> RpcResult<Result<Reply, CommandError>> {
-        Ok(ledger::ask_here(&self.ctx, shard, command).await)
+        Ok(ledger::execute_locally(&self.ctx, shard, command).await)
     }
 
-    async fn take(&self, asked: ItemRequest) -> RpcResult<Vec<AssignedItem>> {
-        Ok(take_here(&self.ctx, &asked).await)
+    async fn take(&self, request: ItemRequest) -> RpcResult<Vec<AssignedItem>> {
+        Ok(assign_items(&self.ctx, &request).await)
     }
 
     async fn bundle(&self) -> RpcResult<Option<BundleCopy>> {
@@ -57,7 +57,7 @@
     }
 
     async fn host(&self) -> RpcResult<HostReport> {
-        Ok(report(&self.ctx))
+        Ok(host_report(&self.ctx))
     }
 
     async fn drain(&self) -> RpcResult<()> {
@@ -66,12 +66,12 @@
     }
 
     async fn keyed_call(&self, call: KeyedCall) -> RpcResult<Result<KeyedResponse, KeyedError>> {
-        Ok(keyed::run_here(&self.ctx, call).await)
+        Ok(keyed::run_locally(&self.ctx, call).await)
     }
 }
 
-/// Returns what this host reports of itself.
-pub(crate) fn report(ctx: &Context) -> HostReport {
+/// Returns the status report of this host.
+pub(crate) fn host_report(ctx: &Context) -> HostReport {
     let dispatchers = ctx.dispatchers.read();
     let dispatchers = dispatchers.unwrap_or_else(std::sync::PoisonError::into_inner);
     let mut targets: Vec<String> = dispatchers.keys().cloned().collect();
@@ -89,38 +89,42 @@
     }
 }
 
-/// Hands out items of any shard that this host holds.
-pub(crate) async fn take_here(ctx: &Arc<Context>, asked: &ItemRequest) -> Vec<AssignedItem> {
-    let mut handed = Vec::new();
+/// Assigns items of the shards that this host holds.
+pub(crate) async fn assign_items(ctx: &Arc<Context>, request: &ItemRequest) -> Vec<AssignedItem> {
+    let mut assigned = Vec::new();
     let mut shards = ctx.held_shards();
     if !shards.is_empty() {
-        // Begin elsewhere each time, so that no shard is always last.
+        // Starts at a random shard so that no shard is always last.
         let by = rand::random::<u32>() as usize % shards.len();
         shards.rotate_left(by);
     }
     for shard in shards {
-        let got = u32::try_from(handed.len()).unwrap_or(u32::MAX);
-        let Some(max) = asked.max.checked_sub(got).filter(|max| *max > 0) else {
+        let assigned_count = u32::try_from(assigned.len()).unwrap_or(u32::MAX);
+        let Some(max) = request
+            .max
+            .checked_sub(assigned_count)
+            .filter(|max| *max > 0)
+        else {
             break;
         };
         let take = Command::Take {
-            serving: asked.serving.clone(),
+            serving: request.serving.clone(),
             max,
-            host: asked.host.clone(),
-            incarnation: asked.incarnation,
+            host: request.host.clone(),
+            incarnation: request.incarnation,
         };
-        if let Ok(Reply::Work(works)) = ledger::ask_here(ctx, shard, take).await {
-            handed.extend(works.into_iter().map(|work| AssignedItem { shard, work }));
+        if let Ok(Reply::Work(works)) = ledger::execute_locally(ctx, shard, take).await {
+            assigned.extend(works.into_iter().map(|work| AssignedItem { shard, work }));
         }
     }
-    handed
+    assigned
 }
 
-/// Starts the server for other hosts.
+/// Starts the RPC server.
 pub(crate) fn serve(ctx: &Arc<Context>, listener: std::net::TcpListener) -> Option<ServerHandle> {
     let config = ServerConfig::builder()
-        .max_request_body_size(BYTES_MAX)
-        .max_response_body_size(BYTES_MAX)
+        .max_request_body_size(MESSAGE_BYTES_MAX)
+        .max_response_body_size(MESSAGE_BYTES_MAX)
         .max_connections(CONNECTIONS_MAX)
         .build();
     let server = Server::builder().set_config(config);
--- a/crates/server/src/quarantine.rs
+++ b/crates/server/src/quarantine.rs
@@ -1,12 +1,12 @@
-//! Keeps chat completions from targets that crash under them.
+//! Quarantines chat completions during which targets crash.
 //!
-//! The gate is the one that the gateway has. A target tells its incarnation, so whether
-//! one crashed when a stream was cut is asked of itself: it has another one now, or
-//! nobody answers. Items of jobs have attempts, counted in the ledger when a target is
-//! seen to fail, and run alone from the last one on; they do not pass this gate.
+//! The gate is shared with the gateway. Targets report their incarnation, so after an
+//! interrupted stream the target itself is queried: it has crashed if its incarnation has
+//! changed or if it cannot be connected to. Items of jobs do not pass this gate: the ledger
+//! counts their attempts when a target fails, and the last attempt runs exclusively.
 //!
-//! Not ideal: nothing is written to the log, so a host that starts knows only what the
-//! others tell, and if all are gone nobody knows.
+//! Limitation: nothing is written to the log, so a host that starts knows only what other
+//! hosts report, and after a restart of all hosts the quarantine is empty.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,39 +40,40 @@
 use crate::online::Failure;
 use crate::online::Request;
 
-/// When to come back if requests alike have run for all of the request's time.
+/// Retry time if requests with the same fingerprint ran until the request's deadline.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Starts to tell other hosts of suspects.
+/// Starts to report suspects to other hosts.
 pub(crate) fn start(ctx: &Arc<Context>) {
-    let told_by = Arc::clone(ctx);
-    let tell = move |told: &Report| send(&told_by, std::slice::from_ref(told), usize::MAX);
-    tokio::spawn(send_changes(Arc::clone(&ctx.suspects), tell));
-    tokio::spawn(retell(Arc::clone(ctx)));
+    let shared = Arc::clone(ctx);
+    let send_report =
+        move |report: &Report| send(&shared, std::slice::from_ref(report), usize::MAX);
+    tokio::spawn(send_changes(Arc::clone(&ctx.suspects), send_report));
+    tokio::spawn(send_periodic_reports(Arc::clone(ctx)));
 }
 
-/// Waits until a request may be sent to a target. That is asked before each try: news
-/// may come at any time.
+/// Waits until a request may be sent to a target. Call it before each attempt, since
+/// reports of crashes may arrive at any time.
 ///
 /// # Errors
 ///
-/// Returns why it must not; nothing ran by this try.
+/// Returns a failure if the request must not be sent; this attempt has not run.
 pub(crate) async fn admit(ctx: &Context, req: &Request) -> Result<Option<RunGuard>, Failure> {
     let gate = &ctx.suspects;
     if gate.is_empty() {
         return Ok(None);
     }
-    let admitted = gate.admit(fingerprint_of(req), req.deadline).await;
-    admitted.map_err(|kept_back| match kept_back {
-        Blocked::Refused { retry_after, .. } => Failure::Crashing { retry_after },
+    let admission = gate.admit(fingerprint_of(req), req.deadline).await;
+    admission.map_err(|blocked| match blocked {
+        Blocked::Refused { retry_after, .. } => Failure::Quarantined { retry_after },
         Blocked::Waiting => Failure::NotRun(Refusal::Full {
             retry_after: RETRY_AFTER,
         }),
     })
 }
 
-/// Notes that a request has ended well, so that it is no suspect any more.
-pub(crate) fn ended_well(ctx: &Context, req: &Request) {
+/// Records that a request completed, which clears it of suspicion.
+pub(crate) fn record_success(ctx: &Context, req: &Request) {
     let gate = &ctx.suspects;
     if gate.is_empty() {
         return;
@@ -84,67 +85,67 @@
     }
 }
 
-/// Returns what names the present life of a target, to all hosts alike.
-pub(crate) fn life_of(ctx: &Context, target: &str) -> Option<IncarnationId> {
+/// Returns the identifier of a target's current incarnation, equal on all hosts.
+pub(crate) fn incarnation_of(ctx: &Context, target: &str) -> Option<IncarnationId> {
     let incarnation = ctx.view().targets.get(target)?.incarnation;
-    Some(life(target, incarnation))
+    Some(incarnation_id(target, incarnation))
 }
 
-fn life(target: &str, incarnation: u64) -> IncarnationId {
+fn incarnation_id(target: &str, incarnation: u64) -> IncarnationId {
     xxh3_64(format!("{target}/{incarnation}").as_bytes())
 }
 
-/// Finds out whether a target that lived then crashed under a request.
-pub(crate) async fn broke_off(
+/// Records a crash if a target is no longer in the incarnation that ran a request.
+pub(crate) async fn check_crash(
     ctx: &Context,
     req: &Request,
     target: &str,
     before: Option<IncarnationId>,
-    ran: Duration,
+    run_time: Duration,
 ) {
     let at = Instant::now();
     let (Some(url), Some(before)) = (ctx.target_url(target), before) else {
         return;
     };
-    let is_gone = match ctx.targets.status(&url).await {
-        Ok(status) => life(target, status.incarnation) != before,
-        Err(report) => *report.current_context() == Call::NotSent,
+    let has_crashed = match ctx.targets.status(&url).await {
+        Ok(status) => incarnation_id(target, status.incarnation) != before,
+        Err(err) => *err.current_context() == Call::NotSent,
     };
-    if !is_gone {
+    if !has_crashed {
         return;
     }
     let fingerprint = fingerprint_of(req);
     let crash = Crash {
         incarnation: before,
-        run_time: ran,
+        run_time,
         detected_at: at,
     };
     let change = ctx.suspects.record_crash(fingerprint, crash);
     slog::info!(ctx.logger, "target crashed under a request"; "target" => target,
-        "id" => req.question.request_id.as_str(), "ran_ms" => ran.as_millis(),
+        "id" => req.target_request.request_id.as_str(), "ran_ms" => run_time.as_millis(),
         "crashes" => ctx.suspects.crash_count(fingerprint),
         "fingerprint" => fingerprint::to_hex(fingerprint));
-    note_blamed(ctx, fingerprint, change, ctx.host());
+    log_if_blamed(ctx, fingerprint, change, ctx.host());
 }
 
-/// Takes in what a host tells.
-pub(crate) fn take(ctx: &Context, told: &messages::Suspects) {
-    for suspect in &told.suspects {
-        let told_one = decode(suspect);
-        let change = ctx.suspects.merge_report(&told.host, &told_one);
-        note_blamed(ctx, told_one.fingerprint, change, &told.host);
+/// Merges the reports of another host.
+pub(crate) fn merge_reports(ctx: &Context, reports: &messages::Suspects) {
+    for suspect in &reports.suspects {
+        let report = decode(suspect);
+        let change = ctx.suspects.merge_report(&reports.host, &report);
+        log_if_blamed(ctx, report.fingerprint, change, &reports.host);
     }
 }
 
-fn note_blamed(ctx: &Context, fingerprint: Fingerprint, change: Change, by: &str) {
+fn log_if_blamed(ctx: &Context, fingerprint: Fingerprint, change: Change, reported_by: &str) {
     if let Change::Blamed { crashes } = change {
         slog::warn!(ctx.logger, "request blamed for crashes"; "crashes" => crashes,
-            "fingerprint" => fingerprint::to_hex(fingerprint), "told_by" => by);
+            "fingerprint" => fingerprint::to_hex(fingerprint), "told_by" => reported_by);
     }
 }
 
-/// Tells others again until the host stops.
-async fn retell(ctx: Arc<Context>) {
+/// Repeats reports to other hosts until this host stops.
+async fn send_periodic_reports(ctx: Arc<Context>) {
     let mut ticks = ctx.timer.subscribe(REPORT_INTERVAL);
     while ticks.recv().await.is_some() && ctx.phase() != Phase::Stopped {
         if !ctx.suspects.is_empty() {
@@ -153,9 +154,9 @@
     }
 }
 
-/// Sends what is known of suspects to so many other hosts, drawn at random.
-fn send(ctx: &Context, told: &[Report], hosts: usize) {
-    let Some(socket) = ctx.notices.get() else {
+/// Sends reports to at most `hosts` other hosts, selected at random.
+fn send(ctx: &Context, reports: &[Report], hosts: usize) {
+    let Some(socket) = ctx.update_socket.get() else {
         return;
     };
     let addrs: Vec<std::net::SocketAddr> = {
@@ -164,22 +165,22 @@
         let addrs = others.filter_map(|(_, host)| Some(host.addr.as_ref()?.gossip));
         addrs.sample(&mut rand::rng(), hosts)
     };
-    for suspects in encode(told) {
+    for suspects in encode(reports) {
         let host = ctx.host().clone();
-        let told = Datagram::Suspects(messages::Suspects { host, suspects });
-        let bytes = datagram::encode(&told);
+        let datagram = Datagram::Suspects(messages::Suspects { host, suspects });
+        let bytes = datagram::encode(&datagram);
         for addr in &addrs {
             ctx.metrics
                 .add(Counted::GossipBytes, "suspects sent", bytes.len() as u64);
-            // Lost, it is told again.
+            // Lost reports are made up for by the periodic ones.
             let _ = socket.try_send_to(&bytes, *addr);
         }
     }
 }
 
 fn fingerprint_of(req: &Request) -> Fingerprint {
-    // A map of JSON can always be written.
-    let body = serde_json::to_vec(&req.question.body).unwrap_or_default();
+    // Encoding a JSON map cannot fail.
+    let body = serde_json::to_vec(&req.target_request.body).unwrap_or_default();
     fingerprint::of(&Content {
         host: &req.route.fingerprint,
         method: "POST",
--- a/crates/server/src/results.rs
+++ b/crates/server/src/results.rs
@@ -1,4 +1,4 @@
-//! Results on their way into the log, many to an append.
+//! Writes results to the log, many in one append.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,29 +14,30 @@
 
 const BLOB_BYTES_MAX: usize = 512 << 10;
 const BLOB_PARTS_MAX: usize = 4_096;
-const PAUSE_MAX: Duration = Duration::from_secs(2);
+const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
 struct Part {
     bytes: Vec<u8>,
-    placed: oneshot::Sender<Place>,
+    location_tx: oneshot::Sender<Place>,
 }
 
-/// Writes results as blobs.
-pub(crate) struct Results {
+/// Writes results as parts of blobs.
+pub(crate) struct ResultWriter {
     parts: mpsc::UnboundedSender<Part>,
 }
 
-impl Results {
+impl ResultWriter {
     pub(crate) fn start(ctx: &Arc<Context>) -> Self {
         let (parts, receiver) = mpsc::unbounded_channel();
         tokio::spawn(run(Arc::clone(ctx), receiver));
         Self { parts }
     }
 
-    /// Writes a result, however long the log is down, and returns its place.
+    /// Writes a result, retrying for as long as the log is unavailable, and returns its
+    /// location.
     pub(crate) async fn write(&self, bytes: Vec<u8>) -> Option<Place> {
-        let (placed, rx) = oneshot::channel();
-        self.parts.send(Part { bytes, placed }).ok()?;
+        let (location_tx, rx) = oneshot::channel();
+        self.parts.send(Part { bytes, location_tx }).ok()?;
         rx.await.ok()
     }
 }
@@ -46,38 +47,39 @@
     while let Some(first) = receiver.recv().await {
         let mut batch = vec![first];
         let mut len = batch[0].bytes.len();
-        let until = tokio::time::Instant::now() + commit;
+        let flush_at = tokio::time::Instant::now() + commit;
         while len < BLOB_BYTES_MAX && batch.len() < BLOB_PARTS_MAX {
-            let Ok(Some(part)) = tokio::time::timeout_at(until, receiver.recv()).await else {
+            let Ok(Some(part)) = tokio::time::timeout_at(flush_at, receiver.recv()).await else {
                 break;
             };
             len += part.bytes.len();
             batch.push(part);
         }
-        write(&ctx, batch).await;
+        write_batch(&ctx, batch).await;
     }
 }
 
-async fn write(ctx: &Context, batch: Vec<Part>) {
-    let (parts, placed): (Vec<_>, Vec<_>) = batch.into_iter().map(|p| (p.bytes, p.placed)).unzip();
+async fn write_batch(ctx: &Context, batch: Vec<Part>) {
+    let (parts, location_tx): (Vec<_>, Vec<_>) =
+        batch.into_iter().map(|p| (p.bytes, p.location_tx)).unzip();
     let blob = Blob { parts };
-    let mut pause = ms(ctx.settings.ledger.commit_ms);
+    let mut backoff = ms(ctx.settings.ledger.commit_ms);
     let id = loop {
         match ctx.write_blob(&blob).await {
             Ok(id) => break id,
             Err(_) => ctx.metrics.count(Counted::Log, "append lost"),
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(PAUSE_MAX);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(BACKOFF_MAX);
     };
     ctx.metrics.count(Counted::Log, "append taken");
-    for (index, placed) in placed.into_iter().enumerate() {
-        let place = Place {
+    for (index, location_tx) in location_tx.into_iter().enumerate() {
+        let location = Place {
             offset: id.offset,
             stream: id.stream,
             index: u16::try_from(index).unwrap_or(u16::MAX),
         };
-        // Nobody waits any more if the item was given up.
-        let _ = placed.send(place);
+        // The receiver is dropped if the caller stopped waiting.
+        let _ = location_tx.send(location);
     }
 }
--- a/crates/server/src/shards.rs
+++ b/crates/server/src/shards.rs
@@ -1,8 +1,8 @@
-//! The shards that this host holds or stands by for.
+//! The shards that this host holds or is the standby for.
 //!
-//! For each one an actor wraps the owner's decisions, and a task reads the
-//! shard's stream and feeds it. A host stands by for a shard when it is among
-//! the two that should hold it, so that a takeover finds the stream read.
+//! Each has an actor around the decision logic of its owner and a task that reads the
+//! shard's stream. A host is the standby for a shard if it has the second-highest
+//! rendezvous weight, so that it has already read the stream when it takes over.
 
 mod read;
 
@@ -40,140 +40,140 @@
 use crate::pacer;
 use notchwharf_listen::Phase;
 
-/// Hosts that read a shard's stream: the holder and one that stands by.
-const READERS: usize = 2;
-const REBALANCE_PERIOD: Duration = Duration::from_millis(250);
-const OWNER_PERIOD: Duration = Duration::from_millis(10);
-const BACKLOG_PERIOD: Duration = Duration::from_millis(50);
+/// Hosts that read a shard's stream: the holder and a standby.
+const READERS_PER_SHARD: usize = 2;
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(250);
+const OWNER_TICK_INTERVAL: Duration = Duration::from_millis(10);
+const BACKLOG_INTERVAL: Duration = Duration::from_millis(50);
 const SNAPSHOT_PART_BYTES: usize = 512 << 10;
 
-/// A command for the owner.
-pub(crate) struct Ask {
+/// A command for the owner of the shard.
+pub(crate) struct ExecuteCommand {
     pub(crate) command: Command,
     pub(crate) tx: oneshot::Sender<Result<Reply, CommandError>>,
 }
 
-/// An input for the owner's decisions.
-struct Feed(Vec<Input>);
+/// Inputs for the owner's decision logic.
+struct Inputs(Vec<Input>);
 
-/// A host is dead or has started again.
+/// A host is down or has restarted.
 #[derive(Clone)]
-pub(crate) struct HostGone {
+pub(crate) struct HostFailed {
     pub(crate) host: String,
     pub(crate) incarnation: u64,
 }
 
-/// Whether this host should hold the shard.
-struct Preferred(bool);
+/// Sets whether this host should hold the shard.
+struct SetPreferred(bool);
 
-/// Asks for the servings that have items to hand out.
-struct Backlog;
+/// Returns the servings with items to assign.
+struct GetPendingServings;
 
-/// One shard at this host.
+/// The actor of one shard.
 pub(crate) struct ShardActor {
     shared: Arc<Shared>,
     shard: ShardId,
     owner: Owner,
-    held: Option<u64>,
+    last_held_epoch: Option<u64>,
     next_token: Token,
-    waiting: HashMap<Token, oneshot::Sender<Result<Reply, CommandError>>>,
+    pending_replies: HashMap<Token, oneshot::Sender<Result<Reply, CommandError>>>,
 }
 
 impl Actor for ShardActor {
     type Stop = ();
 
     async fn stopped(self) {
-        self.shared.note_held(self.shard, None);
+        self.shared.set_held_epoch(self.shard, None);
     }
 }
 
-impl Handler<Ask> for ShardActor {
+impl Handler<ExecuteCommand> for ShardActor {
     type Return = ();
 
-    async fn handle(&mut self, ask: Ask, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, execute: ExecuteCommand, ctx: &mut Context<Self>) {
         let token = self.next_token;
         self.next_token += 1;
-        self.waiting.insert(token, ask.tx);
-        let command = ask.command;
-        self.feed(Input::Command { token, command }, ctx);
+        self.pending_replies.insert(token, execute.tx);
+        let command = execute.command;
+        self.step(Input::Command { token, command }, ctx);
     }
 }
 
-impl Handler<Feed> for ShardActor {
+impl Handler<Inputs> for ShardActor {
     type Return = ();
 
-    async fn handle(&mut self, feed: Feed, ctx: &mut Context<Self>) {
-        for input in feed.0 {
-            self.feed(input, ctx);
+    async fn handle(&mut self, inputs: Inputs, ctx: &mut Context<Self>) {
+        for input in inputs.0 {
+            self.step(input, ctx);
         }
     }
 }
 
-impl Handler<HostGone> for ShardActor {
+impl Handler<HostFailed> for ShardActor {
     type Return = ();
 
-    async fn handle(&mut self, gone: HostGone, ctx: &mut Context<Self>) {
-        let HostGone { host, incarnation } = gone;
-        self.feed(Input::HostFailed { host, incarnation }, ctx);
+    async fn handle(&mut self, failed: HostFailed, ctx: &mut Context<Self>) {
+        let HostFailed { host, incarnation } = failed;
+        self.step(Input::HostFailed { host, incarnation }, ctx);
     }
 }
 
-impl Handler<Preferred> for ShardActor {
+impl Handler<SetPreferred> for ShardActor {
     type Return = ();
 
-    async fn handle(&mut self, preferred: Preferred, ctx: &mut Context<Self>) {
-        self.feed(Input::Preferred(preferred.0), ctx);
+    async fn handle(&mut self, preferred: SetPreferred, ctx: &mut Context<Self>) {
+        self.step(Input::Preferred(preferred.0), ctx);
     }
 }
 
-impl Handler<Backlog> for ShardActor {
+impl Handler<GetPendingServings> for ShardActor {
     type Return = Vec<String>;
 
-    async fn handle(&mut self, _: Backlog, _: &mut Context<Self>) -> Vec<String> {
+    async fn handle(&mut self, _: GetPendingServings, _: &mut Context<Self>) -> Vec<String> {
         self.owner.pending_servings()
     }
 }
 
 impl ShardActor {
-    fn feed(&mut self, input: Input, ctx: &mut Context<Self>) {
+    fn step(&mut self, input: Input, ctx: &mut Context<Self>) {
         let effects = self.owner.step(self.shared.now(), input);
         for effect in effects {
-            self.carry_out(effect, ctx);
+            self.apply_effect(effect, ctx);
         }
-        self.note_lease();
+        self.update_held_epoch();
     }
 
-    fn carry_out(&mut self, effect: Effect, ctx: &mut Context<Self>) {
+    fn apply_effect(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
         match effect {
             Effect::Append(record) => {
                 let shared = Arc::clone(&self.shared);
-                tokio::spawn(append(shared, self.shard, record, address));
+                tokio::spawn(append_record(shared, self.shard, record, address));
             }
             Effect::Reply { token, res } => {
-                if let Some(tx) = self.waiting.remove(&token) {
-                    // Nobody waits any more if the caller has gone.
+                if let Some(tx) = self.pending_replies.remove(&token) {
+                    // The receiver is dropped if the caller stopped waiting.
                     let _ = tx.send(res);
                 }
             }
             Effect::SaveSnapshot { bytes, upto } => {
                 let shared = Arc::clone(&self.shared);
-                tokio::spawn(save(shared, bytes, upto, address));
+                tokio::spawn(save_snapshot(shared, bytes, upto, address));
             }
             Effect::RewriteBlobs { job, blobs } => {
                 let shared = Arc::clone(&self.shared);
-                tokio::spawn(carry(shared, job, blobs, address));
+                tokio::spawn(rewrite_blobs(shared, job, blobs, address));
             }
         }
     }
 
-    fn note_lease(&mut self) {
+    fn update_held_epoch(&mut self) {
         let held = self.owner.held_epoch();
-        if held == self.held {
+        if held == self.last_held_epoch {
             return;
         }
-        self.held = held;
-        self.shared.note_held(self.shard, held);
+        self.last_held_epoch = held;
+        self.shared.set_held_epoch(self.shard, held);
         let event = if held.is_some() {
             "shard taken"
         } else {
@@ -184,13 +184,14 @@
         if let Some(epoch) = held {
             let host = self.shared.host().clone();
             let holder = fact::Holder { epoch, host };
-            self.shared.tell(fact::Fact::Shard(self.shard, holder));
+            self.shared
+                .publish_fact(fact::Fact::Shard(self.shard, holder));
         }
     }
 }
 
 impl Shared {
-    fn note_held(&self, shard: ShardId, epoch: Option<u64>) {
+    fn set_held_epoch(&self, shard: ShardId, epoch: Option<u64>) {
         let held = self.held_shards.write();
         let mut held = held.unwrap_or_else(PoisonError::into_inner);
         match epoch {
@@ -209,7 +210,7 @@
         shards
     }
 
-    /// Returns the shards that this host has an actor for.
+    /// Returns the shards that this host has an actor for, and the actors.
     pub(crate) fn shard_actors(&self) -> Vec<(ShardId, Address<ShardActor>)> {
         let shards = self.shards.read();
         let shards = shards.unwrap_or_else(PoisonError::into_inner);
@@ -217,7 +218,7 @@
     }
 }
 
-async fn append(
+async fn append_record(
     shared: Arc<Shared>,
     shard: ShardId,
     record: Record,
@@ -225,11 +226,11 @@
 ) {
     let name = shard_name(shard);
     if !shared.append(&name, record::encode(&record)).await {
-        feed_weak(&address, Input::AppendUnconfirmed).await;
+        send_input(&address, Input::AppendUnconfirmed).await;
     }
 }
 
-async fn save(
+async fn save_snapshot(
     shared: Arc<Shared>,
     bytes: Vec<u8>,
     upto: Offset,
@@ -243,15 +244,15 @@
         match shared.write_blob(&blob).await {
             Ok(id) => parts.push(id),
             Err(_) => {
-                feed_weak(&address, Input::BlobWriteFailed).await;
+                send_input(&address, Input::BlobWriteFailed).await;
                 return;
             }
         }
     }
-    feed_weak(&address, Input::SnapshotSaved { parts, upto }).await;
+    send_input(&address, Input::SnapshotSaved { parts, upto }).await;
 }
 
-async fn carry(
+async fn rewrite_blobs(
     shared: Arc<Shared>,
     job: String,
     blobs: Vec<BlobId>,
@@ -261,22 +262,22 @@
         Ok(blobs) => Input::BlobsRewritten { job, blobs },
         Err(_) => Input::BlobWriteFailed,
     };
-    feed_weak(&address, input).await;
+    send_input(&address, input).await;
 }
 
-async fn feed_weak(address: &Address<ShardActor, Weak>, input: Input) {
-    // An actor that has stopped needs no input.
-    let _ = address.send(Feed(vec![input])).await;
+async fn send_input(address: &Address<ShardActor, Weak>, input: Input) {
+    // A stopped actor needs no input.
+    let _ = address.send(Inputs(vec![input])).await;
 }
 
-/// Starts the task that keeps the right shards at this host.
+/// Starts the tasks that rebalance shards and report pending servings.
 pub(crate) fn start(shared: &Arc<Shared>) {
-    tokio::spawn(keep_balanced(Arc::clone(shared)));
-    tokio::spawn(tell_backlog(Arc::clone(shared)));
+    tokio::spawn(rebalance_loop(Arc::clone(shared)));
+    tokio::spawn(report_backlog(Arc::clone(shared)));
 }
 
-async fn keep_balanced(shared: Arc<Shared>) {
-    let mut ticks = shared.timer.subscribe(REBALANCE_PERIOD);
+async fn rebalance_loop(shared: Arc<Shared>) {
+    let mut ticks = shared.timer.subscribe(REBALANCE_INTERVAL);
     while ticks.recv().await.is_some() {
         if shared.phase() == Phase::Stopped {
             break;
@@ -288,40 +289,41 @@
 }
 
 fn rebalance(shared: &Arc<Shared>) {
-    let wanted = wanted(shared);
-    let pace = pace(shared);
-    shared.pacer.set(pace);
+    let assigned = assigned_shards(shared);
+    let interval = append_interval(shared);
+    shared.pacer.set(interval);
     let held = shared.held_shards();
     let shards = shared.shards.write();
     let mut shards = shards.unwrap_or_else(PoisonError::into_inner);
-    shards
-        .retain(|id, actor| actor.is_connected() && (wanted.contains_key(id) || held.contains(id)));
-    for (id, first) in &wanted {
+    shards.retain(|id, actor| {
+        actor.is_connected() && (assigned.contains_key(id) || held.contains(id))
+    });
+    for (id, is_preferred) in &assigned {
         let actor = shards.entry(*id).or_insert_with(|| spawn(shared, *id));
-        post(actor, Preferred(*first));
+        post(actor, SetPreferred(*is_preferred));
     }
     for (id, actor) in shards.iter() {
-        post(actor, Feed(vec![Input::AppendInterval(pace)]));
-        if !wanted.contains_key(id) {
-            post(actor, Preferred(false));
+        post(actor, Inputs(vec![Input::AppendInterval(interval)]));
+        if !assigned.contains_key(id) {
+            post(actor, SetPreferred(false));
         }
     }
 }
 
-fn pace(shared: &Shared) -> Duration {
+fn append_interval(shared: &Shared) -> Duration {
     let hosts = shared.view().live_hosts().len();
     let ledger = &shared.settings.ledger;
-    pacer::pace(ledger.shards as usize + hosts, ledger.append_budget_per_s)
+    pacer::append_interval(ledger.shards as usize + hosts, ledger.append_budget_per_s)
 }
 
-/// Returns the shards to read, and whether this host should hold each.
-fn wanted(shared: &Shared) -> HashMap<ShardId, bool> {
+/// Returns the shards that this host reads and whether it should hold each.
+fn assigned_shards(shared: &Shared) -> HashMap<ShardId, bool> {
     let view = shared.view();
     let live = view.live_hosts();
     let host = shared.host().as_str();
     let rank = |shard: ShardId| {
-        let best = rendezvous::top_ranked(&shard_name(shard), &live, READERS);
-        best.iter().position(|h| *h == host)
+        let ranked = rendezvous::top_ranked(&shard_name(shard), &live, READERS_PER_SHARD);
+        ranked.iter().position(|h| *h == host)
     };
     (0..shared.settings.ledger.shards)
         .filter_map(|shard| Some((shard, rank(shard)? == 0)))
@@ -333,9 +335,9 @@
         shared: Arc::clone(shared),
         shard,
         owner: Owner::new(owner_config(shared), shared.now()),
-        held: None,
+        last_held_epoch: None,
         next_token: 0,
-        waiting: HashMap::new(),
+        pending_replies: HashMap::new(),
     };
     let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
     tokio::spawn(read::read_stream(
@@ -343,7 +345,7 @@
         shard,
         address.downgrade(),
     ));
-    tokio::spawn(tick(Arc::clone(shared), address.downgrade()));
+    tokio::spawn(send_ticks(Arc::clone(shared), address.downgrade()));
     address
 }
 
@@ -362,58 +364,58 @@
     }
 }
 
-async fn tick(shared: Arc<Shared>, address: Address<ShardActor, Weak>) {
-    let mut ticks = shared.timer.subscribe(OWNER_PERIOD);
+async fn send_ticks(shared: Arc<Shared>, address: Address<ShardActor, Weak>) {
+    let mut ticks = shared.timer.subscribe(OWNER_TICK_INTERVAL);
     while ticks.recv().await.is_some() {
-        if address.send(Feed(vec![Input::Tick])).await.is_err() {
+        if address.send(Inputs(vec![Input::Tick])).await.is_err() {
             return;
         }
     }
 }
 
-/// A state read from a snapshot, for the actor to go on from.
-struct Restored(Shard);
+/// The state decoded from a snapshot, from which the actor continues.
+struct SnapshotLoaded(Shard);
 
-impl Handler<Restored> for ShardActor {
+impl Handler<SnapshotLoaded> for ShardActor {
     type Return = ();
 
-    async fn handle(&mut self, restored: Restored, _: &mut Context<Self>) {
+    async fn handle(&mut self, loaded: SnapshotLoaded, _: &mut Context<Self>) {
         let now = self.shared.now();
-        self.owner = Owner::resume(owner_config(&self.shared), restored.0, now);
+        self.owner = Owner::resume(owner_config(&self.shared), loaded.0, now);
     }
 }
 
-/// Tells the actor to stop.
-struct Quit;
+/// Stops the actor.
+struct Shutdown;
 
-impl Handler<Quit> for ShardActor {
+impl Handler<Shutdown> for ShardActor {
     type Return = ();
 
-    async fn handle(&mut self, _: Quit, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, _: Shutdown, ctx: &mut Context<Self>) {
         ctx.stop_all();
     }
 }
 
-/// Tells the fleet which servings this host has items for, on changes.
-async fn tell_backlog(shared: Arc<Shared>) {
-    let mut ticks = shared.timer.subscribe(BACKLOG_PERIOD);
-    let mut told = Vec::new();
+/// Publishes the servings that this host has items for when they change.
+async fn report_backlog(shared: Arc<Shared>) {
+    let mut ticks = shared.timer.subscribe(BACKLOG_INTERVAL);
+    let mut reported = Vec::new();
     let mut seq = 0;
     while ticks.recv().await.is_some() && shared.phase() != Phase::Stopped {
         let mut servings = Vec::new();
         for (_, actor) in shared.shard_actors() {
-            servings.extend(actor.send(Backlog).await.unwrap_or_default());
+            servings.extend(actor.send(GetPendingServings).await.unwrap_or_default());
         }
         servings.sort();
         servings.dedup();
-        if servings == told {
+        if servings == reported {
             continue;
         }
-        told.clone_from(&servings);
+        reported.clone_from(&servings);
         seq += 1;
         let order = (shared.incarnation, seq);
         let backlog = fact::Backlog { order, servings };
         let host = shared.host().clone();
-        shared.tell(fact::Fact::Backlog(host, backlog));
+        shared.publish_fact(fact::Fact::Backlog(host, backlog));
     }
 }
--- a/crates/server/src/shards/read.rs
+++ b/crates/server/src/shards/read.rs
@@ -1,4 +1,4 @@
-//! Reading of a shard's stream, from the newest snapshot on.
+//! Reads a shard's stream from the newest snapshot on.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 use xtra::prelude::*;
 use xtra::refcount::Weak;
 
-use super::Feed;
-use super::Quit;
-use super::Restored;
+use super::Inputs;
 use super::ShardActor;
+use super::Shutdown;
+use super::SnapshotLoaded;
 use crate::context::Context as Shared;
 use crate::context::LOG_WAIT;
 use crate::ledger::shard_name;
 use crate::metrics::Counted;
 
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 const PAGE_RECORDS: u32 = 1_000;
 
-/// Feeds the actor with its shard's stream, from the newest snapshot on.
+/// Sends the records of a shard's stream to its actor, from the newest snapshot on.
 pub(super) async fn read_stream(
     shared: Arc<Shared>,
     shard: ShardId,
@@ -34,9 +34,9 @@
 ) {
     let name = shard_name(shard);
     let mut next = loop {
-        match begin(&shared, &name, &address).await {
+        match load_initial_state(&shared, &name, &address).await {
             Ok(next) => break next,
-            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
         if !address.is_connected() {
             return;
@@ -47,15 +47,15 @@
         let page = match shared.log.read(&name, next, PAGE_RECORDS, wait).await {
             Ok(page) => page,
             Err(Read::Expired { .. }) => {
-                // This reader fell behind the log's retention; the actor is
-                // started afresh from a snapshot.
+                // This reader fell behind the log's retention. The actor is stopped and a new
+                // one starts from a snapshot.
                 shared.metrics.count(Counted::Log, "reader expired");
-                let _ = address.send(Quit).await;
+                let _ = address.send(Shutdown).await;
                 return;
             }
             Err(_) => {
                 shared.metrics.count(Counted::Log, "read failed");
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 if !address.is_connected() {
                     return;
                 }
@@ -67,7 +67,7 @@
             let bytes = stored.bytes().unwrap_or_default();
             let offset = stored.offset;
             next = offset + 1;
-            // A record that is not ours is skipped by every reader alike.
+            // Every reader skips records that it cannot decode, so all reach the same state.
             let record = record::decode(&bytes).unwrap_or_else(|_| Record::empty());
             inputs.push(Input::RecordRead { offset, record });
         }
@@ -75,14 +75,14 @@
             inputs.push(Input::CaughtUp);
             wait = LOG_WAIT;
         }
-        if address.send(Feed(inputs)).await.is_err() {
+        if address.send(Inputs(inputs)).await.is_err() {
             return;
         }
     }
 }
 
 /// Loads the newest snapshot and returns the offset to read from.
-async fn begin(
+async fn load_initial_state(
     shared: &Shared,
     name: &str,
     address: &Address<ShardActor, Weak>,
@@ -94,7 +94,7 @@
     match load_snapshot(shared, name, bounds.next - 1).await {
         Ok(Some(state)) => {
             let next = state.next_offset();
-            let _ = address.send(Restored(state)).await;
+            let _ = address.send(SnapshotLoaded(state)).await;
             Ok(next)
         }
         Ok(None) => {
--- a/crates/server/tests/batch.rs
+++ b/crates/server/tests/batch.rs
@@ -1,4 +1,5 @@
-//! Batch jobs through a fleet: accepted whole, done exactly once, readable.
+//! Batch jobs in a fleet: accepted as a whole, each item recorded exactly once, results
+//! readable from every host.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use std::collections::BTreeMap;
@@ -24,7 +25,7 @@
     (at("total"), at("completed"), at("failed"))
 }
 
-/// Checks that a job's results are whole: each item once, with its own text.
+/// Checks that a job's results contain each item once, with its own text.
 async fn check_results(fleet: &Fleet, job: &Value, name: &str, items: usize) {
     let output = job["output_file_id"].as_str().unwrap();
     let lines = fleet.lines(SCHOOL_KEY, output).await;
@@ -33,7 +34,7 @@
         .map(|l| (l["custom_id"].as_str().unwrap(), l))
         .collect();
     assert_eq!((lines.len(), by_id.len()), (items, items));
-    let held = Held {
+    let model_version = Held {
         model: "tutor".into(),
         adapter: None,
         version: "1".into(),
@@ -41,12 +42,15 @@
     for i in 0..items {
         let line = by_id[format!("{name}-{i}").as_str()];
         let text = &line["response"]["body"]["choices"][0]["message"]["content"];
-        assert_eq!(*text, expected_text(&format!("{name} {i}"), &held, TOKENS));
+        assert_eq!(
+            *text,
+            expected_text(&format!("{name} {i}"), &model_version, TOKENS)
+        );
     }
 }
 
 #[tokio::test]
-async fn any_host_answers_for_any_job() {
+async fn any_host_serves_any_job() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
         .submit("a1", SCHOOL_KEY, &fleet::lot("n", 60, TOKENS))
@@ -56,32 +60,35 @@
     check_results(&fleet, &ended, "n", 60).await;
     for host in ["a1", "a2", "a3"] {
         let url = format!("{}/v1/batches/{job}", fleet.url(host));
-        let seen = fleet.get(SCHOOL_KEY, &url).await.unwrap();
-        assert_eq!(seen.json(), ended);
+        let response = fleet.get(SCHOOL_KEY, &url).await.unwrap();
+        assert_eq!(response.json(), ended);
         let other = fleet.get(PERMITS_KEY, &url).await.unwrap();
-        assert_eq!(other.status, 404, "Another tenant does not see it.");
+        assert_eq!(
+            other.status, 404,
+            "The job is not visible to another tenant."
+        );
     }
 }
 
 #[tokio::test]
-async fn a_resent_job_is_the_same_job() {
+async fn repeated_submission_yields_same_job() {
     let fleet = Fleet::ready(Config::default()).await;
     let lot = fleet::lot("n", 5, TOKENS);
     let first = fleet.submit("a1", SCHOOL_KEY, &lot).await;
-    let again = fleet.submit("a2", SCHOOL_KEY, &lot).await;
-    assert_eq!(first, again);
+    let repeated = fleet.submit("a2", SCHOOL_KEY, &lot).await;
+    assert_eq!(first, repeated);
     let other = fleet.submit("a2", PERMITS_KEY, &lot).await;
-    assert_ne!(first, other, "Another tenant's job is its own.");
+    assert_ne!(first, other, "Another tenant gets a job of its own.");
     fleet.job_ended(SCHOOL_KEY, &first).await;
     let after = fleet.submit("a3", SCHOOL_KEY, &lot).await;
     assert_eq!(first, after);
 }
 
 #[tokio::test]
-async fn a_key_used_with_another_job_is_refused() {
+async fn reused_key_with_different_job_is_rejected() {
     let fleet = Fleet::ready(Config::default()).await;
     let url = format!("{}/v1/batches", fleet.url("a1"));
-    let mut seen = Vec::new();
+    let mut responses = Vec::new();
     for name in ["n", "n", "m"] {
         let file = fleet
             .upload("a1", SCHOOL_KEY, &fleet::lot(name, 3, TOKENS))
@@ -91,13 +98,17 @@
         let auth = format!("Bearer {SCHOOL_KEY}");
         let headers = [("authorization", auth.as_str()), ("idempotency-key", "k1")];
         let sent = fleet.send(Method::POST, &url, &headers, body.to_string());
-        seen.push(sent.await.unwrap());
+        responses.push(sent.await.unwrap());
     }
     assert_eq!(
-        (seen[0].status, seen[1].status, seen[2].status),
+        (
+            responses[0].status,
+            responses[1].status,
+            responses[2].status
+        ),
         (200, 200, 409)
     );
-    assert_eq!(seen[0].json()["id"], seen[1].json()["id"]);
+    assert_eq!(responses[0].json()["id"], responses[1].json()["id"]);
 }
 
 fn line(id: &str, model: &str) -> String {
@@ -108,33 +119,36 @@
 
 #[rstest]
 #[case::not_json(format!("{}\n{{", line("a", "hints")), 2, "not valid JSON")]
-#[case::same_id(format!("{0}\n\n{0}", line("a", "hints")), 3, "stands twice")]
+#[case::same_id(format!("{0}\n\n{0}", line("a", "hints")), 3, "is used more than once")]
 #[case::unknown_model(line("a", "other"), 1, "no model `other`")]
 #[case::no_id(line("", "hints"), 1, "custom_id")]
 #[case::no_body(r#"{"custom_id":"a","method":"POST","url":"/v1/chat/completions"}"#.into(), 1, "body")]
 #[case::other_url(line("a", "hints").replace("chat/", "text/"), 1, "url")]
 #[case::other_method(line("a", "hints").replace("POST", "PUT"), 1, "method")]
 #[tokio::test]
-async fn a_bad_line_is_named_and_nothing_is_accepted(
+async fn invalid_line_is_reported_and_file_rejected(
     #[case] lot: String,
     #[case] number: u32,
-    #[case] why: &str,
+    #[case] reason: &str,
 ) {
     let fleet = Fleet::ready(Config::default()).await;
-    let seen = fleet.upload("a1", SCHOOL_KEY, &lot).await;
-    assert_eq!(seen.status, 400, "{}", seen.body);
-    let message = seen.json()["error"]["message"].as_str().unwrap().to_owned();
+    let response = fleet.upload("a1", SCHOOL_KEY, &lot).await;
+    assert_eq!(response.status, 400, "{}", response.body);
+    let message = response.json()["error"]["message"]
+        .as_str()
+        .unwrap()
+        .to_owned();
     assert!(
         message.starts_with(&format!("Line {number}: ")),
         "{message}"
     );
-    assert!(message.contains(why), "{message}");
+    assert!(message.contains(reason), "{message}");
     let jobs = fleet.create_job("a1", SCHOOL_KEY, &json!("file-0")).await;
     assert_eq!(jobs.status, 404);
 }
 
 #[tokio::test]
-async fn an_empty_or_too_long_lot_is_refused() {
+async fn empty_or_oversized_input_file_is_rejected() {
     let config = Config {
         settings: json!({"limits": {"lot_items_max": 3}}),
         ..Config::default()
@@ -146,7 +160,7 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_job_stops() {
+async fn cancelled_job_stops() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
         .submit("a1", SCHOOL_KEY, &fleet::lot("n", 2_000, 64))
@@ -157,25 +171,29 @@
     let url = format!("{}/v1/batches/{job}/cancel", fleet.url("a3"));
     let auth = format!("Bearer {SCHOOL_KEY}");
     let headers = [("authorization", auth.as_str())];
-    // On a busy machine a lease may lapse for a moment. The owner then refuses,
-    // and a caller that is told "not run" asks again, as it should.
-    let seen = fleet::insist(|| async {
-        let seen = fleet.send(Method::POST, &url, &headers, "").await;
-        seen.unwrap()
+    // On a busy machine the owner's lease may expire briefly. It then rejects the request
+    // as "not run", and the caller retries.
+    let response = fleet::insist(|| async {
+        let response = fleet.send(Method::POST, &url, &headers, "").await;
+        response.unwrap()
     })
     .await;
-    assert_eq!(seen.json()["status"], "cancelled", "{}", seen.body);
-    let counted = counts(&fleet.job(SCHOOL_KEY, &job).await);
+    assert_eq!(response.json()["status"], "cancelled", "{}", response.body);
+    let counts_at_cancel = counts(&fleet.job(SCHOOL_KEY, &job).await);
     fleet
         .until(|fleet| async { fleet.engines.values().all(|e| e.streams() == 0) })
         .await;
     let after = fleet.job(SCHOOL_KEY, &job).await;
-    assert_eq!(counts(&after), counted, "Nothing is done after the cancel.");
-    assert!(counted.1 < 2_000);
+    assert_eq!(
+        counts(&after),
+        counts_at_cancel,
+        "No item completes after the cancellation."
+    );
+    assert!(counts_at_cancel.1 < 2_000);
 }
 
 #[tokio::test]
-async fn an_item_that_can_never_be_done_is_listed_with_its_reason() {
+async fn permanently_failed_item_is_listed_with_reason() {
     let fleet = Fleet::ready(Config::default()).await;
     let mut lot = fleet::lot("n", 20, TOKENS);
     lot.push_str(
@@ -192,7 +210,7 @@
 }
 
 #[tokio::test]
-async fn an_item_that_kills_its_target_does_not_take_the_lot_along() {
+async fn item_that_crashes_targets_does_not_fail_the_job() {
     let fleet = Fleet::ready(Config::default()).await;
     let mut lot = fleet::lot("n", 30, TOKENS);
     lot.push_str(&line("bad", "hints").replace("\"content\":\"bad\"", "\"content\":\"[poison]\""));
@@ -209,7 +227,7 @@
 #[case::once(1)]
 #[case::twice(2)]
 #[tokio::test]
-async fn nothing_is_lost_or_doubled_when_hosts_die(#[case] kills: usize) {
+async fn no_item_is_lost_or_duplicated_when_hosts_crash(#[case] crashes: usize) {
     let config = Config {
         hosts: 4,
         ..Config::default()
@@ -218,8 +236,8 @@
     let job = fleet
         .submit("a4", SCHOOL_KEY, &fleet::lot("n", 400, TOKENS))
         .await;
-    for victim in ["a4", "a2"].into_iter().take(kills) {
-        fleet.kill_host(victim);
+    for host in ["a4", "a2"].into_iter().take(crashes) {
+        fleet.kill_host(host);
         fleet
             .until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
             .await;
@@ -230,9 +248,9 @@
 }
 
 #[tokio::test]
-async fn a_new_owner_hands_out_nothing_that_hosts_still_run() {
+async fn new_owner_does_not_reassign_running_items() {
     let mut fleet = Fleet::ready(Config::default()).await;
-    // Items that outlast the takeover, and enough for every target.
+    // The items run longer than the takeover takes, and there are enough for every target.
     let job = fleet
         .submit("a1", SCHOOL_KEY, &fleet::lot("n", 80, 300))
         .await;
@@ -252,12 +270,12 @@
         .iter()
         .find(|h| holds(h))
         .unwrap();
-    let lost = owner["report"]["targets"].to_string();
-    let kept = |name: &str| !lost.contains(&format!("{name:?}"));
+    let lost_targets = owner["report"]["targets"].to_string();
+    let is_retained = |name: &str| !lost_targets.contains(&format!("{name:?}"));
     let running: Vec<String> = fleet
         .engines
         .iter()
-        .filter(|(name, _)| kept(name))
+        .filter(|(name, _)| is_retained(name))
         .flat_map(|(_, engine)| engine.runs().into_keys())
         .collect();
     fleet.kill_host(owner["host"].as_str().unwrap());
@@ -270,17 +288,17 @@
             .filter_map(|e| e.runs().get(prompt).copied());
         runs.sum::<u32>()
     };
-    let again: Vec<&String> = running.iter().filter(|p| runs(p) > 1).collect();
+    let repeated: Vec<&String> = running.iter().filter(|p| runs(p) > 1).collect();
     assert!(
-        again.is_empty(),
-        "{} of {} ran again",
-        again.len(),
+        repeated.is_empty(),
+        "{} of {} items ran more than once",
+        repeated.len(),
         running.len()
     );
 }
 
 #[tokio::test]
-async fn a_job_ends_after_the_log_was_down_and_lost_answers() {
+async fn job_completes_after_log_outage_and_lost_responses() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
         .submit("a1", SCHOOL_KEY, &fleet::lot("n", 300, TOKENS))
@@ -289,15 +307,18 @@
         log_down: true,
         ..Faults::default()
     });
-    let refused = fleet
+    let rejected = fleet
         .upload("a2", SCHOOL_KEY, &fleet::lot("m", 3, TOKENS))
         .await;
-    assert_eq!(refused.status, 503, "{}", refused.body);
-    assert_eq!(refused.json()["error"]["outcome"], "not-run");
-    assert!(refused.retry_after_s.is_some());
+    assert_eq!(rejected.status, 503, "{}", rejected.body);
+    assert_eq!(rejected.json()["error"]["outcome"], "not-run");
+    assert!(rejected.retry_after_s.is_some());
     let online = json!({"model": "hints", "messages": [{"role": "user", "content": "hi"}]});
     let online = fleet.chat("a2", SCHOOL_KEY, &online).await.unwrap();
-    assert_eq!(online.status, 200, "Online requests go on from memory.");
+    assert_eq!(
+        online.status, 200,
+        "Online requests do not depend on the log."
+    );
     fleet.platform.set_faults(Faults {
         lose_answers: 20,
         ..Faults::default()
--- a/crates/server/tests/crashes.rs
+++ b/crates/server/tests/crashes.rs
@@ -1,8 +1,8 @@
-//! Chat completions under which targets crash.
+//! Quarantine of chat completions that crash targets.
 //!
-//! Found by looking for the cause of an incident on the platform's side: a completion may
-//! run again, so one under which targets crash was tried at target after target within
-//! one call, and anew with each call, since nothing of it was remembered.
+//! Guards against a fault seen in an incident: since completions are retried, one that
+//! crashes targets was sent to one target after another within a call, and again with each
+//! further call, because no crash was recorded.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use notchwharf_standins::engine::POISON;
@@ -12,28 +12,33 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Targets that may crash under one request, and some while hosts tell one another.
+/// Crashes that one request may cause, including some until the reports reach all hosts.
 const CRASHES_MAX: u64 = 6;
-/// How often the request comes.
-const CALLS: usize = 10;
+/// Number of times the request is sent.
+const CALL_COUNT: usize = 10;
 
-fn ask(prompt: &str) -> Value {
+fn chat_request(prompt: &str) -> Value {
     json!({"model": "hints", "max_tokens": 8, "stream": false,
         "messages": [{"role": "user", "content": prompt}]})
 }
 
 #[tokio::test]
-async fn a_completion_under_which_targets_crash_is_soon_refused_at_all_hosts() {
+async fn completion_that_crashes_targets_is_quarantined_on_all_hosts() {
     let config = Config {
         hosts: 3,
         engines: 4,
         ..Config::default()
     };
     let fleet = Fleet::ready(config).await;
-    let deadly = ask(&format!("Which note follows C? {POISON}"));
+    let crashing_request = chat_request(&format!("Which note follows C? {POISON}"));
     let mut last = None;
-    for host in fleet.hosts.keys().cycle().take(CALLS) {
-        last = Some(fleet.chat(host, SCHOOL_KEY, &deadly).await.unwrap());
+    for host in fleet.hosts.keys().cycle().take(CALL_COUNT) {
+        last = Some(
+            fleet
+                .chat(host, SCHOOL_KEY, &crashing_request)
+                .await
+                .unwrap(),
+        );
     }
     let crashes: u64 = fleet.engines.values().map(|engine| engine.crashes()).sum();
     assert!(crashes <= CRASHES_MAX, "{crashes} targets crashed");
@@ -41,9 +46,16 @@
     assert_eq!(last.status, 503, "{}", last.body);
     assert_eq!(last.json()["error"]["code"], "targets_crash");
     assert_eq!(last.json()["error"]["outcome"], "not-run");
-    assert!(last.retry_after_s.unwrap() > 60, "not at once");
+    assert!(
+        last.retry_after_s.unwrap() > 60,
+        "The retry time is too short."
+    );
     let healthy = fleet
-        .chat(fleet.any_host(), SCHOOL_KEY, &ask("Which note follows D?"))
+        .chat(
+            fleet.any_host(),
+            SCHOOL_KEY,
+            &chat_request("Which note follows D?"),
+        )
         .await;
     assert_eq!(healthy.unwrap().status, 200);
 }
--- a/crates/server/tests/online.rs
+++ b/crates/server/tests/online.rs
@@ -1,4 +1,4 @@
-//! Online requests through a fleet: whole answers, refusals that are true.
+//! Online requests in a fleet: complete responses and correctly reported outcomes.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use hyper::Method;
@@ -17,7 +17,7 @@
 const PROMPT: &str = "Which note follows C?";
 const TOKENS: u32 = 12;
 
-fn held(version: &str) -> Held {
+fn model_version(version: &str) -> Held {
     Held {
         model: "tutor".into(),
         adapter: None,
@@ -25,7 +25,7 @@
     }
 }
 
-fn ask(stream: bool) -> Value {
+fn chat_request(stream: bool) -> Value {
     json!({"model": "hints", "max_tokens": TOKENS, "stream": stream,
         "messages": [{"role": "user", "content": PROMPT}]})
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns the text of a streamed answer, if it has its end mark.
+/// Returns the text of a streamed response if it has its end marker.
 fn streamed_text(body: &str) -> Option<String> {
     let events: Vec<&str> = body
         .lines()
@@ -64,31 +64,34 @@
 #[case::crossed(engine::Faults { crossed: 1, ..Default::default() })]
 #[case::doubled(engine::Faults { doubled: 1, ..Default::default() })]
 #[tokio::test]
-async fn a_caller_gets_the_whole_answer_to_its_own_request(
+async fn caller_gets_complete_response_to_own_request(
     #[case] faults: engine::Faults,
     #[values(false, true)] stream: bool,
 ) {
     let fleet = Fleet::ready(one_engine()).await;
     fleet.engines["t1"].set_faults(faults);
-    let seen = fleet.chat("a1", SCHOOL_KEY, &ask(stream)).await.unwrap();
-    assert_eq!(seen.status, 200, "{}", seen.body);
+    let response = fleet
+        .chat("a1", SCHOOL_KEY, &chat_request(stream))
+        .await
+        .unwrap();
+    assert_eq!(response.status, 200, "{}", response.body);
     let text = if stream {
-        streamed_text(&seen.body).unwrap()
+        streamed_text(&response.body).unwrap()
     } else {
-        let whole = seen.json();
-        whole["choices"][0]["message"]["content"]
+        let completion = response.json();
+        completion["choices"][0]["message"]["content"]
             .as_str()
             .unwrap()
             .to_owned()
     };
-    assert_eq!(text, expected_text(PROMPT, &held("1"), TOKENS));
+    assert_eq!(text, expected_text(PROMPT, &model_version("1"), TOKENS));
 }
 
 #[rstest]
 #[case::alone(1, 503)]
 #[case::with_another(2, 200)]
 #[tokio::test]
-async fn a_target_that_refuses_is_passed_over(#[case] engines: usize, #[case] status: u16) {
+async fn rejecting_target_is_skipped(#[case] engines: usize, #[case] status: u16) {
     let config = Config {
         engines,
         ..one_engine()
@@ -99,19 +102,26 @@
         ..Default::default()
     });
     for _ in 0..2 {
-        let seen = fleet.chat("a1", SCHOOL_KEY, &ask(false)).await.unwrap();
-        let busy_left = fleet.engines["t1"].runs().is_empty();
-        if seen.status == 503 {
-            assert_eq!(seen.json()["error"]["outcome"], "not-run");
-            assert!(seen.retry_after_s.is_some());
-            assert!(busy_left, "Not run means not run.");
+        let response = fleet
+            .chat("a1", SCHOOL_KEY, &chat_request(false))
+            .await
+            .unwrap();
+        let has_not_run = fleet.engines["t1"].runs().is_empty();
+        if response.status == 503 {
+            assert_eq!(response.json()["error"]["outcome"], "not-run");
+            assert!(response.retry_after_s.is_some());
+            assert!(has_not_run, "A request reported as not run has run.");
         }
-        assert!(seen.status == status || seen.status == 200, "{}", seen.body);
+        assert!(
+            response.status == status || response.status == 200,
+            "{}",
+            response.body
+        );
     }
 }
 
 #[tokio::test]
-async fn an_answer_that_cannot_be_whole_is_no_short_answer() {
+async fn incomplete_response_is_not_reported_as_complete() {
     let config = Config {
         settings: json!({"online": {"retry_share_percent": 0, "request_timeout_ms": 6_000}}),
         ..one_engine()
@@ -121,15 +131,15 @@
         cut: 1_000,
         ..Default::default()
     });
-    // Each try adds a token or two, so a long answer outlives the budget.
-    let mut ask = ask(false);
-    ask["max_tokens"] = json!(200);
-    let seen = fleet.chat("a1", SCHOOL_KEY, &ask).await.unwrap();
-    assert!(seen.status >= 500, "{seen:?}");
-    assert_eq!(seen.json()["error"]["outcome"], "failed");
-    ask["stream"] = json!(true);
-    match fleet.chat("a1", SCHOOL_KEY, &ask).await {
-        Ok(seen) => assert!(seen.status >= 500, "{seen:?}"),
+    // Each attempt adds one or two tokens, so a long response exhausts the retry budget.
+    let mut chat_request = chat_request(false);
+    chat_request["max_tokens"] = json!(200);
+    let response = fleet.chat("a1", SCHOOL_KEY, &chat_request).await.unwrap();
+    assert!(response.status >= 500, "{response:?}");
+    assert_eq!(response.json()["error"]["outcome"], "failed");
+    chat_request["stream"] = json!(true);
+    match fleet.chat("a1", SCHOOL_KEY, &chat_request).await {
+        Ok(response) => assert!(response.status >= 500, "{response:?}"),
         Err(report) => {
             let cut = report.current_context();
             assert_eq!(*cut, notchwharf_clients::error::Call::Lost);
@@ -138,28 +148,28 @@
 }
 
 #[tokio::test]
-async fn a_stream_goes_on_elsewhere_when_its_engine_dies() {
+async fn stream_resumes_on_another_target_after_crash() {
     let config = Config {
         engines: 2,
         ..one_engine()
     };
     let mut fleet = Fleet::ready(config).await;
-    let mut long = ask(true);
+    let mut long = chat_request(true);
     long["max_tokens"] = json!(60);
     let busy = |fleet: &Fleet| fleet.engines.values().any(|e| e.streams() > 0);
-    let (seen, ()) = {
+    let (response, ()) = {
         let chat = fleet.chat("a1", SCHOOL_KEY, &long);
         let watch = fleet.until(|fleet| async move { busy(fleet) });
-        let (seen, ()) = tokio::join!(chat, async {
+        let (response, ()) = tokio::join!(chat, async {
             watch.await;
             for engine in fleet.engines.values().filter(|e| e.streams() > 0) {
                 engine.kill_streams();
             }
         });
-        (seen, ())
+        (response, ())
     };
-    let text = streamed_text(&seen.unwrap().body).unwrap();
-    assert_eq!(text, expected_text(PROMPT, &held("1"), 60));
+    let text = streamed_text(&response.unwrap().body).unwrap();
+    assert_eq!(text, expected_text(PROMPT, &model_version("1"), 60));
     fleet.kill_host("a2");
 }
 
@@ -194,7 +204,7 @@
     "model_not_found"
 )]
 #[tokio::test]
-async fn bad_input_gets_a_typed_error_and_is_not_run(
+async fn invalid_request_gets_typed_error_and_is_not_run(
     #[case] key: &str,
     #[case] body: &str,
     #[case] status: u16,
@@ -205,30 +215,30 @@
     let auth = format!("Bearer {key}");
     let headers: &[(&str, &str)] = &[("authorization", &auth)];
     let headers = if key.is_empty() { &[] } else { headers };
-    let seen = fleet.send(Method::POST, &url, headers, body.to_owned());
-    let seen = seen.await.unwrap();
-    assert_eq!(seen.status, status, "{}", seen.body);
-    assert_eq!(seen.json()["error"]["code"], code);
-    assert_eq!(seen.json()["error"]["outcome"], "not-run");
+    let response = fleet.send(Method::POST, &url, headers, body.to_owned());
+    let response = response.await.unwrap();
+    assert_eq!(response.status, status, "{}", response.body);
+    assert_eq!(response.json()["error"]["code"], code);
+    assert_eq!(response.json()["error"]["outcome"], "not-run");
     assert!(fleet.engines["t1"].runs().is_empty());
 }
 
 #[tokio::test]
-async fn a_body_beyond_the_bound_is_refused() {
+async fn oversized_body_is_rejected() {
     let config = Config {
         settings: json!({"limits": {"body_bytes_max": 2_048}}),
         ..one_engine()
     };
     let fleet = Fleet::ready(config).await;
-    let mut large = ask(false);
+    let mut large = chat_request(false);
     large["messages"][0]["content"] = json!("x".repeat(4_096));
-    let seen = fleet.chat("a1", SCHOOL_KEY, &large).await.unwrap();
-    assert_eq!(seen.status, 413);
-    assert_eq!(seen.json()["error"]["code"], "too_large");
+    let response = fleet.chat("a1", SCHOOL_KEY, &large).await.unwrap();
+    assert_eq!(response.status, 413);
+    assert_eq!(response.json()["error"]["code"], "too_large");
 }
 
 #[tokio::test]
-async fn a_slow_or_half_closed_sender_is_told() {
+async fn slow_or_half_closed_sender_gets_error() {
     use tokio::io::AsyncReadExt as _;
     use tokio::io::AsyncWriteExt as _;
     let config = Config {
@@ -247,35 +257,38 @@
         if half_close {
             socket.shutdown().await.unwrap();
         }
-        let mut answer = String::new();
-        // A connection that is closed without an answer is as good here: the
-        // sender has not finished its request.
-        let _ = socket.read_to_string(&mut answer).await;
-        let told = answer.split(' ').nth(1);
+        let mut response = String::new();
+        // Closing the connection without a response is also acceptable after a half-close,
+        // since the request is incomplete.
+        let _ = socket.read_to_string(&mut response).await;
+        let status_code = response.split(' ').nth(1);
         assert!(
-            told == Some(status) || (half_close && told.is_none()),
-            "{answer}"
+            status_code == Some(status) || (half_close && status_code.is_none()),
+            "{response}"
         );
     }
     assert!(fleet.engines["t1"].runs().is_empty());
 }
 
 #[tokio::test]
-async fn without_a_target_the_refusal_says_when_to_come_back() {
+async fn rejection_without_target_has_retry_after() {
     let config = Config {
         engines: 0,
         ..one_engine()
     };
     let fleet = Fleet::start(config).await;
     fleet.put_in_force(&school_bundle("1")).await;
-    let seen = fleet.chat("a1", SCHOOL_KEY, &ask(false)).await.unwrap();
-    assert_eq!(seen.status, 503);
-    assert_eq!(seen.json()["error"]["outcome"], "not-run");
-    assert!(seen.retry_after_s.is_some());
+    let response = fleet
+        .chat("a1", SCHOOL_KEY, &chat_request(false))
+        .await
+        .unwrap();
+    assert_eq!(response.status, 503);
+    assert_eq!(response.json()["error"]["outcome"], "not-run");
+    assert!(response.retry_after_s.is_some());
 }
 
 #[tokio::test]
-async fn a_host_without_a_bundle_is_not_ready() {
+async fn host_without_bundle_is_not_ready() {
     let fleet = Fleet::start(one_engine()).await;
     let url = format!("{}/readyz", fleet.url("a1"));
     assert_eq!(fleet.get("", &url).await.unwrap().status, 503);
@@ -287,7 +300,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_target_gets_no_new_work() {
+async fn leaving_target_gets_no_new_requests() {
     let config = Config {
         engines: 2,
         ..one_engine()
@@ -299,8 +312,8 @@
         .until(|fleet| {
             let url = url.clone();
             async move {
-                let seen = fleet.get_json(&url).await;
-                let targets = seen["targets"].as_array().unwrap().clone();
+                let response = fleet.get_json(&url).await;
+                let targets = response["targets"].as_array().unwrap().clone();
                 targets
                     .iter()
                     .any(|t| t["target"] == "t1" && t["leaving"] == true)
@@ -309,34 +322,49 @@
         .await;
     let before = fleet.engines["t1"].runs().len();
     for i in 0..20 {
-        let mut ask = ask(false);
-        ask["messages"][0]["content"] = json!(format!("after {i}"));
-        let seen = fleet.chat("a1", SCHOOL_KEY, &ask).await.unwrap();
-        assert_eq!(seen.status, 200, "{}", seen.body);
+        let mut chat_request = chat_request(false);
+        chat_request["messages"][0]["content"] = json!(format!("after {i}"));
+        let response = fleet.chat("a1", SCHOOL_KEY, &chat_request).await.unwrap();
+        assert_eq!(response.status, 200, "{}", response.body);
     }
     assert_eq!(fleet.engines["t1"].runs().len(), before);
 }
 
 #[tokio::test]
-async fn only_what_was_signed_off_runs() {
+async fn only_signed_off_versions_run() {
     let fleet = Fleet::ready(one_engine()).await;
     fleet.put_in_force(&school_bundle("2")).await;
-    // While the new version loads, the one signed off before serves; once it
-    // is there, nothing else does.
-    let seen = fleet.chat("a1", SCHOOL_KEY, &ask(false)).await.unwrap();
-    let text = seen.json()["choices"][0]["message"]["content"].clone();
-    let versions = ["1", "2"].map(|v| json!(expected_text(PROMPT, &held(v), TOKENS)));
+    // The previous version serves until the new one is loaded; after that, only the new
+    // one does.
+    let response = fleet
+        .chat("a1", SCHOOL_KEY, &chat_request(false))
+        .await
+        .unwrap();
+    let text = response.json()["choices"][0]["message"]["content"].clone();
+    let versions = ["1", "2"].map(|v| json!(expected_text(PROMPT, &model_version(v), TOKENS)));
     assert!(versions.contains(&text), "{text}");
     fleet.settled("tutor/-/2").await;
-    let seen = fleet.chat("a1", SCHOOL_KEY, &ask(false)).await.unwrap();
-    assert_eq!(seen.json()["choices"][0]["message"]["content"], versions[1]);
+    let response = fleet
+        .chat("a1", SCHOOL_KEY, &chat_request(false))
+        .await
+        .unwrap();
+    assert_eq!(
+        response.json()["choices"][0]["message"]["content"],
+        versions[1]
+    );
 }
 
 #[tokio::test]
-async fn metrics_tell_tenants_and_classes() {
+async fn metrics_are_labelled_with_tenant_and_class() {
     let fleet = Fleet::ready(one_engine()).await;
-    fleet.chat("a1", SCHOOL_KEY, &ask(false)).await.unwrap();
-    fleet.chat("a1", PERMITS_KEY, &ask(true)).await.unwrap();
+    fleet
+        .chat("a1", SCHOOL_KEY, &chat_request(false))
+        .await
+        .unwrap();
+    fleet
+        .chat("a1", PERMITS_KEY, &chat_request(true))
+        .await
+        .unwrap();
     let url = format!("{}/metrics", fleet.url("a1"));
     let text = fleet.get("", &url).await.unwrap().body;
     for line in [
--- a/crates/server/tests/openai_client.rs
+++ b/crates/server/tests/openai_client.rs
@@ -1,4 +1,4 @@
-//! A published client library as a caller.
+//! Compatibility with a published client library.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use async_openai::Client;
@@ -26,7 +26,7 @@
     Client::with_config(config)
 }
 
-fn ask() -> CreateChatCompletionRequest {
+fn chat_request() -> CreateChatCompletionRequest {
     let message = ChatCompletionRequestUserMessageArgs::default()
         .content("Which key has two sharps?")
         .build()
@@ -40,32 +40,32 @@
 }
 
 #[tokio::test]
-async fn the_client_library_sees_what_it_expects() {
+async fn client_library_lists_models_and_completes_chats() {
     let fleet = Fleet::ready(Config::default()).await;
     let caller = client(&fleet, "a1");
 
     let models = caller.models().list().await.unwrap();
     assert_eq!(models.data[0].id, "hints");
 
-    let whole = caller.chat().create(ask()).await.unwrap();
-    let whole = whole.choices[0].message.content.clone().unwrap();
-    assert_eq!(whole.split_whitespace().count(), 6);
+    let complete = caller.chat().create(chat_request()).await.unwrap();
+    let complete = complete.choices[0].message.content.clone().unwrap();
+    assert_eq!(complete.split_whitespace().count(), 6);
 
-    let mut stream = caller.chat().create_stream(ask()).await.unwrap();
+    let mut stream = caller.chat().create_stream(chat_request()).await.unwrap();
     let mut text = String::new();
     while let Some(chunk) = stream.next().await {
         let delta = chunk.unwrap().choices[0].delta.content.clone();
         text.push_str(&delta.unwrap_or_default());
     }
-    assert_eq!(text, whole);
+    assert_eq!(text, complete);
 }
 
 #[tokio::test]
-async fn the_client_library_runs_a_batch() {
+async fn client_library_runs_batch() {
     let fleet = Fleet::ready(Config::default()).await;
-    let lot = fleet::lot("note", 25, 4);
+    let input_file = fleet::lot("note", 25, 4);
     let upload = CreateFileRequest {
-        file: FileInput::from_bytes("lot.jsonl".into(), lot.into_bytes().into()),
+        file: FileInput::from_bytes("lot.jsonl".into(), input_file.into_bytes().into()),
         purpose: FilePurpose::Batch,
         expires_after: None,
     };
--- a/crates/server/tests/placement.rs
+++ b/crates/server/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Orders to targets: one holder, growing fencing numbers, nothing lost.
+//! Orders to targets: a single lease holder, increasing fencing tokens, no lost order.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use notchwharf_standins::engine;
@@ -8,12 +8,10 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::targets_that_check(true)]
-#[case::targets_that_do_not(false)]
+#[case::fencing_checked(true)]
+#[case::fencing_not_checked(false)]
 #[tokio::test]
-async fn orders_carry_growing_fencing_numbers_through_a_change_of_holder(
-    #[case] checks_fencing: bool,
-) {
+async fn fencing_tokens_increase_across_lease_holders(#[case] checks_fencing: bool) {
     let config = Config {
         hosts: 2,
         engine: engine::Config {
@@ -35,5 +33,5 @@
         assert!(fences.is_sorted(), "{fences:?}");
         changed += usize::from(fences.first() != fences.last());
     }
-    assert!(changed > 0, "Some target changed its holder.");
+    assert!(changed > 0, "No target changed its lease holder.");
 }
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -1,4 +1,4 @@
-//! Hosts as processes of their own: what only sockets and signals can show.
+//! Tests with hosts as separate processes, for crashes, signals and settings.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 mod processes;
@@ -13,7 +13,7 @@
 use processes::Fleet;
 use processes::WAIT_MAX;
 use processes::signal;
-use processes::until;
+use processes::wait_until;
 use rstest::rstest;
 use serde_json::Value;
 use serde_json::json;
@@ -22,163 +22,167 @@
 const TOKENS: u32 = 8;
 
 #[tokio::test]
-async fn a_host_killed_with_items_in_flight_loses_and_doubles_nothing() {
+async fn crash_with_items_in_flight_loses_and_duplicates_nothing() {
     let mut fleet = Fleet::start(3).await;
     let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
-    fleet.until_busy().await;
+    fleet.wait_busy().await;
     fleet.hosts[1].child.start_kill().unwrap();
-    fleet.check_whole(0, &job, 300).await;
+    fleet.check_results(0, &job, 300).await;
 }
 
 #[tokio::test]
-async fn hosts_that_die_again_and_again_lose_and_double_nothing() {
+async fn repeated_crashes_lose_and_duplicate_nothing() {
     let mut fleet = Fleet::start(3).await;
     let mut jobs = vec![fleet.submit(0, &fleet::lot("n", 600, TOKENS)).await];
     for round in 0..4 {
-        // A job that is whole before the next kill leaves nothing to kill for.
-        while !fleet.until_busy_or_whole(0, &jobs[jobs.len() - 1]).await {
-            let lot = fleet::lot(&format!("n{round}"), 600, TOKENS);
-            jobs.push(fleet.submit(0, &lot).await);
+        // If the job completes before the next crash, another one is submitted.
+        while !fleet.wait_busy_or_completed(0, &jobs[jobs.len() - 1]).await {
+            let input_file = fleet::lot(&format!("n{round}"), 600, TOKENS);
+            jobs.push(fleet.submit(0, &input_file).await);
         }
         let victim = 1 + round % 2;
         fleet.hosts[victim].child.start_kill().unwrap();
-        // Online requests at the host that stays are answered meanwhile.
+        // Meanwhile, the surviving host serves online requests.
         let url = format!("{}/v1/chat/completions", fleet.hosts[0].url);
         for i in 0..5 {
             let ask = json!({"model": "hints", "max_tokens": TOKENS,
                 "messages": [{"role": "user", "content": format!("{round} {i}")}]});
-            let seen = fleet
+            let response = fleet
                 .send(Method::POST, &url, ask.to_string())
                 .await
                 .unwrap();
-            assert_eq!(seen.status, 200, "{}", seen.body);
+            assert_eq!(response.status, 200, "{}", response.body);
         }
         fleet.start_host(&format!("b{round}")).await;
-        let fresh = fleet.hosts.pop().unwrap();
-        fleet.hosts[victim] = fresh;
+        let replacement = fleet.hosts.pop().unwrap();
+        fleet.hosts[victim] = replacement;
     }
     for job in &jobs {
-        fleet.check_whole(0, job, 600).await;
+        fleet.check_results(0, job, 600).await;
     }
 }
 
-/// Returns whether hosts that answer hold every shard.
-fn all_shards_held(seen: &Value) -> bool {
-    let hosts = seen["hosts"].as_array().cloned().unwrap_or_default();
+/// Returns whether responsive hosts hold all shards.
+fn all_shards_held(response: &Value) -> bool {
+    let hosts = response["hosts"].as_array().cloned().unwrap_or_default();
     let shards = hosts
         .iter()
         .filter_map(|h| h["report"]["shards"].as_array());
     shards.map(Vec::len).sum::<usize>() == 6
 }
 
-/// Files a permit under a key; returns the answer's status and outcome.
-async fn file(client: &Client, url: &str, key: &str) -> (u16, Value) {
+/// Submits a permit with an idempotency key and returns the status and the outcome.
+async fn submit_permit(client: &Client, url: &str, key: &str) -> (u16, Value) {
     let auth = format!("Bearer {SCHOOL_KEY}");
     let headers = [("authorization", auth.as_str()), ("idempotency-key", key)];
     let url = format!("{url}/services/filing/{key}");
-    let seen = fleet::send(client, Method::POST, &url, &headers, "permit".into()).await;
-    let seen = seen.unwrap();
-    (seen.status, seen.json()["error"]["outcome"].clone())
+    let response = fleet::send(client, Method::POST, &url, &headers, "permit".into()).await;
+    let response = response.unwrap();
+    (response.status, response.json()["error"]["outcome"].clone())
 }
 
 #[tokio::test]
-async fn a_filing_whose_host_dies_in_the_middle_is_unknown_and_never_filed_again() {
+async fn keyed_call_with_crashed_owner_is_unknown_and_not_retried() {
     const KEYS: usize = 12;
     let mut fleet = Fleet::start(3).await;
     fleet.service.hold_answers(true);
     let url = fleet.hosts[0].url.clone();
-    let open: Vec<_> = (0..KEYS)
+    let pending: Vec<_> = (0..KEYS)
         .map(|i| {
             let (client, url) = (fleet.client.clone(), url.clone());
-            tokio::spawn(async move { file(&client, &url, &format!("k{i}")).await })
+            tokio::spawn(async move { submit_permit(&client, &url, &format!("k{i}")).await })
         })
         .collect();
-    until(|| async { fleet.service.taken().len() == KEYS }).await;
+    wait_until(|| async { fleet.service.taken().len() == KEYS }).await;
     for host in 1..3 {
         fleet.hosts[host].child.start_kill().unwrap();
     }
     let hosts = format!("{}/admin/v1/hosts", fleet.hosts[0].admin);
     fleet.start_host("a4").await;
     fleet.service.hold_answers(false);
-    let mut told = Vec::new();
-    for one in open {
-        told.push(one.await.unwrap());
+    let mut results = Vec::new();
+    for task in pending {
+        results.push(task.await.unwrap());
     }
     assert!(
-        told.iter().any(|(status, _)| *status != 201),
-        "Some owner died: {told:?}"
+        results.iter().any(|(status, _)| *status != 201),
+        "No owner crashed: {results:?}"
     );
-    for (status, outcome) in &told {
-        assert!(*status == 201 || *outcome == "unknown", "{told:?}");
+    for (status, outcome) in &results {
+        assert!(*status == 201 || *outcome == "unknown", "{results:?}");
     }
-    until(|| async { fleet.get(&hosts).await.is_some_and(|h| all_shards_held(&h)) }).await;
-    // A caller that asks again, as often as it likes, hears the same.
-    for (i, (first, _)) in told.iter().enumerate() {
+    wait_until(|| async { fleet.get(&hosts).await.is_some_and(|h| all_shards_held(&h)) }).await;
+    // Repeated calls get the same outcome.
+    for (i, (first, _)) in results.iter().enumerate() {
         let key = format!("k{i}");
         let settled = |(status, outcome): (u16, Value)| {
             status == 201 || (*first != 201 && outcome == "unknown")
         };
-        until(|| async { settled(file(&fleet.client, &url, &key).await) }).await;
+        wait_until(|| async { settled(submit_permit(&fleet.client, &url, &key).await) }).await;
     }
-    assert_eq!(fleet.service.taken().len(), KEYS, "Each was filed once.");
+    assert_eq!(
+        fleet.service.taken().len(),
+        KEYS,
+        "Each permit is submitted once."
+    );
 }
 
 #[tokio::test]
-async fn a_job_acknowledged_by_a_host_that_dies_at_once_is_done() {
+async fn job_acknowledged_before_crash_completes() {
     let mut fleet = Fleet::start(3).await;
     let job = fleet.submit(2, &fleet::lot("n", 50, TOKENS)).await;
     fleet.hosts[2].child.start_kill().unwrap();
-    fleet.check_whole(0, &job, 50).await;
+    fleet.check_results(0, &job, 50).await;
 }
 
 #[tokio::test]
-async fn a_host_stopped_past_its_lease_does_no_harm_when_it_goes_on() {
+async fn host_suspended_past_its_lease_resumes_safely() {
     let fleet = Fleet::start(3).await;
     let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
-    fleet.until_busy().await;
+    fleet.wait_busy().await;
     signal(&fleet.hosts[1], "STOP");
-    // Its shards and targets are held by others before it goes on.
+    // Other hosts take over its shards before it resumes.
     let url = format!("{}/admin/v1/hosts", fleet.hosts[0].admin);
-    until(|| async { fleet.get(&url).await.is_some_and(|h| all_shards_held(&h)) }).await;
+    wait_until(|| async { fleet.get(&url).await.is_some_and(|h| all_shards_held(&h)) }).await;
     signal(&fleet.hosts[1], "CONT");
-    fleet.check_whole(0, &job, 300).await;
-    fleet.check_whole(1, &job, 300).await;
+    fleet.check_results(0, &job, 300).await;
+    fleet.check_results(1, &job, 300).await;
 }
 
 #[tokio::test]
-async fn a_log_that_is_down_and_loses_answers_loses_no_item() {
+async fn log_outage_and_lost_responses_lose_no_item() {
     let fleet = Fleet::start(3).await;
     let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
-    fleet.until_busy().await;
+    fleet.wait_busy().await;
     fleet.platform.set_faults(Faults {
         log_down: true,
         ..Faults::default()
     });
-    // Long enough for running items to end while nothing can be recorded.
-    until(|| async { fleet.engines.iter().all(|e| e.streams() == 0) }).await;
+    // Waits until running items end while nothing can be recorded.
+    wait_until(|| async { fleet.engines.iter().all(|e| e.streams() == 0) }).await;
     fleet.platform.set_faults(Faults {
         lose_answers: 20,
         lose_appends: 10,
         ..Faults::default()
     });
-    fleet.check_whole(0, &job, 300).await;
+    fleet.check_results(0, &job, 300).await;
 }
 
 #[rstest]
-#[case::alone(false)]
-#[case::with_the_log_down(true)]
+#[case::log_up(false)]
+#[case::log_down(true)]
 #[tokio::test]
-async fn a_host_told_to_end_cuts_no_request(#[case] log_down: bool) {
+async fn shutdown_interrupts_no_request(#[case] log_down: bool) {
     let mut fleet = Fleet::start(3).await;
     let job = fleet.submit(0, &fleet::lot("n", 200, TOKENS)).await;
-    fleet.until_busy().await;
+    fleet.wait_busy().await;
     let url = format!("{}/v1/chat/completions", fleet.hosts[1].url);
     let ask = |i: u32, stream: bool| {
         json!({"model": "hints", "max_tokens": 40, "stream": stream,
             "messages": [{"role": "user", "content": format!("long {i}")}]})
         .to_string()
     };
-    let open: Vec<_> = (0..12)
+    let pending: Vec<_> = (0..12)
         .map(|i| {
             let (client, url, body) = (fleet.client.clone(), url.clone(), ask(i, i % 2 == 0));
             tokio::spawn(async move {
@@ -189,13 +193,13 @@
         })
         .collect();
     let report = format!("{}/admin/v1/hosts", fleet.hosts[0].admin);
-    let carries = |seen: Value| {
-        let hosts = seen["hosts"].as_array().cloned().unwrap_or_default();
+    let has_requests_in_flight = |response: Value| {
+        let hosts = response["hosts"].as_array().cloned().unwrap_or_default();
         hosts
             .iter()
             .any(|h| h["host"] == "a2" && h["report"]["in_flight"].as_u64() >= Some(12))
     };
-    until(|| async { fleet.get(&report).await.is_some_and(carries) }).await;
+    wait_until(|| async { fleet.get(&report).await.is_some_and(has_requests_in_flight) }).await;
     if log_down {
         fleet.platform.set_faults(Faults {
             log_down: true,
@@ -203,15 +207,15 @@
         });
     }
     signal(&fleet.hosts[1], "TERM");
-    for (i, one) in open.into_iter().enumerate() {
-        let seen = one.await.unwrap().unwrap();
-        assert_eq!(seen.status, 200, "{}", seen.body);
-        let whole = if i % 2 == 0 {
+    for (i, task) in pending.into_iter().enumerate() {
+        let response = task.await.unwrap().unwrap();
+        assert_eq!(response.status, 200, "{}", response.body);
+        let end_marker = if i % 2 == 0 {
             "[DONE]"
         } else {
             "\"finish_reason\":\"stop\""
         };
-        assert!(seen.body.contains(whole), "{}", seen.body);
+        assert!(response.body.contains(end_marker), "{}", response.body);
     }
     fleet.platform.set_faults(Faults::default());
     let ended = fleet.hosts[1].child.wait();
@@ -220,17 +224,17 @@
         .unwrap()
         .unwrap();
     assert_eq!(ended.code(), Some(0));
-    fleet.check_whole(0, &job, 200).await;
+    fleet.check_results(0, &job, 200).await;
 }
 
 #[tokio::test]
-async fn a_second_signal_ends_a_host_at_once() {
+async fn second_signal_stops_host_immediately() {
     let mut fleet = Fleet::start(1).await;
     let url = format!("{}/v1/chat/completions", fleet.hosts[0].url);
     let body = json!({"model": "hints", "max_tokens": 100_000,
         "messages": [{"role": "user", "content": "without end"}]});
     let client = fleet.client.clone();
-    let open = tokio::spawn(async move {
+    let pending = tokio::spawn(async move {
         let auth = format!("Bearer {SCHOOL_KEY}");
         let headers = [("authorization", auth.as_str())];
         fleet::send(
@@ -242,11 +246,12 @@
         )
         .await
     });
-    fleet.until_busy().await;
+    fleet.wait_busy().await;
     signal(&fleet.hosts[0], "TERM");
     let ready = format!("{}/readyz", fleet.hosts[0].url);
-    let told = |seen: Option<Seen>| seen.is_none_or(|s| s.status == 503);
-    until(|| async { told(fleet.send(Method::GET, &ready, String::new()).await) }).await;
+    let is_not_ready = |response: Option<Seen>| response.is_none_or(|s| s.status == 503);
+    wait_until(|| async { is_not_ready(fleet.send(Method::GET, &ready, String::new()).await) })
+        .await;
     signal(&fleet.hosts[0], "TERM");
     let ended = fleet.hosts[0].child.wait();
     let ended = tokio::time::timeout(WAIT_MAX, ended)
@@ -255,13 +260,13 @@
         .unwrap();
     assert_eq!(ended.code(), Some(1));
     assert!(
-        open.await.unwrap().is_err(),
-        "The request is cut, not answered short."
+        pending.await.unwrap().is_err(),
+        "The request is aborted and gets no truncated response."
     );
 }
 
 #[tokio::test]
-async fn of_two_operators_who_race_one_wins_and_the_other_is_told() {
+async fn concurrent_sign_offs_accept_one_and_reject_the_other() {
     let fleet = Fleet::start(3).await;
     let base = fleet
         .get(&format!("{}/admin/v1/bundle", fleet.hosts[0].admin))
@@ -270,13 +275,13 @@
     let mut proposed = Vec::new();
     for host in 0..2 {
         let bundle = school_bundle(&format!("{}", host + 2));
-        let asked = json!({"base": base["version"], "author": "x", "bundle": bundle});
+        let proposal = json!({"base": base["version"], "author": "x", "bundle": bundle});
         let url = format!("{}/admin/v1/bundle", fleet.hosts[host].admin);
-        let seen = fleet
-            .send(Method::POST, &url, asked.to_string())
+        let response = fleet
+            .send(Method::POST, &url, proposal.to_string())
             .await
             .unwrap();
-        proposed.push(seen.json());
+        proposed.push(response.json());
     }
     let sign = |host: usize| {
         let body = json!({"version": proposed[host]["version"],
@@ -298,7 +303,7 @@
     for host in 0..3 {
         let url = format!("{}/admin/v1/bundle", fleet.hosts[host].admin);
         let version = proposed[winner]["version"].clone();
-        until(|| async {
+        wait_until(|| async {
             fleet
                 .get(&url)
                 .await
@@ -309,7 +314,7 @@
 }
 
 #[tokio::test]
-async fn a_new_host_gets_the_bundle_from_peers_while_the_log_is_down() {
+async fn new_host_gets_bundle_from_peers_while_log_is_down() {
     let mut fleet = Fleet::start(2).await;
     fleet.platform.set_faults(Faults {
         log_down: true,
@@ -317,13 +322,13 @@
     });
     fleet.start_host("a3").await;
     let ready = format!("{}/readyz", fleet.hosts[2].url);
-    let is_ready = |seen: Option<Seen>| seen.is_some_and(|s| s.status == 200);
-    until(|| async { is_ready(fleet.send(Method::GET, &ready, String::new()).await) }).await;
+    let is_ready = |response: Option<Seen>| response.is_some_and(|s| s.status == 200);
+    wait_until(|| async { is_ready(fleet.send(Method::GET, &ready, String::new()).await) }).await;
 }
 
 #[rstest]
 #[case::unknown_field(json!({"host": {"name": "a", "data_centre": "d", "color": 1}}), "host.color")]
-#[case::wrong_unit(
+#[case::wrong_type(
     json!({"host": {"name": "a", "data_centre": "d"}, "lease": {"duration_ms": "6s"}}),
     "lease.duration_ms"
 )]
@@ -336,7 +341,7 @@
     "online.request_timeout_ms"
 )]
 #[tokio::test]
-async fn wrong_settings_end_the_process_with_the_field_named(
+async fn invalid_settings_exit_with_field_name(
     #[case] settings: Value,
     #[case] field: &str,
     #[values(true, false)] check: bool,
@@ -351,13 +356,13 @@
         .args(check.then_some("--check"));
     let out = command.output().await.unwrap();
     assert_eq!(out.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(said.contains(field), "{said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(stderr.contains(field), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
 }
 
 #[rstest]
-#[case::unknown_adapter("other", json!({}), "there is no adapter")]
+#[case::unknown_adapter("other", json!({}), "unknown adapter")]
 #[case::unknown_field("platform", json!({"host": {"name": "a", "data_centre": "d"}, "x": 1}), "x:")]
 #[case::out_of_range(
     "platform",
@@ -365,7 +370,7 @@
     "batch.reserve"
 )]
 #[tokio::test]
-async fn wrong_settings_of_an_adapter_end_the_process_too(
+async fn invalid_adapter_settings_exit_with_field_name(
     #[case] adapter: &str,
     #[case] settings: Value,
     #[case] field: &str,
@@ -381,7 +386,7 @@
         .args(check.then_some("--check"));
     let out = command.output().await.unwrap();
     assert_eq!(out.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(said.contains(field), "{said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(stderr.contains(field), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
 }
--- a/crates/server/tests/processes/mod.rs
+++ b/crates/server/tests/processes/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet of host processes around stand-ins in the test's own process.
+//! A fleet of host processes, with stand-ins for platform and targets in the test process.
 #![allow(
     dead_code,
     unreachable_pub,
-    reason = "Each test binary uses a part of it."
+    reason = "Each test binary uses only some of the items."
 )]
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
@@ -32,14 +32,14 @@
 
 pub const WAIT_MAX: Duration = Duration::from_secs(60);
 
-/// A host that runs as a process.
+/// A host running as a separate process.
 pub struct Process {
     pub child: Child,
     pub url: String,
     pub admin: String,
 }
 
-/// A fleet of processes around stand-ins in the test's own process.
+/// A fleet of host processes, with stand-ins in the test process.
 pub struct Fleet {
     pub platform: Platform,
     pub engines: Vec<Engine>,
@@ -80,8 +80,9 @@
         fleet.put_in_force(&school_bundle("1")).await;
         for host in 0..hosts {
             let url = format!("{}/admin/v1/targets", fleet.hosts[host].admin);
-            let held = |seen: Value| seen.to_string().matches("tutor/-/1").count() == 4;
-            until(|| async { fleet.get(&url).await.is_some_and(held) }).await;
+            let is_loaded =
+                |response: Value| response.to_string().matches("tutor/-/1").count() == 4;
+            wait_until(|| async { fleet.get(&url).await.is_some_and(is_loaded) }).await;
         }
         fleet
     }
@@ -131,28 +132,27 @@
     pub async fn put_in_force(&self, bundle: &Bundle) -> u64 {
         let admin = &self.hosts[0].admin;
         let base = self.get(&format!("{admin}/admin/v1/bundle")).await.unwrap();
-        let asked = json!({"base": base["version"], "author": "ana", "bundle": bundle});
+        let proposal = json!({"base": base["version"], "author": "ana", "bundle": bundle});
         let url = format!("{admin}/admin/v1/bundle");
-        let asked = self
-            .send(Method::POST, &url, asked.to_string())
+        let proposal = self
+            .send(Method::POST, &url, proposal.to_string())
             .await
             .unwrap()
             .json();
-        let signed = json!({"version": asked["version"], "digest": asked["digest"],
+        let sign_off = json!({"version": proposal["version"], "digest": proposal["digest"],
             "author": "rui"});
         let url = format!("{admin}/admin/v1/sign-off");
-        let seen = self
-            .send(Method::POST, &url, signed.to_string())
+        let response = self
+            .send(Method::POST, &url, sign_off.to_string())
             .await
             .unwrap();
-        assert_eq!(seen.status, 200, "{}", seen.body);
-        asked["version"].as_u64().unwrap()
+        assert_eq!(response.status, 200, "{}", response.body);
+        proposal["version"].as_u64().unwrap()
     }
 
-    /// Uploads a lot and creates its job, asking again as a caller would until
-    /// it is told that the job is accepted.
-    pub async fn submit(&self, host: usize, lot: &str) -> String {
-        let form = fleet::lot_form(lot);
+    /// Uploads an input file and creates its job, retrying until the job is accepted.
+    pub async fn submit(&self, host: usize, input_file: &str) -> String {
+        let form = fleet::lot_form(input_file);
         let auth = format!("Bearer {SCHOOL_KEY}");
         let headers = [
             ("authorization", auth.as_str()),
@@ -180,39 +180,43 @@
 
     pub async fn job(&self, host: usize, job: &str) -> Value {
         let url = format!("{}/v1/batches/{job}", self.hosts[host].url);
-        let seen = self.send(Method::GET, &url, String::new()).await;
-        seen.filter(|s| s.status == 200)
+        let response = self.send(Method::GET, &url, String::new()).await;
+        response
+            .filter(|s| s.status == 200)
             .map(|s| s.json())
             .unwrap_or_default()
     }
 
-    pub async fn check_whole(&self, host: usize, job: &str, items: usize) {
-        let wait = until_or_late(|| async { self.job(host, job).await["status"] == "completed" });
+    pub async fn check_results(&self, host: usize, job: &str, items: usize) {
+        let wait =
+            wait_until_or_timeout(|| async { self.job(host, job).await["status"] == "completed" });
         if !wait.await {
-            let seen = self.job(host, job).await;
-            panic!("the job is not whole within a minute: {seen}");
+            let response = self.job(host, job).await;
+            panic!("the job did not complete within a minute: {response}");
         }
         let ended = self.job(host, job).await;
         assert_eq!(ended["request_counts"]["completed"], items, "{ended}");
         let output = ended["output_file_id"].as_str().unwrap();
         let url = format!("{}/v1/files/{output}/content", self.hosts[host].url);
-        let seen = self.send(Method::GET, &url, String::new()).await.unwrap();
-        let ids: std::collections::BTreeSet<String> = seen
+        let response = self.send(Method::GET, &url, String::new()).await.unwrap();
+        let ids: std::collections::BTreeSet<String> = response
             .body
             .lines()
             .map(|l| serde_json::from_str::<Value>(l).unwrap()["custom_id"].to_string())
             .collect();
-        assert_eq!((seen.body.lines().count(), ids.len()), (items, items));
+        assert_eq!((response.body.lines().count(), ids.len()), (items, items));
     }
 
-    pub async fn until_busy(&self) {
-        until(|| async { self.is_busy() }).await;
+    pub async fn wait_busy(&self) {
+        wait_until(|| async { self.is_busy() }).await;
     }
 
-    /// Waits until engines are busy or a job is whole; returns whether they are.
-    pub async fn until_busy_or_whole(&self, host: usize, job: &str) -> bool {
-        until(|| async { self.is_busy() || self.job(host, job).await["status"] == "completed" })
-            .await;
+    /// Waits until engines are busy or a job has completed. Returns whether engines are busy.
+    pub async fn wait_busy_or_completed(&self, host: usize, job: &str) -> bool {
+        wait_until(|| async {
+            self.is_busy() || self.job(host, job).await["status"] == "completed"
+        })
+        .await;
         self.is_busy()
     }
 
@@ -230,27 +234,27 @@
         .arg("--settings")
         .arg(&path)
         .stdout(Stdio::piped())
-        .stderr(log_of(&path))
+        .stderr(log_file(&path))
         .kill_on_drop(true)
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
     let line = lines.next_line().await.unwrap().unwrap();
-    let told: Value = serde_json::from_str(&line).unwrap();
-    let listed: Listed = serde_json::from_value(told["listed"].clone()).unwrap();
+    let started: Value = serde_json::from_str(&line).unwrap();
+    let listed: Listed = serde_json::from_value(started["listed"].clone()).unwrap();
     let Kind::Entry { url, .. } = &listed.kind else {
-        panic!("A host is an entry host.");
+        panic!("The entry is not of kind host.");
     };
     let process = Process {
         child,
         url: url.clone(),
-        admin: format!("http://{}", told["admin"].as_str().unwrap()),
+        admin: format!("http://{}", started["admin"].as_str().unwrap()),
     };
     (process, listed)
 }
 
-/// Keeps what a host logs beside its settings, for whoever looks into a failure.
-fn log_of(settings: &std::path::Path) -> Stdio {
+/// Returns a file next to the settings for the host's log, for the analysis of failures.
+fn log_file(settings: &std::path::Path) -> Stdio {
     let log = std::fs::File::create(settings.with_extension("log"));
     Stdio::from(log.unwrap())
 }
@@ -263,22 +267,25 @@
     assert!(sent.unwrap().success());
 }
 
-pub async fn until<F, R>(so: F)
+pub async fn wait_until<F, R>(condition: F)
 where
     F: FnMut() -> R,
     R: Future<Output = bool>,
 {
-    assert!(until_or_late(so).await, "It becomes so within a minute.");
+    assert!(
+        wait_until_or_timeout(condition).await,
+        "The condition was not met within a minute."
+    );
 }
 
-/// Waits until something is so; returns whether it became so in time.
-async fn until_or_late<F, R>(mut so: F) -> bool
+/// Waits until a condition is met. Returns whether it was met in time.
+async fn wait_until_or_timeout<F, R>(mut condition: F) -> bool
 where
     F: FnMut() -> R,
     R: Future<Output = bool>,
 {
     let wait = async {
-        while !so().await {
+        while !condition().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
--- a/crates/server/tests/retention.rs
+++ b/crates/server/tests/retention.rs
@@ -1,4 +1,4 @@
-//! What lasts outlives the log's retention.
+//! Results, jobs and the bundle remain available after their records expire from the log.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use std::time::Duration;
@@ -25,8 +25,8 @@
     }
 }
 
-/// Waits until the log has dropped the oldest records of a stream.
-async fn dropped(fleet: &Fleet, stream: &str) {
+/// Waits until all current records of a stream have expired from the log.
+async fn wait_records_expired(fleet: &Fleet, stream: &str) {
     let url = format!("{}/v1/streams/{stream}", fleet.platform.url());
     let first = fleet.get_json(&url).await["next"].as_u64().unwrap();
     fleet
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn results_jobs_and_bundle_outlive_the_retention_of_the_log() {
+async fn results_jobs_and_bundle_outlive_log_retention() {
     let mut fleet = Fleet::ready(short_retention()).await;
     let job = fleet
         .submit("a1", SCHOOL_KEY, &fleet::lot("n", ITEMS, 4))
@@ -46,21 +46,21 @@
     let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
     for _ in 0..2 {
         tokio::join!(
-            dropped(&fleet, "shard-0"),
-            dropped(&fleet, "shard-1"),
-            dropped(&fleet, "shard-2"),
-            dropped(&fleet, "bundle"),
+            wait_records_expired(&fleet, "shard-0"),
+            wait_records_expired(&fleet, "shard-1"),
+            wait_records_expired(&fleet, "shard-2"),
+            wait_records_expired(&fleet, "bundle"),
         );
     }
-    // No host that saw the first records is left.
+    // No host that read the first records remains.
     for name in ["b4", "b5"] {
         fleet.start_host(name).await;
     }
     for name in ["a1", "a2", "a3"] {
         assert!(fleet.leave_host(name).await);
     }
-    let again = fleet.job_ended(SCHOOL_KEY, &job).await;
-    assert_eq!(again, ended);
-    let output = again["output_file_id"].as_str().unwrap();
+    let after_expiry = fleet.job_ended(SCHOOL_KEY, &job).await;
+    assert_eq!(after_expiry, ended);
+    let output = after_expiry["output_file_id"].as_str().unwrap();
     assert_eq!(fleet.lines(SCHOOL_KEY, output).await.len(), ITEMS);
 }
--- a/crates/server/tests/services.rs
+++ b/crates/server/tests/services.rs
@@ -1,4 +1,4 @@
-//! Plain services: method semantics and idempotency keys.
+//! Plain services: idempotent methods and idempotency keys.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use hyper::Method;
@@ -10,20 +10,20 @@
 use notchwharf_standins::platform::Faults;
 use rstest::rstest;
 
-fn small() -> Config {
+fn config() -> Config {
     Config {
         engines: 0,
         ..Config::default()
     }
 }
 
-async fn ready() -> Fleet {
-    let fleet = Fleet::start(small()).await;
+async fn ready_fleet() -> Fleet {
+    let fleet = Fleet::start(config()).await;
     fleet
         .put_in_force(&notchwharf_standins::fleet::school_bundle("1"))
         .await;
     let url = format!("{}/services/filing/probe", fleet.url("a1"));
-    // The list lags, so the service is not known at once.
+    // The host list is delayed, so the service is not known immediately.
     for host in ["a1", "a2", "a3"] {
         let url = url.replace(&fleet.url("a1"), &fleet.url(host));
         fleet
@@ -45,87 +45,95 @@
     sent.await.unwrap()
 }
 
-/// Calls as a caller does that comes back when told to.
-async fn insist(fleet: &Fleet, host: &str, key: &str, body: &str) -> Seen {
+/// Makes a keyed call, retrying while it is rejected as not run.
+async fn call_until_run(fleet: &Fleet, host: &str, key: &str, body: &str) -> Seen {
     fleet::insist(|| call(fleet, host, Method::POST, Some(key), body)).await
 }
 
-fn filings(fleet: &Fleet) -> usize {
-    let taken = fleet.taken();
-    taken.iter().filter(|t| t.path == "/permits").count()
+fn filing_count(fleet: &Fleet) -> usize {
+    let requests = fleet.taken();
+    requests.iter().filter(|t| t.path == "/permits").count()
 }
 
 #[tokio::test]
-async fn a_keyed_call_runs_once_and_its_answer_is_given_again_by_any_host() {
-    let fleet = ready().await;
-    let first = insist(&fleet, "a1", "k", "permit").await;
+async fn keyed_call_runs_once_and_any_host_replays_its_response() {
+    let fleet = ready_fleet().await;
+    let first = call_until_run(&fleet, "a1", "k", "permit").await;
     assert_eq!((first.status, first.replayed), (201, false), "{first:?}");
     for host in ["a1", "a2", "a3"] {
-        let again = insist(&fleet, host, "k", "permit").await;
-        assert_eq!((again.status, again.replayed), (201, true), "{again:?}");
-        assert_eq!(again.body, first.body);
+        let repeated = call_until_run(&fleet, host, "k", "permit").await;
+        assert_eq!(
+            (repeated.status, repeated.replayed),
+            (201, true),
+            "{repeated:?}"
+        );
+        assert_eq!(repeated.body, first.body);
     }
-    assert_eq!(filings(&fleet), 1);
-    let other = insist(&fleet, "a2", "k", "another").await;
+    assert_eq!(filing_count(&fleet), 1);
+    let other = call_until_run(&fleet, "a2", "k", "another").await;
     assert_eq!(other.status, 409);
-    assert_eq!(filings(&fleet), 1);
+    assert_eq!(filing_count(&fleet), 1);
 }
 
 #[rstest]
 #[case::with_key(Some("k"))]
 #[case::without_key(None)]
 #[tokio::test]
-async fn a_lost_answer_is_unknown_and_the_call_not_repeated(#[case] key: Option<&str>) {
-    let fleet = ready().await;
+async fn lost_response_is_unknown_and_call_not_retried(#[case] key: Option<&str>) {
+    let fleet = ready_fleet().await;
     fleet.services.iter().for_each(|s| s.lose_answers(1));
-    let lost = fleet::insist(|| call(&fleet, "a1", Method::POST, key, "permit")).await;
-    assert_eq!(lost.status, 502);
-    assert_eq!(lost.json()["error"]["outcome"], "unknown");
-    assert_eq!(filings(&fleet), 1);
+    let response = fleet::insist(|| call(&fleet, "a1", Method::POST, key, "permit")).await;
+    assert_eq!(response.status, 502);
+    assert_eq!(response.json()["error"]["outcome"], "unknown");
+    assert_eq!(filing_count(&fleet), 1);
     if key.is_some() {
-        let again = fleet::insist(|| call(&fleet, "a2", Method::POST, key, "permit")).await;
-        assert_eq!(again.json()["error"]["outcome"], "unknown");
-        assert_eq!(filings(&fleet), 1);
+        let repeated = fleet::insist(|| call(&fleet, "a2", Method::POST, key, "permit")).await;
+        assert_eq!(repeated.json()["error"]["outcome"], "unknown");
+        assert_eq!(filing_count(&fleet), 1);
     }
 }
 
 #[tokio::test]
-async fn an_idempotent_call_is_repeated() {
-    let fleet = ready().await;
+async fn idempotent_call_is_retried() {
+    let fleet = ready_fleet().await;
     fleet.services.iter().for_each(|s| s.lose_answers(1));
-    let seen = call(&fleet, "a1", Method::PUT, None, "permit").await;
-    // Both targets lose an answer and are passed over for a while, and then
-    // nobody claims to know the outcome.
-    assert_eq!(seen.json()["error"]["outcome"], "unknown");
-    assert_eq!(filings(&fleet), 2);
+    let response = call(&fleet, "a1", Method::PUT, None, "permit").await;
+    // Both targets lose a response and are skipped for a while, so that the outcome
+    // remains unknown.
+    assert_eq!(response.json()["error"]["outcome"], "unknown");
+    assert_eq!(filing_count(&fleet), 2);
     fleet
         .until(|fleet| async { call(fleet, "a1", Method::PUT, None, "p").await.status == 201 })
         .await;
 }
 
 #[tokio::test]
-async fn a_keyed_call_is_refused_while_the_log_is_down() {
-    let fleet = ready().await;
+async fn keyed_call_is_rejected_while_log_is_down() {
+    let fleet = ready_fleet().await;
     fleet.platform.set_faults(Faults {
         log_down: true,
         ..Faults::default()
     });
-    let seen = call(&fleet, "a1", Method::POST, Some("k"), "permit").await;
-    assert_eq!(seen.status, 503, "{seen:?}");
-    assert_eq!(seen.json()["error"]["outcome"], "not-run");
-    assert!(seen.retry_after_s.is_some());
-    assert_eq!(filings(&fleet), 0, "Not run means not run.");
+    let response = call(&fleet, "a1", Method::POST, Some("k"), "permit").await;
+    assert_eq!(response.status, 503, "{response:?}");
+    assert_eq!(response.json()["error"]["outcome"], "not-run");
+    assert!(response.retry_after_s.is_some());
+    assert_eq!(
+        filing_count(&fleet),
+        0,
+        "A call reported as not run has run."
+    );
 }
 
 #[tokio::test]
-async fn a_keyed_call_runs_once_when_its_hosts_die() {
-    let mut fleet = ready().await;
+async fn keyed_call_runs_once_when_its_owner_crashes() {
+    let mut fleet = ready_fleet().await;
     for i in 0..8 {
         let key = format!("k{i}");
-        let seen = insist(&fleet, "a1", &key, "permit").await;
-        assert_eq!(seen.status, 201, "{seen:?}");
+        let response = call_until_run(&fleet, "a1", &key, "permit").await;
+        assert_eq!(response.status, 201, "{response:?}");
     }
-    assert_eq!(filings(&fleet), 8);
+    assert_eq!(filing_count(&fleet), 8);
     fleet.kill_host("a3");
     for i in 0..8 {
         let key = format!("k{i}");
@@ -133,19 +141,19 @@
             .until(|fleet| {
                 let key = key.clone();
                 async move {
-                    let seen = call(fleet, "a1", Method::POST, Some(&key), "permit").await;
-                    seen.replayed
+                    let response = call(fleet, "a1", Method::POST, Some(&key), "permit").await;
+                    response.replayed
                 }
             })
             .await;
     }
-    assert_eq!(filings(&fleet), 8);
+    assert_eq!(filing_count(&fleet), 8);
 }
 
 #[tokio::test]
-async fn a_fresh_key_whose_owner_just_died_is_not_called_unknown() {
-    let mut fleet = ready().await;
-    // The stopped host's port is closed once this is refused.
+async fn new_key_with_crashed_owner_is_not_reported_unknown() {
+    let mut fleet = ready_fleet().await;
+    // Waits until the port of the stopped host is closed.
     let peer = fleet.hosts["a3"].addrs().peer;
     fleet.kill_host("a3");
     fleet
@@ -153,15 +161,16 @@
         .await;
     for i in 0..12 {
         let key = format!("fresh-{i}");
-        let seen = call(&fleet, "a1", Method::POST, Some(&key), "permit").await;
-        let refused = seen.status == 503 && seen.json()["error"]["outcome"] == "not-run";
-        assert!(seen.status == 201 || refused, "{seen:?}");
+        let response = call(&fleet, "a1", Method::POST, Some(&key), "permit").await;
+        let is_rejected =
+            response.status == 503 && response.json()["error"]["outcome"] == "not-run";
+        assert!(response.status == 201 || is_rejected, "{response:?}");
     }
 }
 
 #[tokio::test]
-async fn a_service_that_is_not_in_the_bundle_is_not_found() {
-    let fleet = ready().await;
+async fn service_missing_from_bundle_is_not_found() {
+    let fleet = ready_fleet().await;
     let url = format!("{}/services/other/x", fleet.url("a1"));
     assert_eq!(fleet.get(PERMITS_KEY, &url).await.unwrap().status, 404);
 }
