--- a/crates/server/src/api/admin.rs
+++ b/crates/server/src/api/admin.rs
@@ -131,8 +131,8 @@
             });
         }
     };
-    let read_back = tokio::time::timeout(READ_BACK_TIMEOUT, feed.outcome(offset)).await;
-    let event = read_back.ok().flatten().ok_or(ApiError::OutcomeUnknown)?;
+    let outcome = tokio::time::timeout(READ_BACK_TIMEOUT, feed.outcome(offset)).await;
+    let event = outcome.ok().flatten().ok_or(ApiError::OutcomeUnknown)?;
     match event.outcome {
         Outcome::Proposed | Outcome::InForce => Ok(offset),
         Outcome::Refused(why) => Err(ApiError::BundleRejected(why)),
--- a/crates/server/src/api/input_file.rs
+++ b/crates/server/src/api/input_file.rs
@@ -45,7 +45,7 @@
     custom_id_hashes: HashSet<u128>,
     serving: Option<String>,
     parts: Vec<Vec<u8>>,
-    parts_bytes: usize,
+    buffered_bytes: usize,
     chunks: Vec<Chunk>,
     hasher: Sha256,
 }
@@ -69,7 +69,7 @@
             custom_id_hashes: HashSet::new(),
             serving: None,
             parts: Vec::new(),
-            parts_bytes: 0,
+            buffered_bytes: 0,
             chunks: Vec::new(),
             hasher: Sha256::new(),
         }
@@ -127,9 +127,9 @@
         if self.item_count > max {
             return Err(ApiError::TooManyItems { max });
         }
-        self.parts_bytes += line.len();
+        self.buffered_bytes += line.len();
         self.parts.push(line.to_vec());
-        if self.parts_bytes >= BLOB_BYTES_MAX || self.parts.len() >= BLOB_ITEMS_MAX {
+        if self.buffered_bytes >= BLOB_BYTES_MAX || self.parts.len() >= BLOB_ITEMS_MAX {
             self.flush().await?;
         }
         Ok(())
@@ -186,7 +186,7 @@
             return Ok(());
         }
         let parts = std::mem::take(&mut self.parts);
-        self.parts_bytes = 0;
+        self.buffered_bytes = 0;
         let len = u16::try_from(parts.len()).unwrap_or(u16::MAX);
         let blob = Blob { parts };
         for delay in budget::backoff(rand::random()).take(WRITE_ATTEMPTS_MAX) {
--- a/crates/server/src/bundle.rs
+++ b/crates/server/src/bundle.rs
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether a fingerprint belongs to a serving of the current bundle.
-    pub(crate) fn is_in_force(&self, fingerprint: &str) -> bool {
+    pub(crate) fn has_fingerprint(&self, fingerprint: &str) -> bool {
         self.routes.values().any(|r| r.fingerprint == fingerprint)
     }
 }
@@ -212,7 +212,7 @@
         is_starting
     });
     ctx.publish_fact(Fact::Bundle(in_force.version));
-    slog::info!(ctx.logger, "bundle in force"; "version" => in_force.version);
+    slog::info!(ctx.logger, "bundle applied"; "version" => in_force.version);
 }
 
 async fn follow_stream(ctx: Arc<Context>, follower: Arc<BundleFollower>) {
--- a/crates/server/src/dispatch.rs
+++ b/crates/server/src/dispatch.rs
@@ -67,7 +67,7 @@
     epoch: Epoch,
     orders_from: Instant,
     slots: Slots,
-    running: HashMap<StreamId, Running>,
+    running: HashMap<StreamId, RunningItem>,
     ready: VecDeque<Item>,
     next_id: StreamId,
     is_pulling: bool,
@@ -78,8 +78,8 @@
     last_report: Option<fact::Target>,
 }
 
-struct Running {
-    cancel: Option<oneshot::Sender<()>>,
+struct RunningItem {
+    cancel_tx: Option<oneshot::Sender<()>>,
     assigned: AssignedItem,
 }
 
@@ -101,7 +101,7 @@
         let now = Instant::now();
         self.slots.set_online(&online.host, online.streams, now);
         self.preempt(now);
-        self.fill(now, ctx);
+        self.start_ready_items(now, ctx);
     }
 }
 
@@ -111,7 +111,7 @@
     async fn handle(&mut self, _: Tick, ctx: &mut Context<Self>) {
         let now = Instant::now();
         self.preempt(now);
-        self.fill(now, ctx);
+        self.start_ready_items(now, ctx);
         self.pull(ctx);
     }
 }
@@ -145,7 +145,7 @@
             None => self.failed_reads += 1,
         }
         self.publish_report();
-        self.fill(Instant::now(), ctx);
+        self.start_ready_items(Instant::now(), ctx);
     }
 }
 
@@ -158,7 +158,7 @@
         let items = assigned.into_iter().map(|a| Item::new(a, &serving));
         let has_items = items.len() > 0;
         self.ready.extend(items);
-        self.fill(Instant::now(), ctx);
+        self.start_ready_items(Instant::now(), ctx);
         if has_items {
             self.pull(ctx);
         }
@@ -180,7 +180,7 @@
                 tokio::spawn(item::return_items(shared, vec![*item]));
             }
         }
-        self.fill(Instant::now(), ctx);
+        self.start_ready_items(Instant::now(), ctx);
         self.pull(ctx);
     }
 }
@@ -191,8 +191,8 @@
         let limit = self.shared.table().limit(&self.target);
         for id in self.slots.preempt(limit, now) {
             let running = self.running.get_mut(&id);
-            if let Some(cancel) = running.and_then(|r| r.cancel.take()) {
-                let _ = cancel.send(());
+            if let Some(cancel_tx) = running.and_then(|r| r.cancel_tx.take()) {
+                let _ = cancel_tx.send(());
             }
             // The slot counts as free from now on; the end of the stream releases nothing.
             self.slots.end(id);
@@ -200,7 +200,7 @@
     }
 
     /// Starts ready items while slots are available.
-    fn fill(&mut self, now: Instant, ctx: &mut Context<Self>) {
+    fn start_ready_items(&mut self, now: Instant, ctx: &mut Context<Self>) {
         let is_leaving = self.shared.phase() >= Phase::Leaving;
         let is_available = self.shared.table().is_available(&self.target, now);
         if is_leaving || !is_available || self.failed_reads >= FAILED_READS_MAX {
@@ -241,9 +241,9 @@
         } else {
             self.slots.begin(id, now);
         }
-        let (cancel, cancelled) = oneshot::channel();
-        let running = Running {
-            cancel: Some(cancel),
+        let (cancel_tx, cancel_rx) = oneshot::channel();
+        let running = RunningItem {
+            cancel_tx: Some(cancel_tx),
             assigned: item.assigned.clone(),
         };
         self.running.insert(id, running);
@@ -251,7 +251,7 @@
         let target = self.target.clone();
         tokio::spawn(async move {
             let outcome =
-                item::run(Arc::clone(&shared), target, fingerprint, item, cancelled).await;
+                item::run(Arc::clone(&shared), target, fingerprint, item, cancel_rx).await;
             if let Err(RunEnded(_, outcome)) = deliver(&address, RunEnded(id, outcome)).await
                 && let RunOutcome::Interrupted(item) | RunOutcome::Returned(item) = outcome
             {
@@ -385,12 +385,12 @@
 }
 
 /// Confirms the items that this host holds to the new owner of a shard.
-pub(crate) struct Reannounce(pub(crate) u32);
+pub(crate) struct ConfirmItems(pub(crate) u32);
 
-impl Handler<Reannounce> for Dispatcher {
+impl Handler<ConfirmItems> for Dispatcher {
     type Return = ();
 
-    async fn handle(&mut self, to: Reannounce, _: &mut Context<Self>) {
+    async fn handle(&mut self, to: ConfirmItems, _: &mut Context<Self>) {
         let running = self.running.values().map(|r| &r.assigned);
         let ready = self.ready.iter().map(|i| &i.assigned);
         let assigned: Vec<AssignedItem> = running
--- a/crates/server/src/dispatch/orders.rs
+++ b/crates/server/src/dispatch/orders.rs
@@ -48,7 +48,7 @@
         };
         let others = |fingerprint: &str| self.count_others_holding(fingerprint);
         let step = reconcile::next_step(&names(&wanted), &target_state, others, |f| {
-            active.is_in_force(f)
+            active.has_fingerprint(f)
         });
         let action = match step {
             None => return,
--- a/crates/server/src/item.rs
+++ b/crates/server/src/item.rs
@@ -73,13 +73,13 @@
     }
 }
 
-/// Runs an item on a target until it ends or `cancel` fires.
+/// Runs an item on a target until it ends or is cancelled through `cancel_rx`.
 pub(crate) async fn run(
     ctx: Arc<Context>,
     target: String,
     fingerprint: String,
     mut item: Item,
-    cancel: oneshot::Receiver<()>,
+    cancel_rx: oneshot::Receiver<()>,
 ) -> RunOutcome {
     let Some(url) = ctx.target_url(&target) else {
         return RunOutcome::Interrupted(Box::new(item));
@@ -108,7 +108,7 @@
         res = exchange::run(&ctx.targets, &url, &target_request, timeouts, &mut progress, |observation| {
             record_load(&ctx, &target, &observation);
         }) => Some(res),
-        _ = cancel => None,
+        _ = cancel_rx => None,
     };
     item.progress = progress;
     let Some(res) = res else {
--- a/crates/server/src/leases.rs
+++ b/crates/server/src/leases.rs
@@ -304,8 +304,12 @@
         // The previous lease had expired before this host could claim the target. An order of
         // the previous holder may still be in transit, though, and a target that does not
         // check fencing tokens would execute it.
-        let landing = ms(self.shared.settings.lease.landing_ms);
-        let orders_from = if checks_fencing { now } else { now + landing };
+        let landing_time = ms(self.shared.settings.lease.landing_ms);
+        let orders_from = if checks_fencing {
+            now
+        } else {
+            now + landing_time
+        };
         dispatch::spawn(&self.shared, target, epoch, orders_from)
     }
 }
--- a/crates/server/src/ledger.rs
+++ b/crates/server/src/ledger.rs
@@ -107,9 +107,9 @@
     let Some(actor) = ctx.shard(shard) else {
         return Err(CommandError::NotOwner { holder: None });
     };
-    let (tx, rx) = oneshot::channel();
-    post(&actor, ExecuteCommand { command, tx });
-    rx.await.unwrap_or(Err(CommandError::Unknown))
+    let (reply_tx, reply_rx) = oneshot::channel();
+    post(&actor, ExecuteCommand { command, reply_tx });
+    reply_rx.await.unwrap_or(Err(CommandError::Unknown))
 }
 
 /// Returns the host that holds a shard or, if that is unknown or down, the one that should
--- a/crates/server/src/members.rs
+++ b/crates/server/src/members.rs
@@ -27,8 +27,8 @@
 use crate::bundle::BundleFollower;
 use crate::context::Context as Shared;
 use crate::context::post;
+use crate::dispatch::ConfirmItems;
 use crate::dispatch::OnlineStreams;
-use crate::dispatch::Reannounce;
 use crate::metrics::Counted;
 use crate::quarantine;
 use crate::shards::HostFailed;
@@ -120,7 +120,7 @@
             Fact::Shard(shard, holder) => {
                 shared.view_mut().shard_holders.insert(shard, holder);
                 for dispatcher in shared.all_dispatchers() {
-                    post(&dispatcher, Reannounce(shard));
+                    post(&dispatcher, ConfirmItems(shard));
                 }
             }
             Fact::Backlog(host, backlog) => {
--- a/crates/server/src/quarantine.rs
+++ b/crates/server/src/quarantine.rs
@@ -103,7 +103,7 @@
     before: Option<IncarnationId>,
     run_time: Duration,
 ) {
-    let at = Instant::now();
+    let detected_at = Instant::now();
     let (Some(url), Some(before)) = (ctx.target_url(target), before) else {
         return;
     };
@@ -118,7 +118,7 @@
     let crash = Crash {
         incarnation: before,
         run_time,
-        detected_at: at,
+        detected_at,
     };
     let change = ctx.suspects.record_crash(fingerprint, crash);
     slog::info!(ctx.logger, "target crashed under a request"; "target" => target,
--- a/crates/server/src/shards.rs
+++ b/crates/server/src/shards.rs
@@ -50,7 +50,7 @@
 /// A command for the owner of the shard.
 pub(crate) struct ExecuteCommand {
     pub(crate) command: Command,
-    pub(crate) tx: oneshot::Sender<Result<Reply, CommandError>>,
+    pub(crate) reply_tx: oneshot::Sender<Result<Reply, CommandError>>,
 }
 
 /// Inputs for the owner's decision logic.
@@ -93,7 +93,7 @@
     async fn handle(&mut self, execute: ExecuteCommand, ctx: &mut Context<Self>) {
         let token = self.next_token;
         self.next_token += 1;
-        self.pending_replies.insert(token, execute.tx);
+        self.pending_replies.insert(token, execute.reply_tx);
         let command = execute.command;
         self.step(Input::Command { token, command }, ctx);
     }
@@ -151,9 +151,9 @@
                 tokio::spawn(append_record(shared, self.shard, record, address));
             }
             Effect::Reply { token, res } => {
-                if let Some(tx) = self.pending_replies.remove(&token) {
+                if let Some(reply_tx) = self.pending_replies.remove(&token) {
                     // The receiver is dropped if the caller stopped waiting.
-                    let _ = tx.send(res);
+                    let _ = reply_tx.send(res);
                 }
             }
             Effect::SaveSnapshot { bytes, upto } => {
