--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -32,7 +32,7 @@
                    host immediately
 
 Exit codes:
-  0  The host shut down after finishing its work, or the settings are valid
+  0  The host finished its work and shut down, or --check found no error
   1  The host could not start, or it stopped with work unfinished
   2  The command line or the settings are invalid
 ";
--- a/crates/server/src/members.rs
+++ b/crates/server/src/members.rs
@@ -44,7 +44,7 @@
 pub(crate) const ROLE_ONLINE: u8 = 1;
 pub(crate) const ROLE_BATCH: u8 = 2;
 
-/// A fact observed by this host.
+/// A fact that this host learned from a source other than gossip.
 pub(crate) struct LocalFact(pub(crate) Fact);
 /// A gossip datagram was received.
 struct GossipReceived(Vec<u8>);
--- a/crates/server/tests/batch.rs
+++ b/crates/server/tests/batch.rs
@@ -73,14 +73,14 @@
 #[tokio::test]
 async fn repeated_submission_yields_same_job() {
     let fleet = Fleet::ready(Config::default()).await;
-    let lot = fleet::lot("n", 5, TOKENS);
-    let first = fleet.submit("a1", SCHOOL_KEY, &lot).await;
-    let repeated = fleet.submit("a2", SCHOOL_KEY, &lot).await;
+    let input_file = fleet::lot("n", 5, TOKENS);
+    let first = fleet.submit("a1", SCHOOL_KEY, &input_file).await;
+    let repeated = fleet.submit("a2", SCHOOL_KEY, &input_file).await;
     assert_eq!(first, repeated);
-    let other = fleet.submit("a2", PERMITS_KEY, &lot).await;
+    let other = fleet.submit("a2", PERMITS_KEY, &input_file).await;
     assert_ne!(first, other, "Another tenant gets a job of its own.");
     fleet.job_ended(SCHOOL_KEY, &first).await;
-    let after = fleet.submit("a3", SCHOOL_KEY, &lot).await;
+    let after = fleet.submit("a3", SCHOOL_KEY, &input_file).await;
     assert_eq!(first, after);
 }
 
@@ -127,12 +127,12 @@
 #[case::other_method(line("a", "hints").replace("POST", "PUT"), 1, "method")]
 #[tokio::test]
 async fn invalid_line_is_reported_and_file_rejected(
-    #[case] lot: String,
+    #[case] input_file: String,
     #[case] number: u32,
     #[case] reason: &str,
 ) {
     let fleet = Fleet::ready(Config::default()).await;
-    let response = fleet.upload("a1", SCHOOL_KEY, &lot).await;
+    let response = fleet.upload("a1", SCHOOL_KEY, &input_file).await;
     assert_eq!(response.status, 400, "{}", response.body);
     let message = response.json()["error"]["message"]
         .as_str()
@@ -155,8 +155,11 @@
     };
     let fleet = Fleet::ready(config).await;
     assert_eq!(fleet.upload("a1", SCHOOL_KEY, "\n\n").await.status, 400);
-    let lot = fleet::lot("n", 4, TOKENS);
-    assert_eq!(fleet.upload("a1", SCHOOL_KEY, &lot).await.status, 413);
+    let input_file = fleet::lot("n", 4, TOKENS);
+    assert_eq!(
+        fleet.upload("a1", SCHOOL_KEY, &input_file).await.status,
+        413
+    );
 }
 
 #[tokio::test]
@@ -195,12 +198,12 @@
 #[tokio::test]
 async fn permanently_failed_item_is_listed_with_reason() {
     let fleet = Fleet::ready(Config::default()).await;
-    let mut lot = fleet::lot("n", 20, TOKENS);
-    lot.push_str(
+    let mut input_file = fleet::lot("n", 20, TOKENS);
+    input_file.push_str(
         &line("bad", "hints").replace("\"content\":\"bad\"", "\"content\":\"[malformed]\""),
     );
-    assert!(lot.contains(engine::MALFORMED));
-    let job = fleet.submit("a1", SCHOOL_KEY, &lot).await;
+    assert!(input_file.contains(engine::MALFORMED));
+    let job = fleet.submit("a1", SCHOOL_KEY, &input_file).await;
     let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (21, 20, 1));
     let errors = ended["error_file_id"].as_str().unwrap();
@@ -212,9 +215,10 @@
 #[tokio::test]
 async fn item_that_crashes_targets_does_not_fail_the_job() {
     let fleet = Fleet::ready(Config::default()).await;
-    let mut lot = fleet::lot("n", 30, TOKENS);
-    lot.push_str(&line("bad", "hints").replace("\"content\":\"bad\"", "\"content\":\"[poison]\""));
-    let job = fleet.submit("a1", SCHOOL_KEY, &lot).await;
+    let mut input_file = fleet::lot("n", 30, TOKENS);
+    input_file
+        .push_str(&line("bad", "hints").replace("\"content\":\"bad\"", "\"content\":\"[poison]\""));
+    let job = fleet.submit("a1", SCHOOL_KEY, &input_file).await;
     let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (31, 30, 1));
     let errors = ended["error_file_id"].as_str().unwrap();
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -40,22 +40,22 @@
             let input_file = fleet::lot(&format!("n{round}"), 600, TOKENS);
             jobs.push(fleet.submit(0, &input_file).await);
         }
-        let victim = 1 + round % 2;
-        fleet.hosts[victim].child.start_kill().unwrap();
+        let crashed_host = 1 + round % 2;
+        fleet.hosts[crashed_host].child.start_kill().unwrap();
         // Meanwhile, the surviving host serves online requests.
         let url = format!("{}/v1/chat/completions", fleet.hosts[0].url);
         for i in 0..5 {
-            let ask = json!({"model": "hints", "max_tokens": TOKENS,
+            let chat_request = json!({"model": "hints", "max_tokens": TOKENS,
                 "messages": [{"role": "user", "content": format!("{round} {i}")}]});
             let response = fleet
-                .send(Method::POST, &url, ask.to_string())
+                .send(Method::POST, &url, chat_request.to_string())
                 .await
                 .unwrap();
             assert_eq!(response.status, 200, "{}", response.body);
         }
         fleet.start_host(&format!("b{round}")).await;
         let replacement = fleet.hosts.pop().unwrap();
-        fleet.hosts[victim] = replacement;
+        fleet.hosts[crashed_host] = replacement;
     }
     for job in &jobs {
         fleet.check_results(0, job, 600).await;
@@ -112,7 +112,7 @@
         assert!(*status == 201 || *outcome == "unknown", "{results:?}");
     }
     wait_until(|| async { fleet.get(&hosts).await.is_some_and(|h| all_shards_held(&h)) }).await;
-    // Repeated calls get the same outcome.
+    // A repeated call gets the first outcome or, if that was unknown, the recorded response.
     for (i, (first, _)) in results.iter().enumerate() {
         let key = format!("k{i}");
         let settled = |(status, outcome): (u16, Value)| {
@@ -177,14 +177,18 @@
     let job = fleet.submit(0, &fleet::lot("n", 200, TOKENS)).await;
     fleet.wait_busy().await;
     let url = format!("{}/v1/chat/completions", fleet.hosts[1].url);
-    let ask = |i: u32, stream: bool| {
+    let chat_request = |i: u32, stream: bool| {
         json!({"model": "hints", "max_tokens": 40, "stream": stream,
             "messages": [{"role": "user", "content": format!("long {i}")}]})
         .to_string()
     };
     let pending: Vec<_> = (0..12)
         .map(|i| {
-            let (client, url, body) = (fleet.client.clone(), url.clone(), ask(i, i % 2 == 0));
+            let (client, url, body) = (
+                fleet.client.clone(),
+                url.clone(),
+                chat_request(i, i % 2 == 0),
+            );
             tokio::spawn(async move {
                 let auth = format!("Bearer {SCHOOL_KEY}");
                 let headers = [("authorization", auth.as_str())];
