--- a/crates/proto/src/messages.rs
+++ b/crates/proto/src/messages.rs
@@ -45,6 +45,9 @@
 }
 
 /// Transfers a free slot of a target to a request that waits at the receiver.
+///
+/// Sent only to the host that receives the slot; the other hosts are informed by
+/// [`Contention::handed`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotTransfer {
     /// The hash of the target's name.
@@ -161,38 +164,42 @@
     pub items: u32,
 }
 
-/// Online requests that wait at a host, and the slots that workspaces hold there. Appended to
+/// Online requests that wait at a host, and the slots that workspaces use there. Appended to
 /// a [`Status`] while any request waits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contention {
     /// The first requests of the host's wait queues.
     pub waiting: Vec<WaitingRequest>,
-    /// Slots held by workspaces there; only the workspaces with the most slots.
+    /// Slots used by workspaces there; only the workspaces with the most slots.
     pub held: Vec<HeldSlots>,
     /// The hashes of the names of targets of which the host has recently transferred slots
     /// to requests at other hosts.
     pub handed: Vec<u32>,
 }
 
-/// An online request that waits at a host.
+/// An online request that waits at a host: the form on the wire of
+/// `notchwharf_waiting::RequestSummary`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingRequest {
     /// The hash of its service's name.
     pub service: u32,
     /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// The degree to which its workspace exceeds its share of the slots.
+    /// The overuse level of its workspace: how far it exceeds its fair share of the slots.
     pub level: u8,
     /// Time for which it has waited.
     pub age_ms: u64,
 }
 
-/// Slots that a workspace holds at a host.
+/// Slots of targets in use by the requests that a host runs for a workspace.
+///
+/// The form on the wire of `notchwharf_waiting::WorkspaceUsage`. Unrelated to the holder slots
+/// of rate limits in [`QuotaMessage`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldSlots {
     /// The hash of the workspace's name.
     pub workspace: u32,
-    /// The weight of the workspace when slots are shared, in thousandths.
+    /// The weight of the workspace's fair share relative to other workspaces, in thousandths.
     pub weight_milli: u64,
     /// The number of slots.
     pub places: u32,
--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -128,22 +128,22 @@
 /// The state of reading the log, as reported by its reader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reading {
-    /// Age of the newest complete reading of targets, if any.
+    /// Age of the newest complete read of targets, if any.
     pub age_ms: Option<u64>,
-    /// Age of the newest reading of the configuration, if any.
+    /// Age of the newest read of the configuration, if any.
     pub config_age_ms: Option<u64>,
-    /// Store contact of target readings.
+    /// Outages of the store as shown by reads of targets.
     pub targets: Contact,
-    /// Store contact of all calls.
+    /// Outages of the store as shown by all calls.
     pub calls: Contact,
 }
 
-/// Contact with the store.
+/// The latest outage of the store, derived from the calls of one host to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
-    /// Age of the latest fault.
+    /// Time since the outage, if there was one.
     pub away_ms_ago: Option<u64>,
-    /// Time since calls succeeded again after the fault.
+    /// Time since a call was first answered after the outage; `None` before that.
     pub back_ms_ago: Option<u64>,
 }
 
--- a/crates/quota/benches/decide.rs
+++ b/crates/quota/benches/decide.rs
@@ -41,19 +41,19 @@
         slack: 20.0,
     };
     let limited = workspaces.iter().filter_map(|workspace| {
-        let terms = BucketParams::new(workspace.limit?, bounds);
-        Some((workspace_key(&workspace.name), terms))
+        let params = BucketParams::new(workspace.limit?, bounds);
+        Some((workspace_key(&workspace.name), params))
     });
     let start = Instant::now();
-    let mut node = Limiter::new(1, 0, start);
-    node.set_limits(limited.collect(), start);
+    let mut limiter = Limiter::new(1, 0, start);
+    limiter.set_limits(limited.collect(), start);
     let later = start + Duration::from_secs(5);
     let fleet = Fleet {
         members: &[1],
         is_complete: true,
         ..Fleet::default()
     };
-    node.tick(&fleet, true, later);
+    limiter.tick(&fleet, true, later);
     let now = later + Duration::from_millis(500);
     let mut group = c.benchmark_group("decision at 16,000 workspaces");
     group.bench_function("find the workspace of a key", |b| {
@@ -62,7 +62,7 @@
     group.bench_function("decide a request", |b| {
         b.iter(|| {
             let key = workspace_key(black_box("workspace-12345"));
-            node.query(key, Duration::ZERO, now)
+            limiter.query(key, Duration::ZERO, now)
         });
     });
     group.finish();
--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/allowance.rs
@@ -10,14 +10,14 @@
 //! Alternatives rejected: writing counts asynchronously (several store calls per second, and
 //! the requests admitted since the last write are unknown anyway), reserving tokens ahead (as
 //! many calls, and requests stop while the store is unavailable), and proving that no earlier
-//! holder is alive (which does not tell how much it admitted).
+//! holder is alive (which does not show how much it admitted).
 
 use std::time::Duration;
 
 use crate::holder::ALLOWANCE_TTL;
 
 /// Largest expected difference between the wall clocks of two hosts, including steps of a
-/// clock that is being adjusted. The platform promises less, but an incorrect clock alone
+/// clock that is being adjusted. The platform specifies less, but an incorrect clock alone
 /// must not exceed a limit.
 const CLOCK_SKEW_MAX: Duration = Duration::from_millis(2_500);
 
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -37,8 +37,8 @@
     Unknown,
 }
 
-/// Fraction of a slot above which its holder requests the allowance: more than half, which no
-/// two hosts can hold at the same time.
+/// Fraction of a holder slot's shares above which its holder requests the allowance: more than
+/// half, which no two hosts can hold at the same time.
 const ALLOWANCE_SHARE_MIN: f64 = 0.6;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -37,9 +37,10 @@
 //! Alternatives rejected, with figures of the simulation in `examples/ways.rs`:
 //!
 //! - Gossiped counts, where each host subtracts the requests admitted elsewhere from a bucket
-//!   of the whole limit: hosts admit requests before they learn of others, so a flood over 12
-//!   hosts exceeded the bounds. Every host also reports to every other, which took 1.4 kB/s
-//!   per host at 12 hosts and 7.6 kB/s at 61; leased shares took at most 1.0 and 0.4 kB/s.
+//!   of the whole limit: hosts admit requests before they receive the counts of others, so a
+//!   flood over 12 hosts exceeded the bounds. Every host also reports to every other, which
+//!   took 1.4 kB/s per host at 12 hosts and 7.6 kB/s at 61; leased shares took at most 1.0 and
+//!   0.4 kB/s.
 //! - Shares that follow demand: the share of the receiving host is often too small. Of the
 //!   requests that a large workspace sent to all hosts at 0.9 times its limit, 19 % were
 //!   refused at 12 hosts and 60 % at 61; leased shares refused none.
@@ -66,9 +67,13 @@
 
 /// Hash of a host's name.
 pub type HostKey = u32;
-/// Hash of a workspace's name.
+/// Hash of a workspace's name: 64 bits, unlike the 32-bit key of `notchwharf_waiting`.
 pub type WorkspaceKey = u64;
 /// Index of a holder slot, the role of one of the concurrent holders.
+///
+/// Every slot in this crate is a holder slot: a host that holds it decides about requests. A
+/// slot of a target, in `notchwharf_waiting` and elsewhere, is something else: capacity for one
+/// running request.
 pub type HolderSlot = u8;
 
 /// Number of concurrent holders. With one, its failure stops all limited workspaces for the
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Rate limiter of one host: the leases it grants, the slots it holds, and its queries.
+//! Rate limiter of one host: the leases it grants, the holder slots it holds, and its queries.
 //!
 //! It reads no clock and performs no I/O: times and messages are passed in, and the messages
 //! to send are returned.
@@ -45,7 +45,7 @@
 /// Time after its start during which a host requests leases at every tick until it holds most
 /// shares: each host grants its lease as soon as it knows that its share is not leased.
 const GATHER_TIME: Duration = Duration::from_secs(1);
-/// Fraction of a slot that counts as most of it.
+/// Fraction of a holder slot's shares that counts as most of them.
 const GATHERED_FRACTION: f64 = 0.9;
 /// Requests per lease duration; tolerates the loss of two in a row.
 const REQUESTS_PER_LEASE: u32 = 3;
@@ -418,13 +418,13 @@
     fn receive_lease_request(
         &mut self,
         from: HostKey,
-        number: HolderSlot,
+        holder_slot: HolderSlot,
         stamp_ms: u64,
         valid_ms: u32,
         is_held: bool,
         now: Instant,
     ) -> Action {
-        let index = usize::from(number);
+        let index = usize::from(holder_slot);
         let Some(hosts) = self.fleet_size().filter(|_| index < HOLDER_SLOTS) else {
             return Action::None;
         };
@@ -443,7 +443,7 @@
         }
         slot.grantor.grant(from, duration, now);
         Action::Reply(Message::Lent {
-            slot: number,
+            slot: holder_slot,
             stamp_ms,
             hosts,
         })
--- a/crates/quota/src/params.rs
+++ b/crates/quota/src/params.rs
@@ -4,7 +4,7 @@
 
 use notchwharf_config::access::RateLimit;
 
-/// Tolerated excess of limits, as stated by the platform: no period of length `window`
+/// Tolerated excess of limits, as specified by the platform: no period of length `window`
 /// contains more than (rate x window + burst) x (1 + excess) + slack requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
--- a/crates/waiting/src/lib.rs
+++ b/crates/waiting/src/lib.rs
@@ -1,14 +1,15 @@
 //! Ordering of online requests that wait at hosts for a free target slot.
 //!
-//! A target runs a limited number of requests at once; each unit of that limit is a slot. A
-//! target processes its queue in arrival order, and a request queued there cannot move to
-//! another target. Requests therefore wait at their host while all slots are in use, and
-//! start at whichever target frees a slot first. All hosts of a data centre apply the same
-//! [order]: by priority, then requests of workspaces that exceed their fair share of the
-//! slots after all others, then by age. The host whose request ends assigns the freed slot to
-//! the first request in that order and transfers it to a peer if the request waits there. Any
-//! other host that observes a free slot leaves as many slots as there are requests of other
-//! hosts ahead of its own.
+//! A target runs a limited number of requests at once; each unit of that limit is a slot
+//! (unrelated to the holder slots of `notchwharf_quota`, which are roles of hosts). A target
+//! processes its queue in arrival order, and a request queued there cannot move to another
+//! target. Requests therefore wait at their host while all slots are in use, and start at
+//! whichever target frees a slot first. All hosts of a data centre apply the same [order]: by
+//! priority, then requests of workspaces that exceed their fair share of the slots after all
+//! others, then by age. The host whose request ends assigns the freed slot to the first request
+//! in that order and transfers it to a peer if the request waits there. Any other host that
+//! observes a free slot leaves as many slots as there are requests of other hosts ahead of its
+//! own.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -68,7 +69,7 @@
 
 /// Hash of a service's name.
 pub type ServiceKey = u32;
-/// Hash of a workspace's name.
+/// Hash of a workspace's name: 32 bits, unlike the 64-bit key of `notchwharf_quota`.
 pub type WorkspaceKey = u32;
 /// Hash of a target's name.
 pub type TargetKey = u32;
@@ -77,6 +78,6 @@
 
 /// Returns the hash of a service's or workspace's name.
 pub fn key(name: &str) -> u32 {
-    // The low half of an XXH3 hash is distributed as well as the whole.
+    // The low half of an XXH3 hash is as uniformly distributed as the whole.
     xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/waiting/src/request.rs
+++ b/crates/waiting/src/request.rs
@@ -102,6 +102,6 @@
 pub enum Assignment {
     /// The first request of this host.
     Local(QueuedRequest),
-    /// The first request of a peer, which has to be notified.
+    /// The first request of a peer, to which the caller must send a slot transfer.
     Peer(HostId),
 }
--- a/crates/waiting/src/retry.rs
+++ b/crates/waiting/src/retry.rs
@@ -17,7 +17,7 @@
 /// Shortest retry time: an earlier retry costs a connection and finds the same queue.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
-/// Shortest interval between two retry times, used while the drain rate is unknown.
+/// Shortest interval between two retry times, used while the release rate is unknown.
 const RETRY_INTERVAL_MIN: Duration = Duration::from_millis(10);
 
 /// Retry times issued by one host.
@@ -29,15 +29,15 @@
 impl RetrySchedule {
     /// Returns the time after which a caller refused now should retry: after `wait`, within
     /// which the requests ahead of it start, and after all callers refused before.
-    /// `drain_per_s` slots are freed per second and shared by `hosts` hosts.
+    /// `releases_per_s` slots are freed per second and shared by `hosts` hosts.
     pub fn next_retry_after(
         &mut self,
         wait: Duration,
-        drain_per_s: f64,
+        releases_per_s: f64,
         hosts: u32,
         now: Instant,
     ) -> Duration {
-        let interval_s = f64::from(hosts.max(1)) / (drain_per_s * RETRY_FRACTION);
+        let interval_s = f64::from(hosts.max(1)) / (releases_per_s * RETRY_FRACTION);
         let interval = Duration::try_from_secs_f64(interval_s).unwrap_or(RETRY_AFTER_MAX);
         let interval = interval.clamp(RETRY_INTERVAL_MIN, RETRY_AFTER_MAX);
         let earliest = now + wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
--- a/crates/waiting/src/usage.rs
+++ b/crates/waiting/src/usage.rs
@@ -33,7 +33,10 @@
 /// Largest weight; no fleet serves as many requests per second.
 const WEIGHT_MAX: f64 = 1e6;
 
-/// Slots in use by a workspace.
+/// Slots in use by the requests that a host runs for a workspace, as it reports them to peers.
+///
+/// `notchwharf_proto::messages::HeldSlots` is the form on the wire, in which the weight is an
+/// integer number of thousandths.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkspaceUsage {
     /// The workspace.
@@ -44,7 +47,7 @@
     pub slots: u32,
 }
 
-/// Usage of one workspace.
+/// Usage of one workspace, by this host and by all of its peers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
     weight: f64,
@@ -89,8 +92,8 @@
             return;
         }
         for reported in &usage {
-            self.update(reported.workspace, reported.weight, |workspace| {
-                workspace.peers = workspace.peers.saturating_add(reported.slots);
+            self.update(reported.workspace, reported.weight, |usage| {
+                usage.peers = usage.peers.saturating_add(reported.slots);
             });
         }
         self.peers.insert(host.to_owned(), usage);
--- a/crates/waiting/src/wait_queue.rs
+++ b/crates/waiting/src/wait_queue.rs
@@ -39,7 +39,7 @@
 /// time, so that the caller learns early that it should retry.
 const EARLY_REFUSAL_WINDOW: Duration = Duration::from_millis(10);
 
-/// Factor by which a new request's remaining time must exceed its expected wait: the drain
+/// Factor by which a new request's remaining time must exceed its expected wait: the release
 /// rate is mostly measured on requests that ran while slots were free, and saturated targets
 /// are slower. A request that waits without success is not retried in time.
 const WAIT_MARGIN: f64 = 2.0;
@@ -181,8 +181,9 @@
         }
     }
 
-    /// Returns the targets of which this host recently transferred slots; it reports them to
-    /// its peers, to which these slots appear free.
+    /// Returns the targets of which this host recently transferred slots. It reports them to
+    /// all peers, to which these slots appear free; the receiver of a slot is notified by a
+    /// separate message (`notchwharf_proto::messages::SlotTransfer`).
     pub fn recent_transfers(&self, now: Instant) -> Vec<TargetKey> {
         let own = self
             .transfers
@@ -221,7 +222,7 @@
     }
 
     /// Returns whether a host's first request may take one of the free slots of local targets.
-    /// `drain_per_s` slots are freed per second while all are in use.
+    /// `releases_per_s` slots are freed per second while all are in use.
     ///
     /// It may if there are more free slots than requests of other hosts ahead of it. Until
     /// those hosts know of the request, there must also be a surplus for the slots that they
@@ -232,7 +233,7 @@
         &mut self,
         first: &QueuedRequest,
         free: &[FreeSlots],
-        drain_per_s: f64,
+        releases_per_s: f64,
         now: Instant,
     ) -> StartDecision {
         let service = first.request.service;
@@ -245,7 +246,7 @@
             &unreserved
         };
         let free_count: u32 = free.iter().map(|slots| slots.count).sum();
-        let possibly_taken = drain_per_s * PROPAGATION_TIME.as_secs_f64() + FREE_SLOTS_MARGIN;
+        let possibly_taken = releases_per_s * PROPAGATION_TIME.as_secs_f64() + FREE_SLOTS_MARGIN;
         let is_propagated = now.saturating_duration_since(first.enqueued_at) >= PROPAGATION_TIME;
         let margin = if is_propagated {
             0
@@ -282,11 +283,11 @@
     }
 
     /// Returns when each request for a service is expected to start, in that order, if
-    /// `drain_per_s` slots are freed per second.
+    /// `releases_per_s` slots are freed per second.
     pub fn estimate_starts(
         &self,
         service: ServiceKey,
-        drain_per_s: f64,
+        releases_per_s: f64,
         usage: &SlotUsage,
         now: Instant,
     ) -> Vec<StartEstimate> {
@@ -295,7 +296,7 @@
         let positions = (0..).zip(queued);
         let estimates = positions.map(|(position, queued)| {
             let ahead = position + self.ahead(service, queued.rank);
-            let wait_s = f64::from(ahead + 1) / drain_per_s;
+            let wait_s = f64::from(ahead + 1) / releases_per_s;
             let remaining = queued.request.start_deadline.saturating_duration_since(now);
             let is_new = now.saturating_duration_since(queued.enqueued_at) <= EARLY_REFUSAL_WINDOW;
             let margin = match is_new {
--- a/crates/waiting/tests/load.rs
+++ b/crates/waiting/tests/load.rs
@@ -2,7 +2,7 @@
 #![allow(
     clippy::unwrap_used,
     clippy::cast_possible_truncation,
-    reason = "Tests fail by panicking, and count little."
+    reason = "Tests fail by panicking, and counts are small."
 )]
 
 mod simulation;
@@ -135,7 +135,7 @@
         after.sent -= before.sent;
         after.in_time -= before.in_time;
         println!("seed {seed}: {after:?}");
-        // Requests of the failed hosts end, but nobody reports their slots as free: a quarter
+        // Requests of the failed hosts end, but no host reports their slots as free: a quarter
         // of the slots is unusable until the failures are detected.
         assert!(after.in_time_fraction() >= 0.5, "{after:?}");
     }
--- a/crates/waiting/tests/order.rs
+++ b/crates/waiting/tests/order.rs
@@ -181,7 +181,7 @@
     assert_eq!(queue.reserved(T1, again), 1);
 }
 
-/// A peer that is down or reports no waiting requests delays nobody, and a repeated report
+/// A peer that is down or reports no waiting requests delays no request, and a repeated report
 /// counts once.
 #[test]
 fn a_report_replaces_the_previous_one_of_the_peer() {
@@ -258,7 +258,7 @@
     // 20 hosts share 160 freed slots per second, half of them for retries: 250 ms between the
     // retry times of one host.
     assert_eq!(last, 1_100 * MS);
-    // Retry times are staggered even while the drain rate is unknown.
+    // Retry times are staggered even while the release rate is unknown.
     let mut unknown = RetrySchedule::default();
     let first = unknown.next_retry_after(Duration::ZERO, f64::INFINITY, 20, now);
     assert!(unknown.next_retry_after(Duration::ZERO, f64::INFINITY, 20, now) > first);
--- a/crates/waiting/tests/simulation/mod.rs
+++ b/crates/waiting/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
 //! Simulates the hosts and targets of a data centre in virtual time, deterministically for a
-//! seed. Hosts learn of one another's load from status messages that are a few milliseconds
+//! seed. Hosts receive one another's load in status messages that are a few milliseconds
 //! old; targets process requests in arrival order.
 #![allow(unreachable_pub, reason = "Private to the tests.")]
 
@@ -277,15 +277,15 @@
         self.submit(host, workspace, target, self.now_us);
     }
 
-    fn drain_per_s(&self) -> f64 {
-        // Drain rate as hosts measure it on requests that ran while slots were free.
+    fn releases_per_s(&self) -> f64 {
+        // Release rate as hosts measure it on requests that ran while slots were free.
         (self.targets.len() * SLOTS_PER_TARGET) as f64 / 0.6
     }
 
     fn start_waiting(&mut self, host: usize) {
         loop {
             let now = self.now();
-            let drain_per_s = self.drain_per_s();
+            let releases_per_s = self.releases_per_s();
             let targets = self.targets.len();
             let this = &mut self.hosts[host];
             let Some(first) = this.queue.first(SERVICE, &this.usage) else {
@@ -296,7 +296,7 @@
                 count: this.free_slots(target) as u32,
             });
             let free: Vec<FreeSlots> = slots.filter(|slots| slots.count > 0).collect();
-            let target = match this.queue.may_start(&first, &free, drain_per_s, now) {
+            let target = match this.queue.may_start(&first, &free, releases_per_s, now) {
                 StartDecision::Any => {
                     let random = self.rng.random_range(0..free.len());
                     let rotated = (0..free.len()).map(|i| free[(i + random) % free.len()]);
@@ -397,11 +397,11 @@
     }
 
     fn refuse_late(&mut self, host: usize) {
-        let (now, drain_per_s) = (self.now(), self.drain_per_s());
+        let (now, releases_per_s) = (self.now(), self.releases_per_s());
         let this = &mut self.hosts[host];
         let estimates = this
             .queue
-            .estimate_starts(SERVICE, drain_per_s, &this.usage, now);
+            .estimate_starts(SERVICE, releases_per_s, &this.usage, now);
         for late in estimates.into_iter().filter(|e| e.is_late) {
             this.queue.remove(late.ticket);
             let (workspace, arrived_us) = this.waiting.remove(&late.ticket).unwrap();
