--- a/crates/quarantine/src/gate.rs
+++ b/crates/quarantine/src/gate.rs
@@ -1,8 +1,8 @@
 //! The admission gate that a request passes before each send to a target.
 //!
-//! Changes that other hosts have to be sent go into a channel; the task that reads it owns
-//! the sockets. Sending from here was rejected, as the two kinds of hosts reach one another
-//! in different ways.
+//! Updates for other hosts go into a channel; the task that reads it owns the sockets. Sending
+//! from here was rejected, as the two kinds of hosts, those that hold leases on targets and
+//! those that share all targets, use different protocols.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -144,7 +144,7 @@
     }
 
     /// Decides whether an item of a job may be sent to a target now. Items are retried
-    /// sooner, since the host owes a result for each; see [`Quarantine::admit_item`].
+    /// sooner, since each accepted item must get a result; see [`Quarantine::admit_item`].
     ///
     /// # Errors
     ///
--- a/crates/quarantine/src/reports.rs
+++ b/crates/quarantine/src/reports.rs
@@ -18,11 +18,11 @@
 pub const REPORT_FANOUT: usize = 2;
 
 /// Delay after which a crash is reported a second time. Exceeds most disturbances of a
-/// link, and is shorter than the time in which a repeat of the request usually arrives.
+/// link, and is shorter than the time after which a retry of the request usually arrives.
 const CRASH_RESEND_DELAY: Duration = Duration::from_millis(50);
 
-/// Sends each change at a gate, crashes twice, and never returns; returns at once if
-/// another task does so already.
+/// Sends a report on each change at a gate, and on each crash a second one. Never returns,
+/// unless another task already does the same; returns immediately then.
 pub async fn send_changes(gate: Arc<Gate>, send: impl Fn(&Report) + Clone + Send + 'static) {
     let Some(mut updates) = gate.take_updates() else {
         return;
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control with weighted fair shares per tenant.
+//! Admission control with weighted fair shares per tenant (workspace).
 //!
 //! Up to three quarters of the host's capacity, all requests are admitted. Above that, requests of
 //! tenants that exceed their weighted share are rejected first, so that one tenant cannot exclude
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -49,7 +49,7 @@
 pub use self::free::Availability;
 use self::health::Health;
 
-/// The name of a target's incarnation.
+/// The name of a target. A restarted target may keep it, see [`Spec::started_unix_ms`].
 pub type TargetId = String;
 /// The name of a host.
 pub type HostId = String;
--- a/crates/routing/src/balancer/counts.rs
+++ b/crates/routing/src/balancer/counts.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// The last report of a peer.
+/// The last report of a peer, or of the hosts of another cell.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct Peer {
     /// Load by target; searched linearly, since a host uses few targets at a time.
--- a/crates/routing/src/cells.rs
+++ b/crates/routing/src/cells.rs
@@ -18,12 +18,12 @@
 //! assert!(!cells.are_in_same_cell(("a1", "d1"), ("b1", "d2")));
 //! ```
 //!
-//! Alternatives rejected: cells that span data centres, drawn by hash, each with a share of
+//! Alternatives rejected: cells that span data centres, assigned by hash, each with a share of
 //! all targets (updates on four fifths of a cell's targets are as old as those from other
 //! cells here, shares differ by a seventh, and a full fleet has no slots to spare);
-//! targets drawn for each host by rendezvous hashing (a host that uses 8 of 153 targets
+//! targets assigned to each host by rendezvous hashing (a host that uses 8 of 153 targets
 //! shares them with some 120 others); no updates on remote targets at all (where slots are
-//! scarce, most guesses meet a full target).
+//! scarce, most requests sent without updates reach a full target).
 
 use std::time::Duration;
 use std::time::Instant;
@@ -31,8 +31,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Time after a change of the cells for which hosts also send their state to those of their
-/// previous cell. Others may read the list of hosts this much later, and would take a host
-/// from which no updates arrive for failed.
+/// previous cell. Others may read the list of hosts this much later, and would consider a
+/// host from which no updates arrive as failed.
 const TRANSITION_TIME: Duration = Duration::from_secs(5);
 
 /// Hash seed that makes the division independent of other hashes of the same names.
--- a/crates/routing/src/discovery.rs
+++ b/crates/routing/src/discovery.rs
@@ -10,7 +10,6 @@
 //! use std::time::{Duration, Instant};
 //! use notchwharf_routing::discovery::{Change, Evidence, ReadInfo, Record, TargetView, Timeouts};
 //! use notchwharf_routing::balancer::Spec;
-
 //!
 //! let start = Instant::now();
 //! let at = |ms| start + Duration::from_millis(ms);
--- a/crates/routing/src/dissemination.rs
+++ b/crates/routing/src/dissemination.rs
@@ -1,18 +1,17 @@
 //! Selects the hosts to which a host sends its state, when it does so, and which states it
 //! relays.
 //!
-//! Within its data centre a host sends its state to all hosts of its cell at each change.
-//! Where a cell is a whole fleet, hosts in other data centres receive it later and through
-//! relays: a host sends its state to two hosts of each other data centre, drawn at random
-//! each time, and these relay what they received to all hosts near them, the states of
+//! Within its data centre a host sends its state to all hosts of its cell at each change. Where
+//! a cell is a whole fleet, hosts in other data centres receive it later and through relays: a
+//! host sends its state to two hosts of each other data centre, chosen at random each time, and
+//! these relay what they received to the other hosts of their data centre, the states of
 //! several hosts in one datagram. If each of them received the state of every remote host
 //! directly, the bytes between data centres would grow with the square of the cell. Because
-//! relays are drawn at random, updates arrive as long as any host of the data centre is
-//! alive.
+//! relays are chosen at random, updates arrive as long as any host of the data centre is alive.
 //!
 //! Fixed relays were rejected: if one fails, every host whose state it relays appears silent
-//! until the failure is detected, at the very time at which others look for jobs whose owner
-//! has failed.
+//! until the failure is detected, while other hosts already check for jobs whose owner has
+//! failed.
 //!
 //! Where a data centre has few hosts, relaying costs more time than it saves bytes, and all
 //! of them receive the state directly.
@@ -39,8 +38,9 @@
 /// Number of hosts of a data centre from which on updates are relayed within it.
 const RELAYED_HOSTS_MIN: usize = 9;
 
-/// The same as seen by the hosts within it. They must relay whenever a remote sender selects
-/// only some of them, and the two sides may know of different hosts at a time.
+/// Number of hosts known within a data centre from which on they relay updates. They must
+/// relay whenever a remote sender selects only some of them, and the sender may know of more
+/// hosts than they do.
 const RELAYING_HOSTS_MIN: usize = RELAYED_HOSTS_MIN / 2;
 
 /// Number of relays per data centre; one of them may just have failed.
--- a/crates/routing/src/quarantine.rs
+++ b/crates/routing/src/quarantine.rs
@@ -1,11 +1,13 @@
-//! Decides which requests are kept from targets because targets crash under them.
+//! Decides which requests are withheld from targets because targets crash while running them.
 //!
 //! Some requests crash every target that runs them, and their callers retry them: the same
 //! content under another id, sent to any host. A crash also ends everything else that ran
-//! at the target, so a single crash makes suspects of many requests of which only one is to
-//! blame. Only recurrence distinguishes them: the request to blame is present at the next
-//! crash too. Hosts therefore remember the requests under which targets crashed by a
-//! fingerprint of their content, send one another reports on them, and
+//! at the target, so a single crash makes suspects of many requests of which only one caused
+//! it. Only recurrence distinguishes them: the causing request is present at the next crash
+//! too. A target crashes *under* a request if it appears to have been running the request
+//! when it crashed, whether or not the request was the cause. Hosts remember the requests
+//! under which targets crashed by a fingerprint of their content, send one another reports on
+//! them, and
 //!
 //! * run a suspect at no more targets at once, over all hosts, than it may still crash;
 //! * run a request that is blamed for its crashes nowhere until it has been blocked for a
@@ -48,7 +50,7 @@
 //!
 //! Two hosts that admit a suspect within the time that a report takes between them both run
 //! it. Requesting permission from one host was rejected: it costs a round trip, and if that
-//! host fails or is partitioned, there is nobody to ask. A request that no host has seen
+//! host fails or is partitioned, no other can grant it. A request that no host has seen
 //! before may be running at any number of targets when its first crash is detected.
 //!
 //! Ages are measured on the given clock. If it stops, as on a suspended machine, suspects
@@ -193,9 +195,9 @@
         }
     }
 
-    /// Decides the same for an item of a job. The system owes a result for each item and no
-    /// caller retries it, so an item that is blamed by mistake would be lost; it is tried
-    /// again sooner than an online request.
+    /// Decides the same for an item of a job. Each accepted item must get a result, and no
+    /// caller retries it, so an item that is blamed by mistake would be lost; it is retried
+    /// sooner than an online request.
     pub fn admit_item(&mut self, fingerprint: Fingerprint, host: &str, now: Instant) -> Decision {
         match self.suspects.get_mut(&fingerprint) {
             Some(suspect) => suspect.admit(host, true, now),
--- a/crates/routing/src/quarantine/suspect.rs
+++ b/crates/routing/src/quarantine/suspect.rs
@@ -28,18 +28,19 @@
 /// every three seconds.
 const CRASH_RATE_MAX_PER_S: f64 = 0.14;
 
-/// Probability below which a request is blamed, that a healthy request would meet the same
-/// crashes, by the number of crashes from [`CRASHES_ALLOWED`] on; beyond the last entry it
-/// is blamed in any case. It starts at one in 100,000, with about 1,000 requests a day that
-/// meet a crash at all, and rises as the request has fewer targets left to crash. Simulated
-/// for ten minutes with a crash of each target every 7.5 seconds, 1 of 28,500 online
-/// requests is refused, on a retry after three interrupted runs, and none of 1,500 items
-/// that run for seven seconds; with a crash every 20 seconds, none at all.
+/// Thresholds on the probability that a healthy request would meet the same crashes; a request
+/// below its threshold is blamed. Indexed by the number of crashes from [`CRASHES_ALLOWED`] on;
+/// beyond the last entry the request is blamed in any case. The threshold starts at one in
+/// 100,000, with about 1,000 requests a day that meet a crash at all, and rises as the request
+/// has fewer targets left to crash. Simulated for ten minutes with a crash of each target every
+/// 7.5 seconds, 1 of 28,500 online requests is refused, on a retry after three interrupted
+/// runs, and none of 1,500 items that run for seven seconds; with a crash every 20 seconds,
+/// none at all.
 const BLAME_PROBABILITIES: [f64; 3] = [1e-5, 1e-5, 1e-4];
 
-/// Minimum run time that a crash counts with. A crashed target is still sent requests until
-/// the crash is detected, and those fail at once; a request that ran for 50 ms is also no
-/// more suspicious than one that ran for 100 ms.
+/// Lower bound on the run time with which a crash is counted. A crashed target is still sent
+/// requests until the crash is detected, and those fail at once; a request that ran for 50 ms
+/// is also no more suspicious than one that ran for 100 ms.
 const RUN_TIME_MIN: Duration = Duration::from_millis(100);
 
 /// Multiple of the longest run before a crash that a run must survive to clear a request:
@@ -62,7 +63,7 @@
 /// Number of crashes from which an item is blocked as long as an online request.
 const ITEM_CRASHES_MAX: u32 = CRASHES_ALLOWED + 3;
 
-/// Time after which a run no longer makes others wait. Targets crash some 100 ms after they
+/// Time after which a run no longer blocks others. Targets crash some 100 ms after they
 /// start a request that crashes them. Also ends the runs of hosts that failed.
 const RUN_EXPIRY: Duration = Duration::from_secs(1);
 
--- a/crates/routing/tests/dissemination.rs
+++ b/crates/routing/tests/dissemination.rs
@@ -141,8 +141,8 @@
     }
 
     fn schedule_change(&mut self, host: usize) {
-        let drawn: f64 = self.rng.random_range(1e-9..1.0);
-        let after = Duration::from_secs_f64(-drawn.ln() / CHANGES_PER_S);
+        let uniform: f64 = self.rng.random_range(1e-9..1.0);
+        let after = Duration::from_secs_f64(-uniform.ln() / CHANGES_PER_S);
         self.schedule(after, Event::Change { host });
     }
 
--- a/crates/routing/tests/items.rs
+++ b/crates/routing/tests/items.rs
@@ -187,11 +187,11 @@
 fn reserved_slots_are_not_unclaimed() {
     let now = Instant::now();
     let mut balancer = balancer(2, 2, 1);
-    let long_ago = now;
+    let earlier = now;
     for online in 0..3 {
         balancer.begin_online(&format!("t{}", online % 2), now);
     }
-    assert_eq!(balancer.choose_batch(&criteria(1, None), long_ago), None);
+    assert_eq!(balancer.choose_batch(&criteria(1, None), earlier), None);
     balancer.end_online("t0");
     balancer.end_online("t0");
     let later = now + SECOND;
@@ -312,7 +312,7 @@
     );
 }
 
-/// With one estimator for all estimators, short items seemed long and were considered late too early.
+/// With one estimator for all kinds, short items seemed long and were considered late too early.
 #[test]
 fn kinds_are_estimated_separately() {
     let mut estimators = Estimators::default();
--- a/crates/routing/tests/limit.rs
+++ b/crates/routing/tests/limit.rs
@@ -17,7 +17,7 @@
     Duration::from_millis(count)
 }
 
-/// Feeds windows of samples and returns the limit expected each.
+/// Feeds windows of samples and returns the limit after each.
 fn limits(first_ms: u64, inter_ms: u64, running: u32, windows: usize) -> Vec<u32> {
     let start = Instant::now();
     let mut limit = Limit::new(OBJECTIVES, MAX, start);
--- a/crates/routing/tests/simulation/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
 //! Simulates in virtual time a fleet whose hosts send one another reports on suspects.
-#![allow(unreachable_pub, reason = "A test has no outside.")]
+#![allow(unreachable_pub, reason = "Private to the tests.")]
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
