--- a/crates/config/src/bundle.rs
+++ b/crates/config/src/bundle.rs
@@ -15,7 +15,7 @@
 //! ```
 //!
 //! Lookups are linear scans, since the lists are short, except for tenants, of which there may
-//! be many thousands: a router builds an index of tenants once for each bundle.
+//! be many thousands: hosts build an index of tenants once for each bundle.
 
 use std::collections::HashSet;
 
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,6 +1,6 @@
 //! Checks of single values.
 //!
-//! Shared by all kinds of settings, so that equal faults are reported alike.
+//! Shared by all kinds of settings, so that the same error is reported in the same form.
 
 use crate::bundle::is_name;
 use crate::error;
--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -20,9 +20,9 @@
 //! assert_eq!(history.in_force().unwrap().version, 7);
 //! ```
 //!
-//! The version in force never decreases, regardless of the order in which records, carried
-//! copies and copies from peers arrive. Consequently, a rollback is a new bundle with old
-//! content rather than a return to an old version.
+//! The version in force never decreases, regardless of the order in which records, copies in
+//! the stream ([`Record::Carried`]) and copies from peers arrive. Consequently, a rollback is a
+//! new bundle with old content rather than a return to an old version.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -92,7 +92,7 @@
     }
 }
 
-/// A bundle in force.
+/// A bundle in force; packages that use it call it the current bundle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InForce {
     /// The offset of its proposal.
@@ -227,7 +227,7 @@
         result.map(|_| ())
     }
 
-    /// Adopts a bundle in force from a peer or a carried copy if it is newer.
+    /// Adopts a bundle in force from a peer or a [`Record::Carried`] if it is newer.
     ///
     /// Returns whether the bundle in force changed.
     pub fn adopt(&mut self, other: InForce) -> bool {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod routes;
 pub mod settings;
 
-/// The name of a workspace in the bundle.
+/// The name of a workspace in the bundle, which calls workspaces tenants.
 pub type TenantId = String;
 /// The name of a data centre in settings and the host list.
 pub type DataCentreId = String;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -241,7 +241,7 @@
     pub header_timeout_ms: u64,
     /// Maximum time without data while a caller sends a body. From 10 to 600_000; 30_000 by default.
     pub body_timeout_ms: u64,
-    /// Maximum size of the items file of a job. From 1_024 to 1_099_511_627_776; 1_073_741_824 by default.
+    /// Maximum size of the input file of a job. From 1_024 to 1_099_511_627_776; 1_073_741_824 by default.
     pub lot_bytes_max: u64,
     /// Maximum number of items of a job. From 1 to 10_000_000; 230_000 by default.
     pub lot_items_max: u32,
@@ -266,7 +266,7 @@
 pub struct Membership {
     /// Time between two probes. From 10 to 60_000; 1_000 by default.
     pub probe_ms: u64,
-    /// Time for which an unresponsive host remains suspected before it is considered dead. From 10 to 600_000; 3_000 by default.
+    /// Time for which an unresponsive host remains suspected before it is considered down. From 10 to 600_000; 3_000 by default.
     pub suspect_ms: u64,
 }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -10,6 +10,9 @@
 //! Where the platform's store orders records and retains the newest record of each key
 //! permanently, [`jobs`] is the fold over one stream that needs no leases.
 //!
+//! Each kind of stream has its own record type: [`record::Record`], [`fleet::Record`] and
+//! [`jobs::Record`]. Tenant is another word for workspace.
+//!
 //! Nothing here performs I/O, reads a clock or uses global randomness: times and records
 //! are inputs, and appends and replies are returned as effects.
 
--- a/crates/ledger/src/owner/commit.rs
+++ b/crates/ledger/src/owner/commit.rs
@@ -118,7 +118,7 @@
                 return true;
             };
             overdue.push((token, CommandError::LogDown));
-            // Reports of hosts are retained because their work would have to be repeated.
+            // Reports by hosts are retained because their work would have to be repeated.
             pending.token = None;
             is_report(&pending.entry)
         });
--- a/crates/membership/src/fact.rs
+++ b/crates/membership/src/fact.rs
@@ -79,7 +79,7 @@
     Alive,
     /// The host failed to respond to a probe.
     Suspect,
-    /// The host is considered dead.
+    /// The host is considered failed.
     Down,
 }
 
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -24,7 +24,7 @@
 //! assert_eq!(out.sends[0].0, address(2).gossip);
 //! ```
 //!
-//! Since only one peer is probed at a time, a dead host is detected only after a round of
+//! Since only one peer is probed at a time, a failed host is detected only after a round of
 //! probes and the suspicion timeout, which takes a few seconds. Failures that must be detected
 //! faster are detected by failed calls.
 
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -116,7 +116,7 @@
 }
 
 #[rstest]
-fn a_dead_host_is_detected_and_a_restarted_one_is_accepted() {
+fn a_failed_host_is_detected_and_a_restarted_one_is_accepted() {
     let mut network = Network::new(9, 0);
     network.run(Duration::from_secs(5));
     network.hosts[3] = None;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,4 +1,4 @@
-//! Orders to targets that bring the fleet to the current bundle.
+//! Orders to targets that bring the fleet to the current bundle, the one in force.
 //!
 //! [`plan`] computes the servings that each target should hold; all hosts that know the same
 //! targets compute the same plan. [`reconcile`] compares the plan with the state reported by
