--- a/crates/waiting/src/usage.rs
+++ b/crates/waiting/src/usage.rs
@@ -92,8 +92,8 @@
             return;
         }
         for reported in &usage {
-            self.update(reported.workspace, reported.weight, |usage| {
-                usage.peers = usage.peers.saturating_add(reported.slots);
+            self.update(reported.workspace, reported.weight, |entry| {
+                entry.peers = entry.peers.saturating_add(reported.slots);
             });
         }
         self.peers.insert(host.to_owned(), usage);
