--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -99,7 +99,7 @@
     let fleet = Fleet::ready(Config::default()).await;
     let admin = fleet.admin_url("a2");
     let job = fleet
-        .submit("a1", fleet::SCHOOL_KEY, &fleet::lot("n", 3, 4))
+        .submit("a1", fleet::SCHOOL_KEY, &fleet::input_file("n", 3, 4))
         .await;
 
     let hosts = json(&run(&admin, &["hosts", "--json"]).await);
@@ -123,7 +123,7 @@
     assert_eq!(out.status.code(), Some(0), "{out:?}");
     let url = format!("{admin}/admin/v1/hosts");
     fleet
-        .until(|fleet| {
+        .wait_until(|fleet| {
             let url = url.clone();
             async move {
                 let seen = fleet.get_json(&url).await;
--- a/crates/server/tests/batch.rs
+++ b/crates/server/tests/batch.rs
@@ -49,9 +49,9 @@
 async fn any_host_answers_for_any_job() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 60, TOKENS))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 60, TOKENS))
         .await;
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (60, 60, 0));
     check_results(&fleet, &ended, "n", 60).await;
     for host in ["a1", "a2", "a3"] {
@@ -66,13 +66,13 @@
 #[tokio::test]
 async fn a_resent_job_is_the_same_job() {
     let fleet = Fleet::ready(Config::default()).await;
-    let lot = fleet::lot("n", 5, TOKENS);
+    let lot = fleet::input_file("n", 5, TOKENS);
     let first = fleet.submit("a1", SCHOOL_KEY, &lot).await;
     let again = fleet.submit("a2", SCHOOL_KEY, &lot).await;
     assert_eq!(first, again);
     let other = fleet.submit("a2", PERMITS_KEY, &lot).await;
     assert_ne!(first, other, "Another tenant's job is its own.");
-    fleet.job_ended(SCHOOL_KEY, &first).await;
+    fleet.wait_job_end(SCHOOL_KEY, &first).await;
     let after = fleet.submit("a3", SCHOOL_KEY, &lot).await;
     assert_eq!(first, after);
 }
@@ -84,7 +84,7 @@
     let mut seen = Vec::new();
     for name in ["n", "n", "m"] {
         let file = fleet
-            .upload("a1", SCHOOL_KEY, &fleet::lot(name, 3, TOKENS))
+            .upload("a1", SCHOOL_KEY, &fleet::input_file(name, 3, TOKENS))
             .await;
         let body = json!({"input_file_id": file.json()["id"],
             "endpoint": "/v1/chat/completions", "completion_window": "24h"});
@@ -141,7 +141,7 @@
     };
     let fleet = Fleet::ready(config).await;
     assert_eq!(fleet.upload("a1", SCHOOL_KEY, "\n\n").await.status, 400);
-    let lot = fleet::lot("n", 4, TOKENS);
+    let lot = fleet::input_file("n", 4, TOKENS);
     assert_eq!(fleet.upload("a1", SCHOOL_KEY, &lot).await.status, 413);
 }
 
@@ -149,17 +149,17 @@
 async fn a_cancelled_job_stops() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 2_000, 64))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 2_000, 64))
         .await;
     fleet
-        .until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
+        .wait_until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
         .await;
     let url = format!("{}/v1/batches/{job}/cancel", fleet.url("a3"));
     let auth = format!("Bearer {SCHOOL_KEY}");
     let headers = [("authorization", auth.as_str())];
     // On a busy machine a lease may lapse for a moment. The owner then refuses,
     // and a caller that is told "not run" asks again, as it should.
-    let seen = fleet::insist(|| async {
+    let seen = fleet::retry_until_final(|| async {
         let seen = fleet.send(Method::POST, &url, &headers, "").await;
         seen.unwrap()
     })
@@ -167,7 +167,7 @@
     assert_eq!(seen.json()["status"], "cancelled", "{}", seen.body);
     let counted = counts(&fleet.job(SCHOOL_KEY, &job).await);
     fleet
-        .until(|fleet| async { fleet.engines.values().all(|e| e.streams() == 0) })
+        .wait_until(|fleet| async { fleet.engines.values().all(|e| e.streams() == 0) })
         .await;
     let after = fleet.job(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&after), counted, "Nothing is done after the cancel.");
@@ -177,13 +177,13 @@
 #[tokio::test]
 async fn an_item_that_can_never_be_done_is_listed_with_its_reason() {
     let fleet = Fleet::ready(Config::default()).await;
-    let mut lot = fleet::lot("n", 20, TOKENS);
+    let mut lot = fleet::input_file("n", 20, TOKENS);
     lot.push_str(
         &line("bad", "hints").replace("\"content\":\"bad\"", "\"content\":\"[malformed]\""),
     );
     assert!(lot.contains(engine::MALFORMED));
     let job = fleet.submit("a1", SCHOOL_KEY, &lot).await;
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (21, 20, 1));
     let errors = ended["error_file_id"].as_str().unwrap();
     let lines = fleet.lines(SCHOOL_KEY, errors).await;
@@ -194,10 +194,10 @@
 #[tokio::test]
 async fn an_item_that_kills_its_target_does_not_take_the_lot_along() {
     let fleet = Fleet::ready(Config::default()).await;
-    let mut lot = fleet::lot("n", 30, TOKENS);
+    let mut lot = fleet::input_file("n", 30, TOKENS);
     lot.push_str(&line("bad", "hints").replace("\"content\":\"bad\"", "\"content\":\"[poison]\""));
     let job = fleet.submit("a1", SCHOOL_KEY, &lot).await;
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (31, 30, 1));
     let errors = ended["error_file_id"].as_str().unwrap();
     let lines = fleet.lines(SCHOOL_KEY, errors).await;
@@ -216,15 +216,15 @@
     };
     let mut fleet = Fleet::ready(config).await;
     let job = fleet
-        .submit("a4", SCHOOL_KEY, &fleet::lot("n", 400, TOKENS))
+        .submit("a4", SCHOOL_KEY, &fleet::input_file("n", 400, TOKENS))
         .await;
     for victim in ["a4", "a2"].into_iter().take(kills) {
         fleet.kill_host(victim);
         fleet
-            .until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
+            .wait_until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
             .await;
     }
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (400, 400, 0));
     check_results(&fleet, &ended, "n", 400).await;
 }
@@ -234,10 +234,12 @@
     let mut fleet = Fleet::ready(Config::default()).await;
     // Items that outlast the takeover, and enough for every target.
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 80, 300))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 80, 300))
         .await;
     fleet
-        .until(|fleet| async { fleet.engines.values().map(|e| e.streams()).sum::<usize>() >= 60 })
+        .wait_until(|fleet| async {
+            fleet.engines.values().map(|e| e.streams()).sum::<usize>() >= 60
+        })
         .await;
     let url = format!("{}/admin/v1/hosts", fleet.admin_url("a1"));
     let hosts = fleet.get_json(&url).await;
@@ -261,7 +263,7 @@
         .flat_map(|(_, engine)| engine.runs().into_keys())
         .collect();
     fleet.kill_host(owner["host"].as_str().unwrap());
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (80, 80, 0));
     let runs = |prompt: &str| {
         let runs = fleet
@@ -283,14 +285,14 @@
 async fn a_job_ends_after_the_log_was_down_and_lost_answers() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 300, TOKENS))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 300, TOKENS))
         .await;
     fleet.platform.set_faults(Faults {
         log_down: true,
         ..Faults::default()
     });
     let refused = fleet
-        .upload("a2", SCHOOL_KEY, &fleet::lot("m", 3, TOKENS))
+        .upload("a2", SCHOOL_KEY, &fleet::input_file("m", 3, TOKENS))
         .await;
     assert_eq!(refused.status, 503, "{}", refused.body);
     assert_eq!(refused.json()["error"]["outcome"], "not-run");
@@ -302,7 +304,7 @@
         lose_answers: 20,
         ..Faults::default()
     });
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (300, 300, 0));
     check_results(&fleet, &ended, "n", 300).await;
 }
--- a/crates/server/tests/online.rs
+++ b/crates/server/tests/online.rs
@@ -149,7 +149,7 @@
     let busy = |fleet: &Fleet| fleet.engines.values().any(|e| e.streams() > 0);
     let (seen, ()) = {
         let chat = fleet.chat("a1", SCHOOL_KEY, &long);
-        let watch = fleet.until(|fleet| async move { busy(fleet) });
+        let watch = fleet.wait_until(|fleet| async move { busy(fleet) });
         let (seen, ()) = tokio::join!(chat, async {
             watch.await;
             for engine in fleet.engines.values().filter(|e| e.streams() > 0) {
@@ -267,7 +267,7 @@
         ..one_engine()
     };
     let fleet = Fleet::start(config).await;
-    fleet.put_in_force(&school_bundle("1")).await;
+    fleet.activate_bundle(&school_bundle("1")).await;
     let seen = fleet.chat("a1", SCHOOL_KEY, &ask(false)).await.unwrap();
     assert_eq!(seen.status, 503);
     assert_eq!(seen.json()["error"]["outcome"], "not-run");
@@ -281,7 +281,7 @@
     assert_eq!(fleet.get("", &url).await.unwrap().status, 503);
     let url = format!("{}/healthz", fleet.url("a1"));
     assert_eq!(fleet.get("", &url).await.unwrap().status, 200);
-    fleet.put_in_force(&school_bundle("1")).await;
+    fleet.activate_bundle(&school_bundle("1")).await;
     let url = format!("{}/readyz", fleet.url("a1"));
     assert_eq!(fleet.get("", &url).await.unwrap().status, 200);
 }
@@ -296,7 +296,7 @@
     fleet.engines["t1"].leave();
     let url = format!("{}/admin/v1/targets", fleet.admin_url("a1"));
     fleet
-        .until(|fleet| {
+        .wait_until(|fleet| {
             let url = url.clone();
             async move {
                 let seen = fleet.get_json(&url).await;
@@ -320,14 +320,14 @@
 #[tokio::test]
 async fn only_what_was_signed_off_runs() {
     let fleet = Fleet::ready(one_engine()).await;
-    fleet.put_in_force(&school_bundle("2")).await;
+    fleet.activate_bundle(&school_bundle("2")).await;
     // While the new version loads, the one signed off before serves; once it
     // is there, nothing else does.
     let seen = fleet.chat("a1", SCHOOL_KEY, &ask(false)).await.unwrap();
     let text = seen.json()["choices"][0]["message"]["content"].clone();
     let versions = ["1", "2"].map(|v| json!(expected_text(PROMPT, &held(v), TOKENS)));
     assert!(versions.contains(&text), "{text}");
-    fleet.settled("tutor/-/2").await;
+    fleet.wait_loaded("tutor/-/2").await;
     let seen = fleet.chat("a1", SCHOOL_KEY, &ask(false)).await.unwrap();
     assert_eq!(seen.json()["choices"][0]["message"]["content"], versions[1]);
 }
--- a/crates/server/tests/openai_client.rs
+++ b/crates/server/tests/openai_client.rs
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn the_client_library_runs_a_batch() {
     let fleet = Fleet::ready(Config::default()).await;
-    let lot = fleet::lot("note", 25, 4);
+    let lot = fleet::input_file("note", 25, 4);
     let upload = CreateFileRequest {
         file: FileInput::from_bytes("lot.jsonl".into(), lot.into_bytes().into()),
         purpose: FilePurpose::Batch,
@@ -82,7 +82,7 @@
         .create(request)
         .await
         .unwrap();
-    fleet.job_ended(SCHOOL_KEY, &batch.id).await;
+    fleet.wait_job_end(SCHOOL_KEY, &batch.id).await;
     let batch = client(&fleet, "a3")
         .batches()
         .retrieve(&batch.id)
--- a/crates/server/tests/placement.rs
+++ b/crates/server/tests/placement.rs
@@ -24,11 +24,11 @@
     };
     let mut fleet = Fleet::ready(config).await;
     fleet.kill_host("a2");
-    fleet.put_in_force(&school_bundle("2")).await;
-    fleet.settled("tutor/-/2").await;
+    fleet.activate_bundle(&school_bundle("2")).await;
+    fleet.wait_loaded("tutor/-/2").await;
     fleet.start_host("a3").await;
-    fleet.put_in_force(&school_bundle("3")).await;
-    fleet.settled("tutor/-/3").await;
+    fleet.activate_bundle(&school_bundle("3")).await;
+    fleet.wait_loaded("tutor/-/3").await;
     let mut changed = 0;
     for engine in fleet.engines.values() {
         let fences: Vec<u64> = engine.orders().iter().map(|o| o.fence).collect();
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -6,8 +6,8 @@
 use hyper::Method;
 use notchwharf_clients::http::Client;
 use notchwharf_standins::fleet;
+use notchwharf_standins::fleet::Response;
 use notchwharf_standins::fleet::SCHOOL_KEY;
-use notchwharf_standins::fleet::Seen;
 use notchwharf_standins::fleet::school_bundle;
 use notchwharf_standins::platform::Faults;
 use processes::Fleet;
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn a_host_killed_with_items_in_flight_loses_and_doubles_nothing() {
     let mut fleet = Fleet::start(3).await;
-    let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
+    let job = fleet.submit(0, &fleet::input_file("n", 300, TOKENS)).await;
     fleet.until_busy().await;
     fleet.hosts[1].child.start_kill().unwrap();
     fleet.check_whole(0, &job, 300).await;
@@ -33,11 +33,11 @@
 #[tokio::test]
 async fn hosts_that_die_again_and_again_lose_and_double_nothing() {
     let mut fleet = Fleet::start(3).await;
-    let mut jobs = vec![fleet.submit(0, &fleet::lot("n", 600, TOKENS)).await];
+    let mut jobs = vec![fleet.submit(0, &fleet::input_file("n", 600, TOKENS)).await];
     for round in 0..4 {
         // A job that is whole before the next kill leaves nothing to kill for.
         while !fleet.until_busy_or_whole(0, &jobs[jobs.len() - 1]).await {
-            let lot = fleet::lot(&format!("n{round}"), 600, TOKENS);
+            let lot = fleet::input_file(&format!("n{round}"), 600, TOKENS);
             jobs.push(fleet.submit(0, &lot).await);
         }
         let victim = 1 + round % 2;
@@ -85,7 +85,7 @@
 async fn a_filing_whose_host_dies_in_the_middle_is_unknown_and_never_filed_again() {
     const KEYS: usize = 12;
     let mut fleet = Fleet::start(3).await;
-    fleet.service.hold_answers(true);
+    fleet.service.hold_responses(true);
     let url = fleet.hosts[0].url.clone();
     let open: Vec<_> = (0..KEYS)
         .map(|i| {
@@ -93,13 +93,13 @@
             tokio::spawn(async move { file(&client, &url, &format!("k{i}")).await })
         })
         .collect();
-    until(|| async { fleet.service.taken().len() == KEYS }).await;
+    until(|| async { fleet.service.executed_calls().len() == KEYS }).await;
     for host in 1..3 {
         fleet.hosts[host].child.start_kill().unwrap();
     }
     let hosts = format!("{}/admin/v1/hosts", fleet.hosts[0].admin);
     fleet.start_host("a4").await;
-    fleet.service.hold_answers(false);
+    fleet.service.hold_responses(false);
     let mut told = Vec::new();
     for one in open {
         told.push(one.await.unwrap());
@@ -120,13 +120,17 @@
         };
         until(|| async { settled(file(&fleet.client, &url, &key).await) }).await;
     }
-    assert_eq!(fleet.service.taken().len(), KEYS, "Each was filed once.");
+    assert_eq!(
+        fleet.service.executed_calls().len(),
+        KEYS,
+        "Each was filed once."
+    );
 }
 
 #[tokio::test]
 async fn a_job_acknowledged_by_a_host_that_dies_at_once_is_done() {
     let mut fleet = Fleet::start(3).await;
-    let job = fleet.submit(2, &fleet::lot("n", 50, TOKENS)).await;
+    let job = fleet.submit(2, &fleet::input_file("n", 50, TOKENS)).await;
     fleet.hosts[2].child.start_kill().unwrap();
     fleet.check_whole(0, &job, 50).await;
 }
@@ -134,7 +138,7 @@
 #[tokio::test]
 async fn a_host_stopped_past_its_lease_does_no_harm_when_it_goes_on() {
     let fleet = Fleet::start(3).await;
-    let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
+    let job = fleet.submit(0, &fleet::input_file("n", 300, TOKENS)).await;
     fleet.until_busy().await;
     signal(&fleet.hosts[1], "STOP");
     // Its shards and targets are held by others before it goes on.
@@ -148,7 +152,7 @@
 #[tokio::test]
 async fn a_log_that_is_down_and_loses_answers_loses_no_item() {
     let fleet = Fleet::start(3).await;
-    let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
+    let job = fleet.submit(0, &fleet::input_file("n", 300, TOKENS)).await;
     fleet.until_busy().await;
     fleet.platform.set_faults(Faults {
         log_down: true,
@@ -170,7 +174,7 @@
 #[tokio::test]
 async fn a_host_told_to_end_cuts_no_request(#[case] log_down: bool) {
     let mut fleet = Fleet::start(3).await;
-    let job = fleet.submit(0, &fleet::lot("n", 200, TOKENS)).await;
+    let job = fleet.submit(0, &fleet::input_file("n", 200, TOKENS)).await;
     fleet.until_busy().await;
     let url = format!("{}/v1/chat/completions", fleet.hosts[1].url);
     let ask = |i: u32, stream: bool| {
@@ -245,7 +249,7 @@
     fleet.until_busy().await;
     signal(&fleet.hosts[0], "TERM");
     let ready = format!("{}/readyz", fleet.hosts[0].url);
-    let told = |seen: Option<Seen>| seen.is_none_or(|s| s.status == 503);
+    let told = |seen: Option<Response>| seen.is_none_or(|s| s.status == 503);
     until(|| async { told(fleet.send(Method::GET, &ready, String::new()).await) }).await;
     signal(&fleet.hosts[0], "TERM");
     let ended = fleet.hosts[0].child.wait();
@@ -317,7 +321,7 @@
     });
     fleet.start_host("a3").await;
     let ready = format!("{}/readyz", fleet.hosts[2].url);
-    let is_ready = |seen: Option<Seen>| seen.is_some_and(|s| s.status == 200);
+    let is_ready = |seen: Option<Response>| seen.is_some_and(|s| s.status == 200);
     until(|| async { is_ready(fleet.send(Method::GET, &ready, String::new()).await) }).await;
 }
 
--- a/crates/server/tests/processes/mod.rs
+++ b/crates/server/tests/processes/mod.rs
@@ -17,8 +17,8 @@
 use notchwharf_standins::engine;
 use notchwharf_standins::engine::Engine;
 use notchwharf_standins::fleet;
+use notchwharf_standins::fleet::Response;
 use notchwharf_standins::fleet::SCHOOL_KEY;
-use notchwharf_standins::fleet::Seen;
 use notchwharf_standins::fleet::school_bundle;
 use notchwharf_standins::platform;
 use notchwharf_standins::platform::Platform;
@@ -120,7 +120,7 @@
         self.client.get_json(url).await.ok()
     }
 
-    pub async fn send(&self, method: Method, url: &str, body: String) -> Option<Seen> {
+    pub async fn send(&self, method: Method, url: &str, body: String) -> Option<Response> {
         let auth = format!("Bearer {SCHOOL_KEY}");
         let headers = [("authorization", auth.as_str())];
         fleet::send(&self.client, method, url, &headers, body.into())
@@ -152,14 +152,14 @@
     /// Uploads a lot and creates its job, asking again as a caller would until
     /// it is told that the job is accepted.
     pub async fn submit(&self, host: usize, lot: &str) -> String {
-        let form = fleet::lot_form(lot);
+        let form = fleet::upload_form(lot);
         let auth = format!("Bearer {SCHOOL_KEY}");
         let headers = [
             ("authorization", auth.as_str()),
-            ("content-type", fleet::LOT_FORM_TYPE),
+            ("content-type", fleet::UPLOAD_CONTENT_TYPE),
         ];
         let url = format!("{}/v1/files", self.hosts[host].url);
-        let file = fleet::insist(|| async {
+        let file = fleet::retry_until_final(|| async {
             let form = form.clone().into();
             let sent = fleet::send(&self.client, Method::POST, &url, &headers, form).await;
             sent.unwrap()
@@ -169,7 +169,7 @@
         let body = json!({"input_file_id": file.json()["id"],
             "endpoint": "/v1/chat/completions", "completion_window": "24h"});
         let url = format!("{}/v1/batches", self.hosts[host].url);
-        let job = fleet::insist(|| async {
+        let job = fleet::retry_until_final(|| async {
             let sent = self.send(Method::POST, &url, body.to_string()).await;
             sent.unwrap()
         })
--- a/crates/server/tests/retention.rs
+++ b/crates/server/tests/retention.rs
@@ -30,7 +30,7 @@
     let url = format!("{}/v1/streams/{stream}", fleet.platform.url());
     let first = fleet.get_json(&url).await["next"].as_u64().unwrap();
     fleet
-        .until(|fleet| {
+        .wait_until(|fleet| {
             let url = url.clone();
             async move { fleet.get_json(&url).await["first"].as_u64().unwrap() >= first }
         })
@@ -41,9 +41,9 @@
 async fn results_jobs_and_bundle_outlive_the_retention_of_the_log() {
     let mut fleet = Fleet::ready(short_retention()).await;
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", ITEMS, 4))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", ITEMS, 4))
         .await;
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     for _ in 0..2 {
         tokio::join!(
             dropped(&fleet, "shard-0"),
@@ -59,7 +59,7 @@
     for name in ["a1", "a2", "a3"] {
         assert!(fleet.leave_host(name).await);
     }
-    let again = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let again = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(again, ended);
     let output = again["output_file_id"].as_str().unwrap();
     assert_eq!(fleet.lines(SCHOOL_KEY, output).await.len(), ITEMS);
--- a/crates/server/tests/services.rs
+++ b/crates/server/tests/services.rs
@@ -6,7 +6,7 @@
 use notchwharf_standins::fleet::Config;
 use notchwharf_standins::fleet::Fleet;
 use notchwharf_standins::fleet::PERMITS_KEY;
-use notchwharf_standins::fleet::Seen;
+use notchwharf_standins::fleet::Response;
 use notchwharf_standins::platform::Faults;
 use rstest::rstest;
 
@@ -20,14 +20,14 @@
 async fn ready() -> Fleet {
     let fleet = Fleet::start(small()).await;
     fleet
-        .put_in_force(&notchwharf_standins::fleet::school_bundle("1"))
+        .activate_bundle(&notchwharf_standins::fleet::school_bundle("1"))
         .await;
     let url = format!("{}/services/filing/probe", fleet.url("a1"));
     // The list lags, so the service is not known at once.
     for host in ["a1", "a2", "a3"] {
         let url = url.replace(&fleet.url("a1"), &fleet.url(host));
         fleet
-            .until(|fleet| {
+            .wait_until(|fleet| {
                 let url = url.clone();
                 async move { fleet.get(PERMITS_KEY, &url).await.unwrap().status == 201 }
             })
@@ -36,7 +36,13 @@
     fleet
 }
 
-async fn call(fleet: &Fleet, host: &str, method: Method, key: Option<&str>, body: &str) -> Seen {
+async fn call(
+    fleet: &Fleet,
+    host: &str,
+    method: Method,
+    key: Option<&str>,
+    body: &str,
+) -> Response {
     let url = format!("{}/services/filing/permits?year=2", fleet.url(host));
     let auth = format!("Bearer {PERMITS_KEY}");
     let mut headers = vec![("authorization", auth.as_str())];
@@ -46,12 +52,12 @@
 }
 
 /// Calls as a caller does that comes back when told to.
-async fn insist(fleet: &Fleet, host: &str, key: &str, body: &str) -> Seen {
-    fleet::insist(|| call(fleet, host, Method::POST, Some(key), body)).await
+async fn insist(fleet: &Fleet, host: &str, key: &str, body: &str) -> Response {
+    fleet::retry_until_final(|| call(fleet, host, Method::POST, Some(key), body)).await
 }
 
 fn filings(fleet: &Fleet) -> usize {
-    let taken = fleet.taken();
+    let taken = fleet.executed_calls();
     taken.iter().filter(|t| t.path == "/permits").count()
 }
 
@@ -59,10 +65,10 @@
 async fn a_keyed_call_runs_once_and_its_answer_is_given_again_by_any_host() {
     let fleet = ready().await;
     let first = insist(&fleet, "a1", "k", "permit").await;
-    assert_eq!((first.status, first.replayed), (201, false), "{first:?}");
+    assert_eq!((first.status, first.is_replayed), (201, false), "{first:?}");
     for host in ["a1", "a2", "a3"] {
         let again = insist(&fleet, host, "k", "permit").await;
-        assert_eq!((again.status, again.replayed), (201, true), "{again:?}");
+        assert_eq!((again.status, again.is_replayed), (201, true), "{again:?}");
         assert_eq!(again.body, first.body);
     }
     assert_eq!(filings(&fleet), 1);
@@ -77,13 +83,14 @@
 #[tokio::test]
 async fn a_lost_answer_is_unknown_and_the_call_not_repeated(#[case] key: Option<&str>) {
     let fleet = ready().await;
-    fleet.services.iter().for_each(|s| s.lose_answers(1));
-    let lost = fleet::insist(|| call(&fleet, "a1", Method::POST, key, "permit")).await;
+    fleet.services.iter().for_each(|s| s.lose_responses(1));
+    let lost = fleet::retry_until_final(|| call(&fleet, "a1", Method::POST, key, "permit")).await;
     assert_eq!(lost.status, 502);
     assert_eq!(lost.json()["error"]["outcome"], "unknown");
     assert_eq!(filings(&fleet), 1);
     if key.is_some() {
-        let again = fleet::insist(|| call(&fleet, "a2", Method::POST, key, "permit")).await;
+        let again =
+            fleet::retry_until_final(|| call(&fleet, "a2", Method::POST, key, "permit")).await;
         assert_eq!(again.json()["error"]["outcome"], "unknown");
         assert_eq!(filings(&fleet), 1);
     }
@@ -92,14 +99,14 @@
 #[tokio::test]
 async fn an_idempotent_call_is_repeated() {
     let fleet = ready().await;
-    fleet.services.iter().for_each(|s| s.lose_answers(1));
+    fleet.services.iter().for_each(|s| s.lose_responses(1));
     let seen = call(&fleet, "a1", Method::PUT, None, "permit").await;
     // Both targets lose an answer and are passed over for a while, and then
     // nobody claims to know the outcome.
     assert_eq!(seen.json()["error"]["outcome"], "unknown");
     assert_eq!(filings(&fleet), 2);
     fleet
-        .until(|fleet| async { call(fleet, "a1", Method::PUT, None, "p").await.status == 201 })
+        .wait_until(|fleet| async { call(fleet, "a1", Method::PUT, None, "p").await.status == 201 })
         .await;
 }
 
@@ -130,11 +137,11 @@
     for i in 0..8 {
         let key = format!("k{i}");
         fleet
-            .until(|fleet| {
+            .wait_until(|fleet| {
                 let key = key.clone();
                 async move {
                     let seen = call(fleet, "a1", Method::POST, Some(&key), "permit").await;
-                    seen.replayed
+                    seen.is_replayed
                 }
             })
             .await;
@@ -149,7 +156,7 @@
     let peer = fleet.hosts["a3"].addrs().peer;
     fleet.kill_host("a3");
     fleet
-        .until(|_| async { tokio::net::TcpStream::connect(peer).await.is_err() })
+        .wait_until(|_| async { tokio::net::TcpStream::connect(peer).await.is_err() })
         .await;
     for i in 0..12 {
         let key = format!("fresh-{i}");
--- a/crates/server/tests/session.rs
+++ b/crates/server/tests/session.rs
@@ -6,7 +6,7 @@
 
 use hyper::Method;
 use notchwharf_standins::fleet;
-use notchwharf_standins::fleet::Seen;
+use notchwharf_standins::fleet::Response;
 use notchwharf_standins::fleet::school_bundle;
 use processes::Fleet;
 use processes::WAIT_MAX;
@@ -25,13 +25,13 @@
         self.0.push_str(&format!("# {what}\n"));
     }
 
-    fn seen(&mut self, seen: &Seen) {
+    fn seen(&mut self, seen: &Response) {
         let mut body = seen.json();
         steady(&mut body);
         self.0.push_str(&format!("{} {body:#}\n", seen.status));
     }
 
-    fn stream(&mut self, seen: &Seen) {
+    fn stream(&mut self, seen: &Response) {
         self.0.push_str(&format!("{}\n", seen.status));
         for event in seen.body.lines().filter_map(|l| l.strip_prefix("data: ")) {
             let mut value: Value = serde_json::from_str(event).unwrap_or(json!(event));
@@ -89,7 +89,7 @@
             .unwrap(),
     );
     seen.say("a lot of 1,000 items, sent to one host and read at another");
-    let job = fleet.submit(2, &fleet::lot("note", ITEMS, 4)).await;
+    let job = fleet.submit(2, &fleet::input_file("note", ITEMS, 4)).await;
     fleet.until_busy().await;
 
     seen.say("a new bundle while it runs");
@@ -119,7 +119,10 @@
     let at = url(&fleet, 1, &format!("/v1/batches/{job}"));
     seen.seen(&fleet.send(Method::GET, &at, String::new()).await.unwrap());
     seen.say("the same lot again is the same job");
-    assert_eq!(fleet.submit(0, &fleet::lot("note", ITEMS, 4)).await, job);
+    assert_eq!(
+        fleet.submit(0, &fleet::input_file("note", ITEMS, 4)).await,
+        job
+    );
 
     seen.say("online on the new version");
     let at = format!("{}/admin/v1/targets", fleet.hosts[0].admin);
--- a/crates/standins/examples/demo.rs
+++ b/crates/standins/examples/demo.rs
@@ -53,21 +53,24 @@
         let seen = seen.expect("An answer comes.");
         said(format!(
             "filing: {}, replayed: {}",
-            seen.status, seen.replayed
+            seen.status, seen.is_replayed
         ));
     }
-    said(format!("the service ran it {} time", fleet.taken().len()));
+    said(format!(
+        "the service ran it {} time",
+        fleet.executed_calls().len()
+    ));
 
-    let lot = fleet::lot("note", ITEMS, 16);
+    let lot = fleet::input_file("note", ITEMS, 16);
     let job = fleet.submit("a1", SCHOOL_KEY, &lot).await;
     said(format!("{job}: {ITEMS} items accepted"));
     fleet.kill_host("a2");
     said("killed host a2 while the lot runs".into());
-    let version = fleet.put_in_force(&fleet::school_bundle("2")).await;
+    let version = fleet.activate_bundle(&fleet::school_bundle("2")).await;
     said(format!("version {version} is in force everywhere"));
     let clean = fleet.leave_host("a3").await;
     said(format!("host a3 has left, all finished: {clean}"));
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     said(format!(
         "{job}: {} {}",
         ended["status"], ended["request_counts"]
--- a/crates/standins/examples/overhead.rs
+++ b/crates/standins/examples/overhead.rs
@@ -150,7 +150,7 @@
                 memory_tokens: 10_000_000,
                 ..model::Config::default()
             },
-            holds: vec![held.clone()],
+            loaded: vec![held.clone()],
             ..engine::Config::default()
         });
         (
--- a/crates/standins/examples/policy.rs
+++ b/crates/standins/examples/policy.rs
@@ -9,28 +9,28 @@
 use notchwharf_standins::lab;
 use notchwharf_standins::lab::Outcome;
 use notchwharf_standins::lab::Policy;
-use notchwharf_standins::lab::Shape;
+use notchwharf_standins::lab::Scenario;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-const SCHOOL: Shape = Shape {
+const SCHOOL: Scenario = Scenario {
     name: "12 targets, 1 ms",
     hosts: 9,
     targets: 12,
     data_centres: 3,
-    between_us: 1_000,
+    inter_dc_latency_us: 1_000,
     online_per_s: 60.0,
     burst_factor: 3.0,
-    burst_every_us: 6_000_000,
-    burst_us: 1_000_000,
-    run_us: 60_000_000,
+    burst_interval_us: 6_000_000,
+    burst_duration_us: 1_000_000,
+    duration_us: 60_000_000,
 };
 
-const PERMITS: Shape = Shape {
+const PERMITS: Scenario = Scenario {
     name: "18 targets, 0.5 ms",
     hosts: 12,
     targets: 18,
-    between_us: 500,
+    inter_dc_latency_us: 500,
     online_per_s: 90.0,
     ..SCHOOL
 };
@@ -42,8 +42,8 @@
         ..direct
     };
     let policies = [
-        ("online alone", Policy::OnlineAlone),
-        ("batch alone", Policy::BatchAlone),
+        ("online alone", Policy::OnlineOnly),
+        ("batch alone", Policy::BatchOnly),
         ("direct 32", Policy::Direct(direct, 32)),
         ("direct 24", Policy::Direct(direct, 24)),
         ("direct 20", Policy::Direct(direct, 20)),
@@ -52,11 +52,11 @@
         ("reserve of 1, 24", Policy::Direct(small, 24)),
         ("through holder", Policy::ThroughHolder(direct)),
         ("split 1/2", Policy::Split(usize::MAX)),
-        ("none", Policy::None),
+        ("none", Policy::Unlimited),
         ("tokens", Policy::Tokens(direct)),
     ];
-    for shape in [SCHOOL, PERMITS] {
-        println!("\n{}: medians of {} runs", shape.name, SEEDS.len());
+    for scenario in [SCHOOL, PERMITS] {
+        println!("\n{}: medians of {} runs", scenario.name, SEEDS.len());
         println!(
             "{:16} {:>9} {:>9} {:>9} {:>9} {:>7} {:>7} {:>9} {:>9} {:>6} {:>8} {:>8}",
             "policy",
@@ -76,13 +76,16 @@
         let mut batch_alone = 1.0;
         for (label, policy) in policies {
             let policy = match policy {
-                Policy::Split(_) => Policy::Split(shape.targets / 2),
+                Policy::Split(_) => Policy::Split(scenario.targets / 2),
                 other => other,
             };
-            let runs: Vec<Outcome> = SEEDS.iter().map(|s| lab::run(shape, policy, *s)).collect();
+            let runs: Vec<Outcome> = SEEDS
+                .iter()
+                .map(|s| lab::run(scenario, policy, *s))
+                .collect();
             let row = Row::of(&runs);
             let base = *alone.get_or_insert(row);
-            if policy == Policy::BatchAlone {
+            if policy == Policy::BatchOnly {
                 batch_alone = row.batch;
             }
             let ratio = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
@@ -96,12 +99,12 @@
                 all * 100.0,
                 ratio(all, row.left) * 100.0,
                 row.preempted,
-                row.shed,
+                row.rejected,
                 row.left * 100.0,
                 row.yields / 1e3,
                 row.refill / 1e3,
             );
-            if policy == Policy::OnlineAlone {
+            if policy == Policy::OnlineOnly {
                 println!(
                     "{:15} {:7.1}ms {:7.1}ms {:7.1}ms {:7.1}ms",
                     "  in time",
@@ -121,7 +124,7 @@
     inter: (f64, f64),
     batch: f64,
     preempted: f64,
-    shed: f64,
+    rejected: f64,
     left: f64,
     yields: f64,
     refill: f64,
@@ -146,9 +149,9 @@
             ),
             batch: median(&|o| o.batch_tokens as f64),
             preempted: median(&|o| o.preempted as f64),
-            shed: median(&|o| o.shed as f64),
-            left: median(&|o| o.left),
-            yields: median(&|o| at(&o.yield_us, 0.99)),
+            rejected: median(&|o| o.rejected as f64),
+            left: median(&|o| o.unused_share),
+            yields: median(&|o| at(&o.preemption_us, 0.99)),
             refill: median(&|o| at(&o.refill_us, 0.5)),
         }
     }
--- a/crates/standins/examples/recovery.rs
+++ b/crates/standins/examples/recovery.rs
@@ -60,11 +60,11 @@
 async fn kill() {
     let mut fleet = Fleet::ready(config(8, model::Config::default())).await;
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 20_000, 16))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 20_000, 16))
         .await;
     let url = format!("{}/admin/v1/hosts", fleet.admin_url("a1"));
     fleet
-        .until(|f| async { f.engines.values().all(|e| e.streams() > 0) })
+        .wait_until(|f| async { f.engines.values().all(|e| e.streams() > 0) })
         .await;
     let report = fleet.get_json(&url).await;
     let shards = report["hosts"][3]["report"]["shards"]
@@ -107,7 +107,7 @@
         died.elapsed().as_secs_f64(),
         LEASE_MS as f64 / 1e3
     );
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     println!("  the job ended with {}", ended["request_counts"]);
 }
 
@@ -120,7 +120,7 @@
         ..model::Config::default()
     };
     let fleet = Fleet::ready(config(16, fast)).await;
-    let lot = fleet::lot("large", LOT_ITEMS, 1);
+    let lot = fleet::input_file("large", LOT_ITEMS, 1);
     let before = resident_mb();
     let started = Instant::now();
     let file = fleet.upload("a1", SCHOOL_KEY, &lot).await;
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -45,8 +45,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::http;
-use crate::http::Answer;
-use crate::http::Running;
+use crate::http::HandlerResult;
+use crate::http::ServerHandle;
 use crate::model;
 use crate::model::Model;
 
@@ -66,7 +66,7 @@
     /// Speed and memory.
     pub model: model::Config,
     /// What it holds at start.
-    pub holds: Vec<Held>,
+    pub loaded: Vec<Held>,
     /// Whether it refuses orders with an old fencing number.
     pub checks_fencing: bool,
     /// The weight store; without one, loads take no time.
@@ -78,7 +78,7 @@
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             model: model::Config::default(),
-            holds: Vec::new(),
+            loaded: Vec::new(),
             checks_fencing: true,
             weights_url: None,
         }
@@ -158,7 +158,7 @@
 /// A running engine stand-in.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    running: Arc<Running>,
+    running: Arc<ServerHandle>,
     shared: Arc<Shared>,
 }
 
@@ -176,7 +176,7 @@
             incarnation: 1,
             leaving: false,
             role: Role::Any,
-            holds: cfg.holds.clone(),
+            holds: cfg.loaded.clone(),
             loading: Vec::new(),
             fence: 0,
             faults: Faults::default(),
@@ -248,7 +248,7 @@
 }
 
 /// Returns the prompt that messages amount to.
-pub fn prompt_of(messages: &[serde_json::Value]) -> String {
+pub fn join_prompt(messages: &[serde_json::Value]) -> String {
     let contents = messages.iter().filter_map(|m| m.get("content")?.as_str());
     contents.collect::<Vec<_>>().join("\n")
 }
@@ -295,7 +295,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn handle(self: &Arc<Self>, req: Request<Incoming>) -> Answer {
+    async fn handle(self: &Arc<Self>, req: Request<Incoming>) -> HandlerResult {
         let method = req.method().clone();
         let path = req.uri().path().to_owned();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -303,7 +303,7 @@
             (&Method::POST, ["v1", "chat", "completions"]) => {
                 let name = req.headers().get(target::REQUEST_ID);
                 let name = name.and_then(|v| v.to_str().ok()).unwrap_or("-").to_owned();
-                let body = http::read(req).await?;
+                let body = http::read_body(req).await?;
                 self.chat(name, &body)
             }
             (&Method::POST, ["v1", "requests", name, "cancel"]) => {
@@ -312,14 +312,14 @@
             }
             (&Method::GET, ["v1", "status"]) => http::json(StatusCode::OK, &self.lock().status()),
             (&Method::POST, ["v1", "orders"]) => {
-                let body = http::read(req).await?;
+                let body = http::read_body(req).await?;
                 let Ok(order) = serde_json::from_slice(&body) else {
                     return http::empty(StatusCode::BAD_REQUEST);
                 };
                 self.order(order)
             }
             (&Method::PUT, ["v1", "faults"]) => {
-                let body = http::read(req).await?;
+                let body = http::read_body(req).await?;
                 let Ok(faults) = serde_json::from_slice(&body) else {
                     return http::empty(StatusCode::BAD_REQUEST);
                 };
@@ -331,11 +331,11 @@
         }
     }
 
-    fn chat(&self, name: String, body: &[u8]) -> Answer {
+    fn chat(&self, name: String, body: &[u8]) -> HandlerResult {
         let Ok(asked) = serde_json::from_slice::<Asked>(body) else {
             return http::empty(StatusCode::BAD_REQUEST);
         };
-        let prompt = prompt_of(&asked.messages);
+        let prompt = join_prompt(&asked.messages);
         if prompt.contains(MALFORMED) {
             return http::empty(StatusCode::BAD_REQUEST);
         }
@@ -369,7 +369,7 @@
             .map_err(io::Error::other)
     }
 
-    fn order(self: &Arc<Self>, order: Order) -> Answer {
+    fn order(self: &Arc<Self>, order: Order) -> HandlerResult {
         let mut state = self.lock();
         if self.cfg.checks_fencing && order.fence < state.fence {
             return http::empty(StatusCode::CONFLICT);
@@ -521,10 +521,10 @@
         if self.twist == Some(Twist::Doubled) {
             sent = self.send(&text);
         }
-        if token.last {
+        if token.is_last {
             self.send(target::END);
         }
-        sent && !token.last
+        sent && !token.is_last
     }
 
     fn chunk(&self, token: model::Token) -> Chunk {
@@ -543,9 +543,9 @@
                 delta: Delta {
                     content: token_text(prompt, &self.held, token.offset),
                 },
-                finish_reason: token.last.then(|| "stop".to_owned()),
+                finish_reason: token.is_last.then(|| "stop".to_owned()),
             }],
-            usage: token.last.then_some(Usage {
+            usage: token.is_last.then_some(Usage {
                 prompt_tokens: self.prompt_tokens,
                 completion_tokens,
                 total_tokens: self.prompt_tokens + completion_tokens,
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -27,8 +27,8 @@
 use crate::engine::Engine;
 use crate::platform;
 use crate::platform::Platform;
+use crate::service::ExecutedCall;
 use crate::service::Service;
-use crate::service::Taken;
 
 /// The API key of the school in [`bundle`].
 pub const SCHOOL_KEY: &str = "school-key";
@@ -88,7 +88,7 @@
 
 /// An answer as a caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Response {
     /// The status.
     pub status: u16,
     /// The body.
@@ -96,13 +96,13 @@
     /// The `Retry-After` header, in seconds.
     pub retry_after_s: Option<u64>,
     /// Whether a kept answer was given again.
-    pub replayed: bool,
+    pub is_replayed: bool,
 }
 
-impl Seen {
+impl Response {
     /// Returns whether this is a refusal that was not run and says when to come
     /// back, as when a lease lapses for a moment on a busy machine.
-    pub fn is_not_yet(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         let not_run = self.json()["error"]["outcome"] == "not-run";
         self.status == 503 && not_run && self.retry_after_s.is_some()
     }
@@ -152,8 +152,8 @@
     /// Panics if it does not get that far.
     pub async fn ready(cfg: Config) -> Self {
         let fleet = Self::start(cfg).await;
-        fleet.put_in_force(&school_bundle("1")).await;
-        fleet.settled("tutor/-/1").await;
+        fleet.activate_bundle(&school_bundle("1")).await;
+        fleet.wait_loaded("tutor/-/1").await;
         fleet
     }
 
@@ -270,7 +270,7 @@
         url: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> Result<Seen, Report<Call>> {
+    ) -> Result<Response, Report<Call>> {
         send(&self.client, method, url, headers, body.into()).await
     }
 
@@ -279,7 +279,7 @@
     /// # Panics
     ///
     /// Panics if that fails.
-    pub async fn put_in_force(&self, bundle: &Bundle) -> u64 {
+    pub async fn activate_bundle(&self, bundle: &Bundle) -> u64 {
         let admin = self.admin_url(self.any_host());
         let now = self.get_json(&format!("{admin}/admin/v1/bundle")).await;
         let asked = json!({"base": now["version"], "author": "ana", "bundle": bundle});
@@ -290,17 +290,17 @@
             .await;
         let version = asked["version"].as_u64().expect("A version is a number.");
         for host in self.hosts.keys() {
-            self.until(|fleet| fleet.applies(host, version)).await;
+            self.wait_until(|fleet| fleet.applies(host, version)).await;
         }
         version
     }
 
     /// Waits until every engine holds what its plan says, given a fingerprint
     /// that all of them hold.
-    pub async fn settled(&self, fingerprint: &str) {
+    pub async fn wait_loaded(&self, fingerprint: &str) {
         let fingerprint = fingerprint.to_owned();
         for host in self.hosts.keys() {
-            self.until(|fleet| fleet.sees_held(host, &fingerprint))
+            self.wait_until(|fleet| fleet.sees_held(host, &fingerprint))
                 .await;
         }
     }
@@ -310,7 +310,7 @@
     /// # Panics
     ///
     /// Panics if it is not so within a minute.
-    pub async fn until<'a, F, R>(&'a self, mut so: F)
+    pub async fn wait_until<'a, F, R>(&'a self, mut so: F)
     where
         F: FnMut(&'a Self) -> R,
         R: Future<Output = bool>,
@@ -330,10 +330,10 @@
     ///
     /// Panics if either is refused.
     pub async fn submit(&self, host: &str, key: &str, lot: &str) -> String {
-        let file = insist(|| self.upload(host, key, lot)).await;
+        let file = retry_until_final(|| self.upload(host, key, lot)).await;
         assert_eq!(file.status, 200, "{}", file.body);
         let file = file.json();
-        let job = insist(|| self.create_job(host, key, &file["id"])).await;
+        let job = retry_until_final(|| self.create_job(host, key, &file["id"])).await;
         assert_eq!(job.status, 200, "{}", job.body);
         job.json()["id"].as_str().unwrap_or_default().to_owned()
     }
@@ -343,13 +343,13 @@
     /// # Panics
     ///
     /// Panics if no answer comes.
-    pub async fn upload(&self, host: &str, key: &str, lot: &str) -> Seen {
+    pub async fn upload(&self, host: &str, key: &str, lot: &str) -> Response {
         let url = format!("{}/v1/files", self.url(host));
-        let form = lot_form(lot);
+        let form = upload_form(lot);
         let auth = format!("Bearer {key}");
         let headers = [
             ("authorization", auth.as_str()),
-            ("content-type", LOT_FORM_TYPE),
+            ("content-type", UPLOAD_CONTENT_TYPE),
         ];
         let seen = self.send(Method::POST, &url, &headers, form).await;
         seen.expect("An answer comes.")
@@ -360,7 +360,7 @@
     /// # Panics
     ///
     /// Panics if no answer comes.
-    pub async fn create_job(&self, host: &str, key: &str, file: &Value) -> Seen {
+    pub async fn create_job(&self, host: &str, key: &str, file: &Value) -> Response {
         let url = format!("{}/v1/batches", self.url(host));
         let body = json!({"input_file_id": file, "endpoint": "/v1/chat/completions",
             "completion_window": "24h"});
@@ -371,9 +371,9 @@
     }
 
     /// Waits until a job has ended and returns it.
-    pub async fn job_ended(&self, key: &str, job: &str) -> Value {
+    pub async fn wait_job_end(&self, key: &str, job: &str) -> Value {
         let ended = |seen: &Value| seen["status"] != "in_progress" && seen["status"].is_string();
-        self.until(|fleet| async move { ended(&fleet.job(key, job).await) })
+        self.wait_until(|fleet| async move { ended(&fleet.job(key, job).await) })
             .await;
         self.job(key, job).await
     }
@@ -404,7 +404,7 @@
     }
 
     /// Sends a GET request with an API key.
-    pub async fn get(&self, key: &str, url: &str) -> Option<Seen> {
+    pub async fn get(&self, key: &str, url: &str) -> Option<Response> {
         let auth = format!("Bearer {key}");
         let headers = [("authorization", auth.as_str())];
         self.send(Method::GET, url, &headers, "").await.ok()
@@ -415,7 +415,12 @@
     /// # Errors
     ///
     /// Returns why no whole answer came.
-    pub async fn chat(&self, host: &str, key: &str, body: &Value) -> Result<Seen, Report<Call>> {
+    pub async fn chat(
+        &self,
+        host: &str,
+        key: &str,
+        body: &Value,
+    ) -> Result<Response, Report<Call>> {
         let url = format!("{}/v1/chat/completions", self.url(host));
         let auth = format!("Bearer {key}");
         let headers = [("authorization", auth.as_str())];
@@ -456,8 +461,11 @@
     }
 
     /// Returns the calls that took effect at any target of the service.
-    pub fn taken(&self) -> Vec<Taken> {
-        self.services.iter().flat_map(Service::taken).collect()
+    pub fn executed_calls(&self) -> Vec<ExecutedCall> {
+        self.services
+            .iter()
+            .flat_map(Service::executed_calls)
+            .collect()
     }
 
     fn list_services(&self) {
@@ -498,7 +506,7 @@
 }
 
 /// Returns a lot of items with prompts of their own.
-pub fn lot(name: &str, items: usize, tokens: u32) -> String {
+pub fn input_file(name: &str, items: usize, tokens: u32) -> String {
     let line = |i: usize| {
         let body = json!({"model": "hints", "max_tokens": tokens,
             "messages": [{"role": "user", "content": format!("{name} {i}")}]});
@@ -514,15 +522,15 @@
 /// # Panics
 ///
 /// Panics if that goes on for a minute.
-pub async fn insist<F, R>(mut ask: F) -> Seen
+pub async fn retry_until_final<F, R>(mut ask: F) -> Response
 where
     F: FnMut() -> R,
-    R: Future<Output = Seen>,
+    R: Future<Output = Response>,
 {
     let asking = async {
         loop {
             let seen = ask().await;
-            if !seen.is_not_yet() {
+            if !seen.is_retryable() {
                 return seen;
             }
             tokio::time::sleep(POLL).await;
@@ -532,11 +540,11 @@
     asked.expect("There is a final answer within a minute.")
 }
 
-/// The content type of [`lot_form`].
-pub const LOT_FORM_TYPE: &str = "multipart/form-data; boundary=edge";
+/// The content type of [`upload_form`].
+pub const UPLOAD_CONTENT_TYPE: &str = "multipart/form-data; boundary=edge";
 
 /// Returns the form that uploads a lot.
-pub fn lot_form(lot: &str) -> String {
+pub fn upload_form(lot: &str) -> String {
     format!(
         "--edge\r\ncontent-disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n\
          --edge\r\ncontent-disposition: form-data; name=\"file\"; filename=\"lot.jsonl\"\
@@ -555,7 +563,7 @@
     url: &str,
     headers: &[(&str, &str)],
     body: Bytes,
-) -> Result<Seen, Report<Call>> {
+) -> Result<Response, Report<Call>> {
     use http_body_util::BodyExt as _;
     let mut req: Request<_> = http::request(method, url, body)?;
     for (name, value) in headers {
@@ -569,14 +577,14 @@
     let status = resp.status().as_u16();
     let header = |name: &str| resp.headers().get(name).and_then(|v| v.to_str().ok());
     let retry_after_s = header("retry-after").and_then(|v| v.parse().ok());
-    let replayed = header("idempotent-replayed").is_some();
+    let is_replayed = header("idempotent-replayed").is_some();
     let body = resp.into_body().collect().await;
     let body = body.map_err(|_| Report::new(Call::Lost))?.to_bytes();
-    Ok(Seen {
+    Ok(Response {
         status,
         body: String::from_utf8_lossy(&body).into_owned(),
         retry_after_s,
-        replayed,
+        is_replayed,
     })
 }
 
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -22,16 +22,16 @@
 /// The body of an answer; an error in it cuts the connection.
 pub type Body = BoxBody<Bytes, io::Error>;
 /// An answer; an error cuts the connection without one.
-pub type Answer = Result<Response<Body>, io::Error>;
+pub type HandlerResult = Result<Response<Body>, io::Error>;
 
 /// A running stand-in; dropping it closes its port and its connections.
 #[derive(Debug)]
-pub struct Running {
+pub struct ServerHandle {
     addr: SocketAddr,
     _stop: watch::Sender<()>,
 }
 
-impl Running {
+impl ServerHandle {
     /// Returns where it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
@@ -48,10 +48,10 @@
 /// # Errors
 ///
 /// Returns the system's error if the address cannot be listened on.
-pub async fn serve<F, R>(listen: SocketAddr, handler: F) -> io::Result<Running>
+pub async fn serve<F, R>(listen: SocketAddr, handler: F) -> io::Result<ServerHandle>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Answer> + Send + 'static,
+    R: Future<Output = HandlerResult> + Send + 'static,
 {
     let listener = TcpListener::bind(listen).await?;
     let addr = listener.local_addr()?;
@@ -78,17 +78,17 @@
             });
         }
     });
-    Ok(Running { addr, _stop: stop })
+    Ok(ServerHandle { addr, _stop: stop })
 }
 
 /// Returns an answer with JSON.
-pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+pub fn json<T: Serialize>(status: StatusCode, value: &T) -> HandlerResult {
     let text = serde_json::to_vec(value).map_err(io::Error::other)?;
     bytes(status, text.into())
 }
 
 /// Returns an answer with bytes.
-pub fn bytes(status: StatusCode, body: Bytes) -> Answer {
+pub fn bytes(status: StatusCode, body: Bytes) -> HandlerResult {
     let body = Full::new(body).map_err(|never| match never {}).boxed();
     Response::builder()
         .status(status)
@@ -97,7 +97,7 @@
 }
 
 /// Returns an empty answer.
-pub fn empty(status: StatusCode) -> Answer {
+pub fn empty(status: StatusCode) -> HandlerResult {
     bytes(status, Bytes::new())
 }
 
@@ -106,13 +106,13 @@
 /// # Errors
 ///
 /// Returns an error if the connection is cut.
-pub async fn read(req: Request<Incoming>) -> io::Result<Bytes> {
+pub async fn read_body(req: Request<Incoming>) -> io::Result<Bytes> {
     let body = req.into_body().collect().await;
     Ok(body.map_err(io::Error::other)?.to_bytes())
 }
 
 /// Returns a parameter of a query.
-pub fn param(query: &str, name: &str) -> Option<u64> {
+pub fn query_param(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
--- a/crates/standins/src/lab.rs
+++ b/crates/standins/src/lab.rs
@@ -36,7 +36,7 @@
 
 /// A fleet and its load.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct Scenario {
     /// The name.
     pub name: &'static str,
     /// Entry hosts.
@@ -46,26 +46,26 @@
     /// Data centres.
     pub data_centres: usize,
     /// One way between data centres, in microseconds.
-    pub between_us: u64,
+    pub inter_dc_latency_us: u64,
     /// Online requests a second outside bursts.
     pub online_per_s: f64,
     /// How much more come in a burst.
     pub burst_factor: f64,
     /// Time from one burst's start to the next, in microseconds.
-    pub burst_every_us: u64,
+    pub burst_interval_us: u64,
     /// How long a burst lasts, in microseconds.
-    pub burst_us: u64,
+    pub burst_duration_us: u64,
     /// How long the run lasts, in microseconds.
-    pub run_us: u64,
+    pub duration_us: u64,
 }
 
 /// How batch work is kept from online work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
     /// There is no batch work.
-    OnlineAlone,
+    OnlineOnly,
     /// There is no online work.
-    BatchAlone,
+    BatchOnly,
     /// Online goes straight to targets; the holder fills what it leaves of so
     /// many streams.
     Direct(slots::Config, u32),
@@ -74,7 +74,7 @@
     /// So many targets are for batch work alone, the others for online.
     Split(usize),
     /// Batch fills every slot whatever comes.
-    None,
+    Unlimited,
     /// As direct, but slots are counted in reserved tokens.
     Tokens(slots::Config),
 }
@@ -93,12 +93,12 @@
     /// Batch streams cancelled for online work.
     pub preempted: u64,
     /// Online requests refused.
-    pub shed: u64,
+    pub rejected: u64,
     /// Mean share of a target's limit that online work left.
-    pub left: f64,
+    pub unused_share: f64,
     /// From the arrival of an online request until the batch streams that its
     /// slot needed were cancelled, in microseconds.
-    pub yield_us: Histogram<u64>,
+    pub preemption_us: Histogram<u64>,
     /// From the end of the online excess of a burst until as many batch
     /// streams run as before it, in microseconds.
     pub refill_us: Histogram<u64>,
@@ -140,7 +140,7 @@
 
 /// A run in progress.
 pub struct Lab {
-    shape: Shape,
+    scenario: Scenario,
     policy: Policy,
     now_us: u64,
     base: Instant,
@@ -161,9 +161,9 @@
     }
 }
 
-/// Runs a shape under a policy.
-pub fn run(shape: Shape, policy: Policy, seed: u64) -> Outcome {
-    let mut lab = Lab::new(shape, policy, seed);
+/// Runs a scenario under a policy.
+pub fn run(scenario: Scenario, policy: Policy, seed: u64) -> Outcome {
+    let mut lab = Lab::new(scenario, policy, seed);
     lab.run();
     lab.finish()
 }
@@ -178,7 +178,7 @@
 }
 
 impl Lab {
-    fn new(shape: Shape, policy: Policy, seed: u64) -> Self {
+    fn new(scenario: Scenario, policy: Policy, seed: u64) -> Self {
         let base = Instant::now();
         let cfg = match policy {
             Policy::Direct(c, _) | Policy::ThroughHolder(c) | Policy::Tokens(c) => c,
@@ -200,7 +200,7 @@
             batch_tokens: 0,
         };
         let mut lab = Self {
-            shape,
+            scenario,
             policy,
             now_us: 0,
             base,
@@ -208,10 +208,10 @@
             order: 0,
             next_id: 1,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            tables: (0..shape.hosts as u64)
+            tables: (0..scenario.hosts as u64)
                 .map(|h| Table::new(routing, seed ^ h))
                 .collect(),
-            targets: (0..shape.targets).map(target).collect(),
+            targets: (0..scenario.targets).map(target).collect(),
             streams: HashMap::new(),
             out: Outcome {
                 first_us: histogram(),
@@ -219,15 +219,15 @@
                 batch_tokens: 0,
                 batch_items: 0,
                 preempted: 0,
-                shed: 0,
-                left: 0.0,
-                yield_us: histogram(),
+                rejected: 0,
+                unused_share: 0.0,
+                preemption_us: histogram(),
                 refill_us: histogram(),
             },
             samples: Vec::new(),
         };
-        for host in 0..shape.hosts {
-            for id in 0..shape.targets {
+        for host in 0..scenario.hosts {
+            for id in 0..scenario.targets {
                 let online = !matches!(policy, Policy::Split(k) if id < k);
                 let report = Report {
                     is_for_online: online,
@@ -237,12 +237,12 @@
                 };
                 lab.tables[host].upsert(&name(id), report, base);
             }
-            if policy != Policy::BatchAlone {
+            if policy != Policy::BatchOnly {
                 let at = lab.gap_us();
                 lab.at(at, Event::Arrive(host));
             }
         }
-        for id in 0..shape.targets {
+        for id in 0..scenario.targets {
             lab.at(id as u64, Event::Fill(id));
         }
         lab.at(SAMPLE_US, Event::Sample);
@@ -251,7 +251,7 @@
 
     fn run(&mut self) {
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > self.shape.run_us {
+            if at > self.scenario.duration_us {
                 return;
             }
             self.now_us = at;
@@ -280,31 +280,36 @@
     }
 
     fn bursting(&self) -> bool {
-        self.now_us % self.shape.burst_every_us >= self.shape.burst_every_us - self.shape.burst_us
+        self.now_us % self.scenario.burst_interval_us
+            >= self.scenario.burst_interval_us - self.scenario.burst_duration_us
     }
 
     /// Returns when the next online request of a host comes.
     fn gap_us(&mut self) -> u64 {
         let factor = if self.bursting() {
-            self.shape.burst_factor
+            self.scenario.burst_factor
         } else {
             1.0
         };
-        let rate = self.shape.online_per_s * factor / self.shape.hosts as f64;
+        let rate = self.scenario.online_per_s * factor / self.scenario.hosts as f64;
         let draw: f64 = self.rng.random_range(f64::EPSILON..1.0);
         let gap = -draw.ln() / rate * 1e6;
         // A quiet host must notice a burst that begins meanwhile.
-        let gap = gap.min(self.shape.burst_us as f64) as u64;
+        let gap = gap.min(self.scenario.burst_duration_us as f64) as u64;
         self.now_us + gap.max(1)
     }
 
     fn holder(&self, target: usize) -> usize {
-        target % self.shape.hosts
+        target % self.scenario.hosts
     }
 
     fn one_way(&self, a: usize, b: usize) -> u64 {
-        let near = a % self.shape.data_centres == b % self.shape.data_centres;
-        if near { 100 } else { self.shape.between_us }
+        let near = a % self.scenario.data_centres == b % self.scenario.data_centres;
+        if near {
+            100
+        } else {
+            self.scenario.inter_dc_latency_us
+        }
     }
 
     fn arrive(&mut self, host: usize) {
@@ -315,7 +320,7 @@
         let now = self.now();
         let chosen = self.tables[host].choose(HELD, prefix << 7, &[], now);
         let Ok(chosen) = chosen else {
-            self.out.shed += 1;
+            self.out.rejected += 1;
             return;
         };
         let target: usize = chosen[1..].parse().expect("Names are numbers.");
@@ -383,7 +388,7 @@
         let Some(stream) = self.streams.remove(&id) else {
             return;
         };
-        record(&mut self.out.yield_us, self.now_us - cause_us);
+        record(&mut self.out.preemption_us, self.now_us - cause_us);
         let target = &mut self.targets[stream.target];
         target.model.cancel(id);
         target.batch_tokens -= stream.prompt + stream.tokens;
@@ -391,7 +396,7 @@
     }
 
     fn fill(&mut self, target: usize) {
-        if self.policy == Policy::OnlineAlone {
+        if self.policy == Policy::OnlineOnly {
             return;
         }
         if matches!(self.policy, Policy::Split(k) if target >= k) {
@@ -402,7 +407,7 @@
             let limit = self.limit(target);
             let state = &self.targets[target];
             let free = match self.policy {
-                Policy::None | Policy::BatchAlone | Policy::Split(_) => {
+                Policy::Unlimited | Policy::BatchOnly | Policy::Split(_) => {
                     limit.saturating_sub(state.slots.batch_streams())
                 }
                 Policy::Tokens(_) => self.token_room(target, limit, now),
@@ -477,7 +482,7 @@
             let stream = *stream;
             if !stream.online {
                 self.out.batch_tokens += 1;
-                if !token.last {
+                if !token.is_last {
                     continue;
                 }
             }
@@ -488,7 +493,7 @@
             }
             self.at(
                 self.now_us + way,
-                Event::Seen(token.id, token.offset, token.last),
+                Event::Seen(token.id, token.offset, token.is_last),
             );
         }
         let target = &mut self.targets[id];
@@ -551,9 +556,9 @@
     }
 
     fn finish(mut self) -> Outcome {
-        let all = f64::from(table::Config::default().streams_max) * self.shape.targets as f64;
+        let all = f64::from(table::Config::default().streams_max) * self.scenario.targets as f64;
         let used: f64 = self.samples.iter().map(|s| f64::from(s.1) / all).sum();
-        self.out.left = 1.0 - used / self.samples.len().max(1) as f64;
+        self.out.unused_share = 1.0 - used / self.samples.len().max(1) as f64;
         self.measure_refill();
         self.out
     }
@@ -561,8 +566,8 @@
     /// Measures, for each burst, from when online streams are back to what they
     /// were before it until batch streams are as well.
     fn measure_refill(&mut self) {
-        let every = (self.shape.burst_every_us / SAMPLE_US) as usize;
-        let burst = (self.shape.burst_us / SAMPLE_US) as usize;
+        let every = (self.scenario.burst_interval_us / SAMPLE_US) as usize;
+        let burst = (self.scenario.burst_duration_us / SAMPLE_US) as usize;
         let mean = |part: &[(u64, u32, u32)], of: fn(&(u64, u32, u32)) -> u32| {
             part.iter().map(|s| f64::from(of(s))).sum::<f64>() / part.len().max(1) as f64
         };
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/model.rs
@@ -62,7 +62,7 @@
     /// The number of tokens before it.
     pub offset: u32,
     /// Whether it is the last.
-    pub last: bool,
+    pub is_last: bool,
 }
 
 /// An engine's streams and cache.
@@ -148,7 +148,7 @@
             tokens.push(Token {
                 id: req.id,
                 offset,
-                last: req.done_tokens >= req.tokens,
+                is_last: req.done_tokens >= req.tokens,
             });
         }
         self.running.retain(|r| r.done_tokens < r.tokens);
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -25,8 +25,8 @@
 use tokio::time::Instant;
 
 use crate::http;
-use crate::http::Answer;
-use crate::http::Running;
+use crate::http::HandlerResult;
+use crate::http::ServerHandle;
 
 /// Bytes of records in one page.
 const PAGE_BYTES_MAX: usize = 4 << 20;
@@ -97,7 +97,7 @@
 /// A running platform stand-in.
 #[derive(Clone, Debug)]
 pub struct Platform {
-    running: Arc<Running>,
+    running: Arc<ServerHandle>,
     shared: Arc<Shared>,
 }
 
@@ -181,21 +181,21 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn handle(&self, req: Request<Incoming>) -> Answer {
+    async fn handle(&self, req: Request<Incoming>) -> HandlerResult {
         let method = req.method().clone();
         let path = req.uri().path().to_owned();
         let query = req.uri().query().unwrap_or_default().to_owned();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (&method, &parts[..]) {
             (&Method::POST, ["v1", "streams", stream, "records"]) => {
-                let body = http::read(req).await?;
+                let body = http::read_body(req).await?;
                 self.append(stream, body.to_vec()).await
             }
             (&Method::GET, ["v1", "streams", stream, "records"]) => self.read(stream, &query).await,
             (&Method::GET, ["v1", "streams", stream]) => self.bounds(stream),
             (&Method::GET, ["v1", "hosts"]) => http::json(StatusCode::OK, &self.lock().listed()),
             (&Method::PUT, ["v1", "hosts"]) => {
-                let body = http::read(req).await?;
+                let body = http::read_body(req).await?;
                 let Ok(listed) = serde_json::from_slice::<Listed>(&body) else {
                     return http::empty(StatusCode::BAD_REQUEST);
                 };
@@ -208,7 +208,7 @@
             }
             (&Method::GET, ["v1", "weights", ..]) => self.weights().await,
             (&Method::PUT, ["v1", "faults"]) => {
-                let body = http::read(req).await?;
+                let body = http::read_body(req).await?;
                 let Ok(faults) = serde_json::from_slice(&body) else {
                     return http::empty(StatusCode::BAD_REQUEST);
                 };
@@ -219,7 +219,7 @@
         }
     }
 
-    async fn append(&self, stream: &str, data: Vec<u8>) -> Answer {
+    async fn append(&self, stream: &str, data: Vec<u8>) -> HandlerResult {
         let faults = self.lock().faults.clone();
         tokio::time::sleep(Duration::from_millis(faults.append_ms)).await;
         if faults.log_down || !self.lock().take_append() {
@@ -247,10 +247,10 @@
         http::json(StatusCode::OK, &Appended { offset })
     }
 
-    async fn read(&self, stream: &str, query: &str) -> Answer {
-        let from = http::param(query, "from").unwrap_or(0);
-        let max = http::param(query, "max").unwrap_or(1_000);
-        let wait = Duration::from_millis(http::param(query, "wait_ms").unwrap_or(0));
+    async fn read(&self, stream: &str, query: &str) -> HandlerResult {
+        let from = http::query_param(query, "from").unwrap_or(0);
+        let max = http::query_param(query, "max").unwrap_or(1_000);
+        let wait = Duration::from_millis(http::query_param(query, "wait_ms").unwrap_or(0));
         let deadline = Instant::now() + wait;
         loop {
             let appended = self.appended.notified();
@@ -271,7 +271,7 @@
         }
     }
 
-    fn bounds(&self, stream: &str) -> Answer {
+    fn bounds(&self, stream: &str) -> HandlerResult {
         let mut state = self.lock();
         if state.faults.log_down {
             return http::empty(StatusCode::SERVICE_UNAVAILABLE);
@@ -281,7 +281,7 @@
         http::json(StatusCode::OK, &Bounds { first, next })
     }
 
-    async fn weights(&self) -> Answer {
+    async fn weights(&self) -> HandlerResult {
         let ready_at = self.lock().take_weights();
         tokio::time::sleep_until(ready_at).await;
         http::empty(StatusCode::OK)
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -15,11 +15,11 @@
 use tokio::sync::watch;
 
 use crate::http;
-use crate::http::Running;
+use crate::http::ServerHandle;
 
 /// A call that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Taken {
+pub struct ExecutedCall {
     /// The method.
     pub method: String,
     /// The path.
@@ -31,14 +31,14 @@
 /// A running service stand-in.
 #[derive(Clone, Debug)]
 pub struct Service {
-    running: Arc<Running>,
+    running: Arc<ServerHandle>,
     shared: Arc<Shared>,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    taken: Mutex<Vec<Taken>>,
-    lose_answers: AtomicU32,
+    taken: Mutex<Vec<ExecutedCall>>,
+    lose_responses: AtomicU32,
     held: watch::Sender<bool>,
 }
 
@@ -65,28 +65,28 @@
     }
 
     /// Loses so many answers after the calls have taken effect.
-    pub fn lose_answers(&self, count: u32) {
-        self.shared.lose_answers.store(count, Ordering::SeqCst);
+    pub fn lose_responses(&self, count: u32) {
+        self.shared.lose_responses.store(count, Ordering::SeqCst);
     }
 
     /// Holds answers back, after the calls have taken effect, until told not to.
-    pub fn hold_answers(&self, hold: bool) {
+    pub fn hold_responses(&self, hold: bool) {
         self.shared.held.send_replace(hold);
     }
 
     /// Returns the calls that took effect.
-    pub fn taken(&self) -> Vec<Taken> {
+    pub fn executed_calls(&self) -> Vec<ExecutedCall> {
         let taken = self.shared.taken.lock();
         taken.unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
 impl Shared {
-    async fn handle(&self, req: Request<Incoming>) -> http::Answer {
+    async fn handle(&self, req: Request<Incoming>) -> http::HandlerResult {
         let method = req.method().to_string();
         let path = req.uri().path().to_owned();
-        let body = String::from_utf8_lossy(&http::read(req).await?).into_owned();
-        let call = Taken { method, path, body };
+        let body = String::from_utf8_lossy(&http::read_body(req).await?).into_owned();
+        let call = ExecutedCall { method, path, body };
         let count = {
             let mut taken = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
             taken.push(call.clone());
@@ -96,7 +96,7 @@
         let _ = self.held.subscribe().wait_for(|held| !held).await;
         let lose = |left: u32| left.checked_sub(1);
         let order = Ordering::SeqCst;
-        if self.lose_answers.fetch_update(order, order, lose).is_ok() {
+        if self.lose_responses.fetch_update(order, order, lose).is_ok() {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         let mut resp = http::json(StatusCode::CREATED, &call)?;
