--- a/crates/loadplay/src/error.rs
+++ b/crates/loadplay/src/error.rs
@@ -1,42 +1,42 @@
-//! Why a load is not played.
+//! Errors of load files.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// Why a load is not played.
+/// Why a load file is rejected.
 #[derive(Debug)]
-pub enum Load {
+pub enum LoadError {
     /// The file cannot be read.
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the read.
         source: std::io::Error,
     },
-    /// The file is not JSON of a load.
-    Shape {
-        /// The field at fault.
+    /// The file is not valid JSON, or does not describe a load.
+    Malformed {
+        /// The invalid field.
         field: String,
-        /// What is wrong with it.
+        /// The error in it.
         detail: String,
     },
-    /// A field has a value that makes no load.
+    /// A field has a value out of range.
     Value {
-        /// The field at fault.
+        /// The invalid field.
         field: &'static str,
-        /// What it must be.
-        must: &'static str,
+        /// The values allowed.
+        expected: &'static str,
     },
 }
 
-impl fmt::Display for Load {
+impl fmt::Display for LoadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable { path, source } => write!(f, "{}: {source}", path.display()),
-            Self::Shape { field, detail } => write!(f, "{field}: {detail}"),
-            Self::Value { field, must } => write!(f, "{field}: must be {must}"),
+            Self::Malformed { field, detail } => write!(f, "{field}: {detail}"),
+            Self::Value { field, expected } => write!(f, "{field}: must be {expected}"),
         }
     }
 }
 
-impl std::error::Error for Load {}
+impl std::error::Error for LoadError {}
--- a/crates/loadplay/src/host.rs
+++ b/crates/loadplay/src/host.rs
@@ -1,4 +1,4 @@
-//! One host: the product's decisions, and what they are about.
+//! A simulated host: the routing decisions of production and their state.
 
 use std::time::Instant;
 
@@ -18,29 +18,29 @@
 use crate::policy::Policy;
 use crate::target::RunId;
 
-/// The one service of a play.
+/// The name of the only service in a run.
 pub(crate) const SERVICE: &str = "s";
 
-/// An item that waits.
+/// A queued item.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Item {
-    pub(crate) number: usize,
+    pub(crate) index: usize,
     pub(crate) due_ms: u64,
     pub(crate) size: Size,
-    pub(crate) events: u64,
+    pub(crate) events_done: u64,
 }
 
-/// An item that runs.
+/// A running item.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Running {
     pub(crate) run: RunId,
     pub(crate) target: usize,
     pub(crate) item: Item,
     pub(crate) started_ms: u64,
-    spare: Rank,
+    rank: Rank,
 }
 
-/// What a host tells others.
+/// The status that a host sends to its peers.
 #[derive(Clone, Debug)]
 pub(crate) struct Status {
     pub(crate) host: usize,
@@ -48,42 +48,45 @@
     pub(crate) waiting: Vec<QueuedItems>,
 }
 
-/// A host.
+/// The state of a host.
 #[derive(Debug)]
 pub(crate) struct Host {
-    pub(crate) places: Balancer,
+    pub(crate) balancer: Balancer,
     pub(crate) queue: Queue<usize, Item>,
-    pub(crate) line: PeerQueues,
-    pub(crate) usual: Estimator,
+    pub(crate) peer_queues: PeerQueues,
+    pub(crate) estimator: Estimator,
     pub(crate) running: Vec<Running>,
     pub(crate) data_centre: String,
-    /// When it may start the next item.
-    pub(crate) free_at_ms: u64,
+    /// The earliest time to start the next item.
+    pub(crate) next_start_ms: u64,
     pub(crate) frozen_until_ms: u64,
-    pub(crate) told_far_at_ms: u64,
+    pub(crate) remote_update_sent_ms: u64,
 }
 
 impl Host {
-    /// Takes the next item if a target is found for it.
-    pub(crate) fn next(
+    /// Takes the next item off the queue if a target is available for it; returns
+    /// the item, whether it is late, and the target.
+    pub(crate) fn dequeue(
         &mut self,
         policy: Policy,
         now_ms: u64,
         now: Instant,
     ) -> Option<(Item, bool, String)> {
-        let usual = &self.usual;
-        if policy.puts_late_behind {
+        let estimator = &self.estimator;
+        if policy.demotes_late {
             self.queue.demote_late(|item| {
-                let rest = usual.remaining(item.size, item.events).unwrap_or_default();
-                now_ms + rest.as_millis() as u64 > item.due_ms
+                let remaining = estimator
+                    .remaining(item.size, item.events_done)
+                    .unwrap_or_default();
+                now_ms + remaining.as_millis() as u64 > item.due_ms
             });
         }
         let (next, _) = self.queue.peek()?;
-        let ahead = match policy.takes_turns {
-            true => self.line.ahead(next.sort_key_unix_ms()),
+        let ahead = match policy.uses_peer_queues {
+            true => self.peer_queues.ahead(next.sort_key_unix_ms()),
             false => Ahead::default(),
         };
-        let want = Criteria {
+        let criteria = Criteria {
             service: SERVICE,
             data_centre: &self.data_centre,
             affinity: 0,
@@ -91,12 +94,12 @@
             objective: None,
             ahead,
         };
-        let target = self.places.choose_batch(&want, now)?;
+        let target = self.balancer.choose_batch(&criteria, now)?;
         Some((self.queue.pop()?, next.is_late, target))
     }
 
-    /// Notes that an item runs.
-    pub(crate) fn begin(
+    /// Records that an item was started.
+    pub(crate) fn record_start(
         &mut self,
         run: RunId,
         target: usize,
@@ -104,7 +107,7 @@
         is_late: bool,
         now_ms: u64,
     ) {
-        let spare = Rank {
+        let rank = Rank {
             is_late,
             due_unix_ms: item.due_ms,
             run,
@@ -114,39 +117,40 @@
             target,
             item,
             started_ms: now_ms,
-            spare,
+            rank,
         });
     }
 
-    /// Takes out the item at a target that can best be spared.
-    pub(crate) fn take_spare(&mut self, target: usize) -> Option<Running> {
+    /// Removes and returns the running item at a target that is to be preempted
+    /// first: the one with the greatest rank.
+    pub(crate) fn take_preemptible(&mut self, target: usize) -> Option<Running> {
         let at_target = self.running.iter().enumerate();
         let at_target = at_target.filter(|(_, r)| r.target == target);
-        let (place, _) = at_target.max_by_key(|(_, r)| r.spare)?;
-        Some(self.running.swap_remove(place))
+        let (index, _) = at_target.max_by_key(|(_, r)| r.rank)?;
+        Some(self.running.swap_remove(index))
     }
 
-    /// Puts an item back that made so many events more.
-    pub(crate) fn put_back(&mut self, mut item: Item, made: f64) {
-        item.events += made as u64;
-        self.queue.push(item.due_ms, item.number, item);
+    /// Queues a preempted item again, with the events that its run generated.
+    pub(crate) fn requeue(&mut self, mut item: Item, generated: f64) {
+        item.events_done += generated as u64;
+        self.queue.push(item.due_ms, item.index, item);
     }
 
-    /// Returns what it tells others.
+    /// Returns the status to send to peers.
     pub(crate) fn status(&self, host: usize) -> Status {
         Status {
             host,
-            loads: self.places.own_loads().collect(),
+            loads: self.balancer.own_loads().collect(),
             waiting: self.queue.summary(DUE_TIMES_MAX),
         }
     }
 
-    /// Takes in what another host tells.
-    pub(crate) fn hear(&mut self, status: &Status, now: Instant) {
+    /// Applies the status received from a peer.
+    pub(crate) fn apply_status(&mut self, status: &Status, now: Instant) {
         let name = name(status.host);
-        self.places
+        self.balancer
             .set_peer_loads(&name, status.loads.iter().copied(), vec![], now);
-        self.line.update(&name, status.waiting.clone(), now);
+        self.peer_queues.update(&name, status.waiting.clone(), now);
     }
 }
 
--- a/crates/loadplay/src/lib.rs
+++ b/crates/loadplay/src/lib.rs
@@ -1,21 +1,23 @@
-//! Plays loads over the product's decisions in virtual time.
+//! Simulates loads against the routing decisions in virtual time.
 //!
-//! Hosts run the code of `notchwharf-routing` that production runs: places,
-//! the order of items, turns and what gives way. Around it stand targets that
-//! slow while they read prompts, news that takes time, callers that come in
-//! steps, and hosts that freeze. A play answers in what callers get.
+//! Simulated hosts run the code of `notchwharf-routing` that production runs: the
+//! balancer, the order of batch items, the queue summaries that hosts exchange,
+//! and preemption. Everything around it is modelled: targets that slow down while
+//! they process prompts, status updates with a delay, arrival rates that change
+//! in steps, and hosts that freeze. A run reports what callers experience.
 //!
-//! It is no second bench: it knows no connections, no store and no crashes, and
-//! its word counts only where the bench agrees. What it is for is a look at one
-//! decision under one load, in a second and the same each time.
+//! It does not replace a benchmark: it has no connections, no store and no
+//! crashes, so its results are valid only where a benchmark of the real system
+//! agrees. It evaluates one decision under one load in about a second, with the
+//! same result for the same seed.
 
 pub mod bound;
 pub mod error;
 pub mod load;
 pub mod outcome;
-pub mod play;
 pub mod policy;
 pub mod report;
+pub mod simulation;
 
 mod host;
 mod target;
--- a/crates/loadplay/src/load.rs
+++ b/crates/loadplay/src/load.rs
@@ -1,4 +1,4 @@
-//! Loads, as files describe them.
+//! Load files and their validation.
 //!
 //! ```
 //! use notchwharf_loadplay::load;
@@ -13,113 +13,119 @@
 
 use crate::error;
 
-/// A load. What a file leaves out is as on a fleet of ten small hosts before
-/// nine targets of eight places.
+/// A load and the fleet that serves it. The defaults describe ten hosts and nine
+/// targets with eight slots each.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Time in which callers come; jobs are played until the last is due.
+    /// Time in which requests and jobs arrive, in seconds. The run continues until
+    /// the last job is due.
     pub seconds: f64,
-    /// Hosts, spread evenly over the data centres.
+    /// Number of hosts, distributed evenly over the data centres.
     pub hosts: u32,
-    /// Data centres.
+    /// Number of data centres.
     pub data_centres: u32,
-    /// Targets, spread likewise.
+    /// Number of targets, distributed evenly over the data centres.
     pub targets: u32,
-    /// Requests that each of them runs at once.
+    /// Concurrency slots of each target.
     pub slots: u32,
-    /// Time from one event to the next, in milliseconds.
+    /// Time between two events of a running request, in milliseconds.
     pub event_ms: f64,
-    /// Tokens of an event.
+    /// Tokens per event.
     pub event_tokens: f64,
-    /// Tokens of prompts that a target reads in a millisecond; what runs there
-    /// stands still meanwhile.
+    /// Prompt tokens that a target processes per millisecond. Requests that run
+    /// there generate no events meanwhile.
     pub prompt_tokens_per_ms: f64,
-    /// Time between two tellings of hosts near by and far away.
-    pub news_near_ms: u64,
-    /// The same of hosts in other data centres.
-    pub news_far_ms: u64,
-    /// Online requests.
+    /// Interval between status updates to hosts in the same data centre.
+    #[serde(rename = "news_near_ms")]
+    pub local_update_interval_ms: u64,
+    /// Interval between status updates to hosts in other data centres.
+    #[serde(rename = "news_far_ms")]
+    pub remote_update_interval_ms: u64,
+    /// The online requests.
     pub online: Online,
-    /// Jobs.
+    /// The batch jobs.
     pub jobs: Jobs,
-    /// Hosts that do nothing for a time.
+    /// Hosts that freeze.
     pub frozen: Vec<Frozen>,
-    /// Targets that get nothing new from a time on.
+    /// Targets that leave.
     pub leaving: Vec<Leaving>,
 }
 
-/// Online requests.
+/// The arrival and size of online requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Online {
-    /// Requests a second, in the mean.
+    /// Mean arrival rate, in requests per second.
     pub per_s: f64,
-    /// Steps of the load: the second of each and its factor on the mean.
+    /// Changes of the arrival rate: the second at which each starts, and its factor
+    /// on the mean rate.
     pub steps: Vec<(f64, f64)>,
-    /// Seconds after which the steps begin anew.
-    pub steps_again_s: f64,
-    /// Events of an answer, in the mean.
+    /// Period after which the steps repeat, in seconds; 0 for no repetition.
+    #[serde(rename = "steps_again_s")]
+    pub steps_period_s: f64,
+    /// Mean number of events per response.
     pub events: f64,
-    /// Tokens of a prompt.
+    /// Tokens per prompt.
     pub prompt_tokens: f64,
-    /// Time to the first event that callers hope for.
+    /// Latency objective for the first event, in milliseconds.
     pub objective_ms: u64,
 }
 
-/// Jobs.
+/// The arrival and size of batch jobs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Jobs {
-    /// Jobs a second.
+    /// Mean arrival rate, in jobs per second.
     pub per_s: f64,
-    /// Items of a job, in the mean.
+    /// Mean number of items per job.
     pub items: f64,
-    /// Events of an item, in the mean.
+    /// Mean number of events per item.
     pub events: f64,
-    /// Spread of their logarithm.
+    /// Standard deviation of the logarithm of the events per item.
     pub events_spread: f64,
-    /// Spread of the logarithm of callers' estimates around the truth.
+    /// Standard deviation of the logarithm of a caller's estimate of an item's
+    /// output tokens, relative to the actual number.
     pub hint_spread: f64,
-    /// Tokens of a prompt.
+    /// Tokens per prompt.
     pub prompt_tokens: f64,
-    /// Time in which all results are due.
+    /// Time from a job's arrival to its due time, in milliseconds.
     pub objective_ms: u64,
-    /// Jobs that come at once.
+    /// Jobs that arrive at the same time.
     pub bursts: Vec<Burst>,
 }
 
-/// Jobs that come at once, at one host.
+/// Jobs that arrive at one host at the same time.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When.
+    /// Time of arrival, in seconds.
     pub at_s: f64,
-    /// How many.
+    /// Number of jobs.
     pub jobs: u32,
-    /// At which host.
+    /// Index of the host.
     pub host: u32,
 }
 
-/// A host that does nothing for a time.
+/// A host that freezes: it sends, receives and starts nothing for a time.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Frozen {
-    /// When.
+    /// Start, in seconds.
     pub at_s: f64,
-    /// For how long.
+    /// Duration, in seconds.
     pub for_s: f64,
-    /// Which.
+    /// Index of the host.
     pub host: u32,
 }
 
-/// A target that gets nothing new from a time on.
+/// A target that leaves: it is assigned nothing new from a time on.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Leaving {
-    /// When.
+    /// Start, in seconds.
     pub at_s: f64,
-    /// Which.
+    /// Index of the target.
     pub target: u32,
 }
 
@@ -134,8 +140,8 @@
             event_ms: 25.0,
             event_tokens: 6.0,
             prompt_tokens_per_ms: 50.0,
-            news_near_ms: 2,
-            news_far_ms: 12,
+            local_update_interval_ms: 2,
+            remote_update_interval_ms: 12,
             online: Online::default(),
             jobs: Jobs::default(),
             frozen: Vec::new(),
@@ -149,7 +155,7 @@
         Self {
             per_s: 40.0,
             steps: Vec::new(),
-            steps_again_s: 0.0,
+            steps_period_s: 0.0,
             events: 28.0,
             prompt_tokens: 450.0,
             objective_ms: 300,
@@ -173,10 +179,10 @@
 }
 
 impl Online {
-    /// Returns the requests a second at a time.
+    /// Returns the arrival rate at a time, in requests per second.
     pub fn rate(&self, at_s: f64) -> f64 {
-        let at_s = match self.steps_again_s > 0.0 {
-            true => at_s % self.steps_again_s,
+        let at_s = match self.steps_period_s > 0.0 {
+            true => at_s % self.steps_period_s,
             false => at_s,
         };
         let step = self.steps.iter().rev().find(|(from_s, _)| *from_s <= at_s);
@@ -184,92 +190,101 @@
     }
 }
 
-/// Reads a load's file.
+/// Reads a load file.
 ///
 /// # Errors
 ///
-/// Returns why it makes no load.
-pub fn read(path: &Path) -> Result<Load, error::Load> {
-    let bytes = std::fs::read(path).map_err(|source| error::Load::Unreadable {
+/// Returns an error if the file cannot be read or is not a valid load.
+pub fn read(path: &Path) -> Result<Load, error::LoadError> {
+    let bytes = std::fs::read(path).map_err(|source| error::LoadError::Unreadable {
         path: path.to_owned(),
         source,
     })?;
     parse(&bytes)
 }
 
-/// Reads a load and checks it.
+/// Parses and validates a load.
 ///
 /// # Errors
 ///
-/// Returns the first field at fault.
-pub fn parse(bytes: &[u8]) -> Result<Load, error::Load> {
+/// Returns the first invalid field.
+pub fn parse(bytes: &[u8]) -> Result<Load, error::LoadError> {
     let json = &mut serde_json::Deserializer::from_slice(bytes);
-    let load: Load = serde_path_to_error::deserialize(json).map_err(|err| error::Load::Shape {
-        field: err.path().to_string(),
-        detail: err.into_inner().to_string(),
-    })?;
+    let load: Load =
+        serde_path_to_error::deserialize(json).map_err(|err| error::LoadError::Malformed {
+            field: err.path().to_string(),
+            detail: err.into_inner().to_string(),
+        })?;
     check(&load)?;
     Ok(load)
 }
 
-fn check(load: &Load) -> Result<(), error::Load> {
-    let must = |is_so: bool, field, must| match is_so {
+fn check(load: &Load) -> Result<(), error::LoadError> {
+    let require = |is_valid: bool, field, expected| match is_valid {
         true => Ok(()),
-        false => Err(error::Load::Value { field, must }),
+        false => Err(error::LoadError::Value { field, expected }),
     };
-    let within = |value: f64, most: f64| value > 0.0 && value <= most;
-    must(
+    let within = |value: f64, max: f64| value > 0.0 && value <= max;
+    require(
         within(load.seconds, 3_600.0),
         "seconds",
         "above 0 and 3600 at most",
     )?;
-    must((1..=1_000).contains(&load.hosts), "hosts", "from 1 to 1000")?;
-    must(
+    require((1..=1_000).contains(&load.hosts), "hosts", "from 1 to 1000")?;
+    require(
         (1..=100).contains(&load.data_centres),
         "data_centres",
         "from 1 to 100",
     )?;
-    must(
+    require(
         (1..=1_000).contains(&load.targets),
         "targets",
         "from 1 to 1000",
     )?;
-    must((1..=1_000).contains(&load.slots), "slots", "from 1 to 1000")?;
-    must(
+    require((1..=1_000).contains(&load.slots), "slots", "from 1 to 1000")?;
+    require(
         within(load.event_ms, 1e5),
         "event_ms",
         "above 0 and 100000 at most",
     )?;
-    must(load.event_tokens >= 0.0, "event_tokens", "0 or more")?;
-    must(
+    require(load.event_tokens >= 0.0, "event_tokens", "0 or more")?;
+    require(
         within(load.prompt_tokens_per_ms, 1e9),
         "prompt_tokens_per_ms",
         "above 0",
     )?;
-    must(load.news_near_ms >= 1, "news_near_ms", "1 or more")?;
-    must(load.news_far_ms >= 1, "news_far_ms", "1 or more")?;
-    must(
+    require(
+        load.local_update_interval_ms >= 1,
+        "news_near_ms",
+        "1 or more",
+    )?;
+    require(
+        load.remote_update_interval_ms >= 1,
+        "news_far_ms",
+        "1 or more",
+    )?;
+    require(
         (0.0..=1e5).contains(&load.online.per_s),
         "online.per_s",
         "from 0 to 100000",
     )?;
-    must(within(load.online.events, 1e6), "online.events", "above 0")?;
-    must(
+    require(within(load.online.events, 1e6), "online.events", "above 0")?;
+    require(
         (0.0..=1e4).contains(&load.jobs.per_s),
         "jobs.per_s",
         "from 0 to 10000",
     )?;
-    must(within(load.jobs.items, 1e6), "jobs.items", "above 0")?;
-    must(within(load.jobs.events, 1e6), "jobs.events", "above 0")?;
+    require(within(load.jobs.items, 1e6), "jobs.items", "above 0")?;
+    require(within(load.jobs.events, 1e6), "jobs.events", "above 0")?;
     let hosts = load.frozen.iter().map(|f| f.host);
     let hosts = hosts.chain(load.jobs.bursts.iter().map(|b| b.host));
-    must(
+    require(
         hosts.max().is_none_or(|host| host < load.hosts),
         "host",
         "one of the hosts",
     )?;
     let targets = load.leaving.iter().map(|l| l.target);
-    must(
+    require(
         targets.max().is_none_or(|t| t < load.targets),
         "target",
         "one of the targets",
--- a/crates/loadplay/src/main.rs
+++ b/crates/loadplay/src/main.rs
@@ -1,25 +1,31 @@
-//! Plays a load's file under policies and seeds.
+//! Simulates a load under each given policy and seed.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use lexopt::ValueExt as _;
 use notchwharf_loadplay::load;
-use notchwharf_loadplay::play;
 use notchwharf_loadplay::policy::POLICIES;
 use notchwharf_loadplay::policy::Policy;
 use notchwharf_loadplay::report;
 use notchwharf_loadplay::report::Row;
+use notchwharf_loadplay::simulation;
 
-const USAGE: &str = "notchwharf-loadplay LOAD.json [--policy NAME,...] [--seeds N] [--out DIR]
+const USAGE: &str = "Usage: notchwharf-loadplay [OPTIONS] LOAD.json
 
-Plays a load in virtual time over the product's decisions and prints what
-callers get. Policies: product, no-turns, late-in-line, no-reserve (all by
-default). With --out the figures are written as JSON, and the places in use of
-each policy's first play as a plot.";
+Simulates a load against the routing decisions in virtual time and prints the
+results that callers observe.
 
-/// Exit code for a command line or a load that is wrong.
-const WRONG_INPUT: u8 = 2;
+Options:
+  --policy NAME,...  Policies to run: product, no-turns, late-in-line,
+                     no-reserve (default: all)
+  --seeds N          Number of runs per policy, with seeds from 0 (default: 8)
+  --out DIR          Write the results to DIR/plays.json, and the slot usage
+                     of each policy's first run to DIR/POLICY.svg
+  -h, --help         Print this help";
+
+/// Exit code for an invalid command line or load file.
+const INVALID_INPUT: u8 = 2;
 
 struct Args {
     load: PathBuf,
@@ -29,17 +35,17 @@
 }
 
 fn main() -> ExitCode {
-    let args = match args() {
+    let args = match parse_args() {
         Ok(Some(args)) => args,
         Ok(None) => {
             println!("{USAGE}");
             return ExitCode::SUCCESS;
         }
-        Err(err) => return wrong(&err.to_string()),
+        Err(err) => return invalid_input(&err.to_string()),
     };
     let load = match load::read(&args.load) {
         Ok(load) => load,
-        Err(err) => return wrong(&err.to_string()),
+        Err(err) => return invalid_input(&err.to_string()),
     };
     match run(&args, &load) {
         Ok(()) => ExitCode::SUCCESS,
@@ -50,12 +56,12 @@
     }
 }
 
-fn wrong(message: &str) -> ExitCode {
+fn invalid_input(message: &str) -> ExitCode {
     eprintln!("notchwharf-loadplay: {message}");
-    ExitCode::from(WRONG_INPUT)
+    ExitCode::from(INVALID_INPUT)
 }
 
-fn args() -> Result<Option<Args>, lexopt::Error> {
+fn parse_args() -> Result<Option<Args>, lexopt::Error> {
     use lexopt::Arg::Long;
     use lexopt::Arg::Short;
     use lexopt::Arg::Value;
@@ -69,7 +75,10 @@
             Long("help") | Short('h') => return Ok(None),
             Long("policy") => {
                 let names = parser.value()?.string()?;
-                policies = names.split(',').map(policy).collect::<Result<_, _>>()?;
+                policies = names
+                    .split(',')
+                    .map(parse_policy)
+                    .collect::<Result<_, _>>()?;
             }
             Long("seeds") => seeds = parser.value()?.parse()?,
             Long("out") => out = Some(PathBuf::from(parser.value()?)),
@@ -77,7 +86,7 @@
             _ => return Err(arg.unexpected()),
         }
     }
-    let load = load.ok_or("a load's file is missing; --help tells the usage")?;
+    let load = load.ok_or("missing load file; see --help")?;
     Ok(Some(Args {
         load,
         policies,
@@ -86,24 +95,24 @@
     }))
 }
 
-fn policy(name: &str) -> Result<Policy, lexopt::Error> {
+fn parse_policy(name: &str) -> Result<Policy, lexopt::Error> {
     let known = POLICIES.into_iter().find(|policy| policy.name == name);
-    known.ok_or_else(|| format!("there is no policy {name}").into())
+    known.ok_or_else(|| format!("unknown policy {name}").into())
 }
 
 fn run(args: &Args, load: &load::Load) -> Result<(), Box<dyn std::error::Error>> {
     let mut rows = Vec::new();
     for policy in &args.policies {
-        let mut plays = Vec::new();
+        let mut outcomes = Vec::new();
         for seed in 0..args.seeds {
-            plays.push(play::play(load, *policy, seed));
+            outcomes.push(simulation::run(load, *policy, seed));
             eprint!("\r{} {}/{} ", policy.name, seed + 1, args.seeds);
         }
-        if let (Some(dir), Some(first)) = (&args.out, plays.first()) {
+        if let (Some(dir), Some(first)) = (&args.out, outcomes.first()) {
             std::fs::create_dir_all(dir)?;
             report::plot(&dir.join(format!("{}.svg", policy.name)), first)?;
         }
-        rows.push(Row::new(policy.name, &plays, load.online.objective_ms));
+        rows.push(Row::new(policy.name, &outcomes, load.online.objective_ms));
     }
     eprintln!();
     print!("{}", report::table(&rows));
--- a/crates/loadplay/src/policy.rs
+++ b/crates/loadplay/src/policy.rs
@@ -1,42 +1,42 @@
-//! Policies: the product's, and the same with one mechanism switched off.
+//! Policies to compare: that of production, and variants with one mechanism off.
 
-/// What is switched off in a play, to see what it is worth.
+/// The mechanisms in use in a run. Comparing policies shows what each contributes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Its name.
+    /// The name on the command line and in reports.
     pub name: &'static str,
-    /// Whether hosts leave places to those whose items are due first.
-    pub takes_turns: bool,
-    /// Whether items that come too late run after all others.
-    pub puts_late_behind: bool,
-    /// Places of each target that may be kept free for online requests.
+    /// Whether a host leaves free slots to peers whose queued items are due earlier.
+    pub uses_peer_queues: bool,
+    /// Whether items that can no longer complete in time run after all others.
+    pub demotes_late: bool,
+    /// Slots of each target that may be kept free for online requests.
     pub reserve: u32,
 }
 
-/// All policies; the first is the product's.
+/// All policies; the first is that of production.
 pub const POLICIES: [Policy; 4] = [
     Policy {
         name: "product",
-        takes_turns: true,
-        puts_late_behind: true,
+        uses_peer_queues: true,
+        demotes_late: true,
         reserve: 1,
     },
     Policy {
         name: "no-turns",
-        takes_turns: false,
-        puts_late_behind: true,
+        uses_peer_queues: false,
+        demotes_late: true,
         reserve: 1,
     },
     Policy {
         name: "late-in-line",
-        takes_turns: true,
-        puts_late_behind: false,
+        uses_peer_queues: true,
+        demotes_late: false,
         reserve: 1,
     },
     Policy {
         name: "no-reserve",
-        takes_turns: true,
-        puts_late_behind: true,
+        uses_peer_queues: true,
+        demotes_late: true,
         reserve: 0,
     },
 ];
--- a/crates/loadplay/src/target.rs
+++ b/crates/loadplay/src/target.rs
@@ -1,80 +1,89 @@
-//! Targets: places, a queue, and events at a pace that reading prompts slows.
+//! Model of a target: concurrency slots, a queue, and a rate of events that
+//! processing prompts lowers.
 
 use std::collections::VecDeque;
 
-/// The number of a request's run.
+/// Identifies a run of a request or item at a target.
 pub(crate) type RunId = u64;
 
-/// One run of a request at a target.
+/// One run of a request or item at a target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Run {
     pub(crate) id: RunId,
-    /// Time for which its prompt is read.
-    pub(crate) read_ms: f64,
-    /// Events to come.
+    /// Time to process its prompt.
+    pub(crate) prefill_ms: f64,
+    /// Events to generate in this run.
     pub(crate) events: f64,
-    /// Events that have come.
-    pub(crate) made: f64,
+    /// Events generated so far.
+    pub(crate) generated: f64,
 }
 
-/// What happened to a run in a step.
+/// A run's progress in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Came {
-    /// Its first event.
-    First(RunId),
-    /// Its end.
-    End(RunId),
+pub(crate) enum Progress {
+    /// It generated its first event.
+    FirstEvent(RunId),
+    /// It generated its last event.
+    Completed(RunId),
 }
 
-/// A target.
+/// The state of a target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Target {
     pub(crate) running: Vec<Run>,
     pub(crate) queue: VecDeque<Run>,
-    /// Time for which it still reads prompts.
-    reading_ms: f64,
+    /// Time left to process the prompts of running requests. No events are
+    /// generated meanwhile.
+    prefill_left_ms: f64,
 }
 
 impl Target {
-    /// Takes a run in.
+    /// Queues a run.
     pub(crate) fn admit(&mut self, run: Run) {
         self.queue.push_back(run);
     }
 
-    /// Stops a run; returns the events that it made, or nothing if it is gone.
+    /// Stops a run; returns the events it generated, or `None` if it is not here.
     pub(crate) fn stop(&mut self, id: RunId) -> Option<f64> {
-        if let Some(place) = self.running.iter().position(|r| r.id == id) {
-            return Some(self.running.remove(place).made.floor());
+        if let Some(index) = self.running.iter().position(|r| r.id == id) {
+            return Some(self.running.remove(index).generated.floor());
         }
-        let place = self.queue.iter().position(|r| r.id == id)?;
-        self.queue.remove(place).map(|_| 0.0)
+        let index = self.queue.iter().position(|r| r.id == id)?;
+        self.queue.remove(index).map(|_| 0.0)
     }
 
-    /// Lets time pass; runs fill free places in their order.
-    pub(crate) fn step(&mut self, slots: usize, event_ms: f64, step_ms: f64, came: &mut Vec<Came>) {
+    /// Advances the target by `step_ms`: queued runs take free slots in order, and
+    /// running ones generate events.
+    pub(crate) fn step(
+        &mut self,
+        slots: usize,
+        event_ms: f64,
+        step_ms: f64,
+        progress: &mut Vec<Progress>,
+    ) {
         while self.running.len() < slots {
             let Some(run) = self.queue.pop_front() else {
                 break;
             };
-            self.reading_ms += run.read_ms;
+            self.prefill_left_ms += run.prefill_ms;
             self.running.push(run);
         }
-        let read_ms = self.reading_ms.min(step_ms);
-        self.reading_ms -= read_ms;
-        let events = (step_ms - read_ms) / event_ms;
+        let prefill_ms = self.prefill_left_ms.min(step_ms);
+        self.prefill_left_ms -= prefill_ms;
+        let events = (step_ms - prefill_ms) / event_ms;
         for run in &mut self.running {
-            let had = run.made;
-            run.made += events;
-            if had < 1.0 && run.made >= 1.0 {
-                came.push(Came::First(run.id));
+            let before = run.generated;
+            run.generated += events;
+            if before < 1.0 && run.generated >= 1.0 {
+                progress.push(Progress::FirstEvent(run.id));
             }
         }
         self.running.retain(|run| {
-            let is_whole = run.made >= run.events;
-            if is_whole {
-                came.push(Came::End(run.id));
+            let is_complete = run.generated >= run.events;
+            if is_complete {
+                progress.push(Progress::Completed(run.id));
             }
-            !is_whole
+            !is_complete
         });
     }
 }
