--- a/crates/standins/examples/overhead.rs
+++ b/crates/standins/examples/overhead.rs
@@ -1,9 +1,9 @@
-//! What a host adds to a call: time to the first token and to the whole answer
-//! through one host, beside the same call straight to the target, and the
-//! requests a second that one host carries on one core.
+//! Measures the overhead of a host: the time to first token and the total response
+//! time through one host, compared with the same request sent directly to the
+//! target, and the request rate that a host sustains on one core.
 //!
-//! Host, target and callers run on runtimes of their own, the host's with one
-//! thread. Load stays on loopback, bounded in count.
+//! Host, target and clients run on separate runtimes; that of the host has one
+//! thread. A fixed number of requests is sent over loopback.
 //!
 //! ```sh
 //! cargo run --release -p notchwharf-standins --example overhead
@@ -50,7 +50,7 @@
 
 struct Times {
     first_us: Histogram<u64>,
-    whole_us: Histogram<u64>,
+    total_us: Histogram<u64>,
 }
 
 impl Times {
@@ -58,12 +58,12 @@
         let histogram = || Histogram::new(3).expect("Three digits are within bounds.");
         Self {
             first_us: histogram(),
-            whole_us: histogram(),
+            total_us: histogram(),
         }
     }
 }
 
-/// Runs one streamed call; returns the times to its first event and its end.
+/// Sends one streaming request; returns the times to its first event and its end.
 async fn call(client: &Client, url: &str, body: &Bytes) -> Option<(Duration, Duration)> {
     let started = Instant::now();
     let url = format!("{url}/v1/chat/completions");
@@ -102,24 +102,24 @@
         .map(|_| {
             let (client, url, body) = (Arc::clone(client), url.to_owned(), body.clone());
             tokio::spawn(async move {
-                let mut seen = Vec::with_capacity(each);
+                let mut results = Vec::with_capacity(each);
                 for _ in 0..each {
-                    seen.push(call(&client, &url, &body).await);
+                    results.push(call(&client, &url, &body).await);
                 }
-                seen
+                results
             })
         })
         .collect();
     let mut failed = 0;
     for task in tasks {
-        for seen in task.await.unwrap_or_default() {
-            let Some((first, whole)) = seen else {
+        for result in task.await.unwrap_or_default() {
+            let Some((first, total)) = result else {
                 failed += 1;
                 continue;
             };
             let micros = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(u64::MAX);
             let _ = times.first_us.record(micros(first));
-            let _ = times.whole_us.record(micros(whole));
+            let _ = times.total_us.record(micros(total));
         }
     }
     failed
@@ -135,7 +135,7 @@
     let targets = runtime(2, "target");
     let host = runtime(1, "host");
     let callers = runtime(3, "caller");
-    let held = Held {
+    let variant = Held {
         model: "tutor".into(),
         adapter: None,
         version: "1".into(),
@@ -150,7 +150,7 @@
                 memory_tokens: 10_000_000,
                 ..model::Config::default()
             },
-            loaded: vec![held.clone()],
+            loaded: vec![variant.clone()],
             ..engine::Config::default()
         });
         (
@@ -172,7 +172,8 @@
         "host": {"name": "a1", "data_centre": "dc1"},
         "platform": {"log_url": platform.url(), "host_list_url": platform.url()},
         "batch": {"slots_max": 4_096},
-        // What is measured is the host, so that no limit may stand in its way.
+        // The host itself is measured, so the objectives are too high for latency-based
+        // concurrency limits to take effect.
         "online": {"first_token_objective_ms": 60_000, "inter_token_objective_ms": 60_000},
     });
     let settings = settings::parse(text.to_string().as_bytes()).expect("The settings are valid.");
@@ -186,28 +187,28 @@
     let admin = format!("http://{}", server.addrs().admin);
     callers.block_on(async {
         publish(&admin).await;
-        let through = body("hints", TOKENS);
-        let direct = body(&held.fingerprint(), TOKENS);
-        while call(&Client::new(Duration::from_secs(1)), &url, &through).await.is_none() {
+        let hosted_body = body("hints", TOKENS);
+        let direct_body = body(&variant.fingerprint(), TOKENS);
+        while call(&Client::new(Duration::from_secs(1)), &url, &hosted_body).await.is_none() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let client = Arc::new(Client::new(Duration::from_secs(30)));
-        println!("streams  figure       direct p50   direct p99     host p50     host p99  added p50  added p99 (us)");
+        println!("streams  metric       direct p50   direct p99     host p50     host p99  added p50  added p99 (us)");
         for (streams, calls) in [(1, 100), (32, 1_600), (256, 5_120)] {
-            let (mut straight, mut hosted) = (Times::new(), Times::new());
+            let (mut direct_times, mut hosted_times) = (Times::new(), Times::new());
             let mut failed = 0;
-            // The first round opens connections and does not count.
-            let mut warm = Times::new();
-            failed += load(&client, &engine.url(), &direct, streams, streams, &mut warm).await;
-            failed += load(&client, &url, &through, streams, streams, &mut warm).await;
+            // The warm-up round opens connections and is not measured.
+            let mut warm_up = Times::new();
+            failed += load(&client, &engine.url(), &direct_body, streams, streams, &mut warm_up).await;
+            failed += load(&client, &url, &hosted_body, streams, streams, &mut warm_up).await;
             for _ in 0..ROUNDS {
-                failed += load(&client, &engine.url(), &direct, streams, calls, &mut straight).await;
-                failed += load(&client, &url, &through, streams, calls, &mut hosted).await;
+                failed += load(&client, &engine.url(), &direct_body, streams, calls, &mut direct_times).await;
+                failed += load(&client, &url, &hosted_body, streams, calls, &mut hosted_times).await;
             }
-            row(streams, "first token", &straight.first_us, &hosted.first_us);
-            row(streams, "whole", &straight.whole_us, &hosted.whole_us);
+            row(streams, "first token", &direct_times.first_us, &hosted_times.first_us);
+            row(streams, "total", &direct_times.total_us, &hosted_times.total_us);
             if failed > 0 {
-                println!("{failed} calls failed");
+                println!("{failed} requests failed");
             }
         }
         let short = body("hints", 1);
@@ -215,19 +216,19 @@
         let started = Instant::now();
         let calls = 40_000;
         let failed = load(&client, &url, &short, 128, calls, &mut times).await;
-        let per_s = times.whole_us.len() as f64 / started.elapsed().as_secs_f64();
-        println!("one host on one thread: {per_s:.0} requests a second, {failed} failed");
+        let per_s = times.total_us.len() as f64 / started.elapsed().as_secs_f64();
+        println!("one host on one thread: {per_s:.0} requests/s, {failed} failed");
     });
     std::process::exit(0);
 }
 
-fn row(streams: usize, what: &str, direct: &Histogram<u64>, host: &Histogram<u64>) {
+fn row(streams: usize, metric: &str, direct: &Histogram<u64>, host: &Histogram<u64>) {
     let at = |h: &Histogram<u64>, q| h.value_at_quantile(q);
     let (d50, d99) = (at(direct, 0.5), at(direct, 0.99));
     let (h50, h99) = (at(host, 0.5), at(host, 0.99));
     let added = |h: u64, d: u64| i64::try_from(h).unwrap_or(0) - i64::try_from(d).unwrap_or(0);
     println!(
-        "{streams:7}  {what:11} {d50:11} {d99:12} {h50:12} {h99:12} {:10} {:10}",
+        "{streams:7}  {metric:11} {d50:11} {d99:12} {h50:12} {h99:12} {:10} {:10}",
         added(h50, d50),
         added(h99, d99)
     );
@@ -235,14 +236,15 @@
 
 async fn publish(admin: &str) {
     let client = Client::new(Duration::from_secs(10));
-    let asked = json!({"base": null, "author": "ana", "bundle": school_bundle("1")});
-    let asked: serde_json::Value = client
-        .post_json(&format!("{admin}/admin/v1/bundle"), &asked)
+    let proposal = json!({"base": null, "author": "ana", "bundle": school_bundle("1")});
+    let proposed: serde_json::Value = client
+        .post_json(&format!("{admin}/admin/v1/bundle"), &proposal)
         .await
         .expect("The bundle is proposed.");
-    let signed = json!({"version": asked["version"], "digest": asked["digest"], "author": "rui"});
+    let sign_off =
+        json!({"version": proposed["version"], "digest": proposed["digest"], "author": "rui"});
     let _: serde_json::Value = client
-        .post_json(&format!("{admin}/admin/v1/sign-off"), &signed)
+        .post_json(&format!("{admin}/admin/v1/sign-off"), &sign_off)
         .await
         .expect("The bundle is signed off.");
 }
--- a/crates/standins/examples/platform.rs
+++ b/crates/standins/examples/platform.rs
@@ -1,11 +1,11 @@
-//! The platform stand-in as a process: log service, host list, weight store.
+//! Runs the platform stand-in as a process: log service, host list and weight store.
 //!
 //! ```sh
 //! cargo run -p notchwharf-standins --example platform -- --listen 127.0.0.1:7700
 //! ```
 //!
-//! Each line on standard input that is a listing, as a host prints it when it
-//! starts, is put on the host list. Faults are set by `PUT /v1/faults`.
+//! Each line on standard input must be a listing, as a host prints it when it
+//! starts, and is added to the host list. `PUT /v1/faults` sets the faults to inject.
 
 use std::net::SocketAddr;
 
@@ -19,11 +19,11 @@
 use tokio::io::BufReader;
 
 #[derive(Deserialize)]
-struct Line {
+struct Listing {
     listed: Listed,
 }
 
-fn parse() -> Result<SocketAddr, lexopt::Error> {
+fn parse_args() -> Result<SocketAddr, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
     let mut listen = SocketAddr::from(([127, 0, 0, 1], 7700));
     while let Some(arg) = parser.next()? {
@@ -38,7 +38,7 @@
 #[tokio::main]
 async fn main() -> Result<(), lexopt::Error> {
     let config = Config {
-        listen: parse()?,
+        listen: parse_args()?,
         ..Config::default()
     };
     let platform = Platform::start(config).await;
@@ -46,9 +46,9 @@
     println!("{}", platform.url());
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        match serde_json::from_str::<Line>(&line) {
+        match serde_json::from_str::<Listing>(&line) {
             Ok(line) => platform.list(line.listed),
-            Err(err) => eprintln!("not a listing: {err}"),
+            Err(err) => eprintln!("invalid listing: {err}"),
         }
     }
     std::future::pending::<()>().await;
--- a/crates/standins/examples/policy.rs
+++ b/crates/standins/examples/policy.rs
@@ -1,4 +1,10 @@
-//! Batch throughput beside the harm to online latency, policy by policy.
+//! Compares policies: batch throughput and the impact on online latency.
+//!
+//! Columns: time to first token (ft) and between tokens (it) relative to online work
+//! alone, batch tokens relative to batch work alone (of all) and to the capacity that
+//! online work leaves (of left), preemptions, rejected online requests (shed), that
+//! capacity (left), 99th percentile of the preemption latency (yield99), and median
+//! refill time after a burst (refill).
 //!
 //! ```sh
 //! cargo run --release -p notchwharf-standins --example policy
@@ -13,7 +19,7 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-const SCHOOL: Scenario = Scenario {
+const SMALL: Scenario = Scenario {
     name: "12 targets, 1 ms",
     hosts: 9,
     targets: 12,
@@ -26,18 +32,18 @@
     duration_us: 60_000_000,
 };
 
-const PERMITS: Scenario = Scenario {
+const LARGE: Scenario = Scenario {
     name: "18 targets, 0.5 ms",
     hosts: 12,
     targets: 18,
     inter_dc_latency_us: 500,
     online_per_s: 90.0,
-    ..SCHOOL
+    ..SMALL
 };
 
 fn main() {
     let direct = slots::Config::default();
-    let small = slots::Config {
+    let small_reserve = slots::Config {
         reserve_max: 1,
         ..direct
     };
@@ -48,14 +54,14 @@
         ("direct 24", Policy::Direct(direct, 24)),
         ("direct 20", Policy::Direct(direct, 20)),
         ("direct 16", Policy::Direct(direct, 16)),
-        ("reserve of 1", Policy::Direct(small, 32)),
-        ("reserve of 1, 24", Policy::Direct(small, 24)),
+        ("reserve of 1", Policy::Direct(small_reserve, 32)),
+        ("reserve of 1, 24", Policy::Direct(small_reserve, 24)),
         ("through holder", Policy::ThroughHolder(direct)),
         ("split 1/2", Policy::Split(usize::MAX)),
         ("none", Policy::Unlimited),
         ("tokens", Policy::Tokens(direct)),
     ];
-    for scenario in [SCHOOL, PERMITS] {
+    for scenario in [SMALL, LARGE] {
         println!("\n{}: medians of {} runs", scenario.name, SEEDS.len());
         println!(
             "{:16} {:>9} {:>9} {:>9} {:>9} {:>7} {:>7} {:>9} {:>9} {:>6} {:>8} {:>8}",
@@ -72,8 +78,8 @@
             "yield99",
             "refill"
         );
-        let mut alone = None;
-        let mut batch_alone = 1.0;
+        let mut baseline = None;
+        let mut batch_only_tokens = 1.0;
         for (label, policy) in policies {
             let policy = match policy {
                 Policy::Split(_) => Policy::Split(scenario.targets / 2),
@@ -84,34 +90,34 @@
                 .map(|s| lab::run(scenario, policy, *s))
                 .collect();
             let row = Row::of(&runs);
-            let base = *alone.get_or_insert(row);
+            let base = *baseline.get_or_insert(row);
             if policy == Policy::BatchOnly {
-                batch_alone = row.batch;
+                batch_only_tokens = row.batch_tokens;
             }
             let ratio = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-            let all = ratio(row.batch, batch_alone);
+            let batch_share = ratio(row.batch_tokens, batch_only_tokens);
             println!(
                 "{label:16} {:9.2} {:9.2} {:9.2} {:9.2} {:6.1}% {:6.1}% {:9.0} {:9.0} {:5.1}% {:6.1}ms {:6.0}ms",
-                ratio(row.first.0, base.first.0),
-                ratio(row.first.1, base.first.1),
-                ratio(row.inter.0, base.inter.0),
-                ratio(row.inter.1, base.inter.1),
-                all * 100.0,
-                ratio(all, row.left) * 100.0,
+                ratio(row.first_us.0, base.first_us.0),
+                ratio(row.first_us.1, base.first_us.1),
+                ratio(row.inter_us.0, base.inter_us.0),
+                ratio(row.inter_us.1, base.inter_us.1),
+                batch_share * 100.0,
+                ratio(batch_share, row.unused_share) * 100.0,
                 row.preempted,
                 row.rejected,
-                row.left * 100.0,
-                row.yields / 1e3,
-                row.refill / 1e3,
+                row.unused_share * 100.0,
+                row.preemption_us / 1e3,
+                row.refill_us / 1e3,
             );
             if policy == Policy::OnlineOnly {
                 println!(
                     "{:15} {:7.1}ms {:7.1}ms {:7.1}ms {:7.1}ms",
-                    "  in time",
-                    row.first.0 / 1e3,
-                    row.first.1 / 1e3,
-                    row.inter.0 / 1e3,
-                    row.inter.1 / 1e3
+                    "  absolute",
+                    row.first_us.0 / 1e3,
+                    row.first_us.1 / 1e3,
+                    row.inter_us.0 / 1e3,
+                    row.inter_us.1 / 1e3
                 );
             }
         }
@@ -120,14 +126,14 @@
 
 #[derive(Clone, Copy)]
 struct Row {
-    first: (f64, f64),
-    inter: (f64, f64),
-    batch: f64,
+    first_us: (f64, f64),
+    inter_us: (f64, f64),
+    batch_tokens: f64,
     preempted: f64,
     rejected: f64,
-    left: f64,
-    yields: f64,
-    refill: f64,
+    unused_share: f64,
+    preemption_us: f64,
+    refill_us: f64,
 }
 
 impl Row {
@@ -139,20 +145,20 @@
             all[all.len() / 2]
         };
         Self {
-            first: (
+            first_us: (
                 median(&|o| at(&o.first_us, 0.5)),
                 median(&|o| at(&o.first_us, 0.99)),
             ),
-            inter: (
+            inter_us: (
                 median(&|o| at(&o.inter_us, 0.5)),
                 median(&|o| at(&o.inter_us, 0.99)),
             ),
-            batch: median(&|o| o.batch_tokens as f64),
+            batch_tokens: median(&|o| o.batch_tokens as f64),
             preempted: median(&|o| o.preempted as f64),
             rejected: median(&|o| o.rejected as f64),
-            left: median(&|o| o.unused_share),
-            yields: median(&|o| at(&o.preemption_us, 0.99)),
-            refill: median(&|o| at(&o.refill_us, 0.5)),
+            unused_share: median(&|o| o.unused_share),
+            preemption_us: median(&|o| at(&o.preemption_us, 0.99)),
+            refill_us: median(&|o| at(&o.refill_us, 0.5)),
         }
     }
 }
--- a/crates/standins/examples/recovery.rs
+++ b/crates/standins/examples/recovery.rs
@@ -1,5 +1,5 @@
-//! How long a fleet takes to recover from a host's death, and what a lot of the
-//! largest size costs.
+//! Measures how long a fleet takes to recover from the crash of a host, and the
+//! throughput and memory use of a job of the largest size.
 //!
 //! ```sh
 //! cargo run --release -p notchwharf-standins --example recovery
@@ -17,10 +17,10 @@
 use notchwharf_standins::platform;
 use serde_json::json;
 
-const LOT_ITEMS: usize = 230_000;
+const MAX_FILE_ITEMS: usize = 230_000;
 const KILLS: usize = 3;
 const LEASE_MS: u64 = 1_500;
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn config(engines: usize, model: model::Config) -> Config {
     Config {
@@ -41,7 +41,7 @@
     }
 }
 
-fn resident_mb() -> f64 {
+fn resident_memory_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS:"));
     let kb = line.and_then(|l| l.split_whitespace().nth(1)?.parse::<f64>().ok());
@@ -51,13 +51,14 @@
 #[tokio::main]
 async fn main() {
     for _ in 0..KILLS {
-        kill().await;
+        measure_host_failure().await;
     }
-    largest().await;
+    measure_largest_job().await;
 }
 
-/// Kills a host that holds shards and targets, and waits for both to be held.
-async fn kill() {
+/// Kills a host that holds leases of shards and targets, and measures the time until
+/// other hosts hold them.
+async fn measure_host_failure() {
     let mut fleet = Fleet::ready(config(8, model::Config::default())).await;
     let job = fleet
         .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 20_000, 16))
@@ -73,46 +74,46 @@
     let targets = report["hosts"][3]["report"]["targets"].clone();
     let targets: Vec<String> = serde_json::from_value(targets).unwrap_or_default();
     fleet.kill_host("a4");
-    let died = Instant::now();
-    let all = |of: &'static str| {
+    let killed_at = Instant::now();
+    let all_held = |kind: &'static str| {
         let url = url.clone();
         let fleet = &fleet;
         async move {
             loop {
-                let seen = fleet.get_json(&url).await;
-                let hosts = seen["hosts"].as_array().cloned().unwrap_or_default();
-                let held: usize = hosts
+                let response = fleet.get_json(&url).await;
+                let hosts = response["hosts"].as_array().cloned().unwrap_or_default();
+                let held_count: usize = hosts
                     .iter()
                     .filter(|h| h["host"] != "a4")
-                    .filter_map(|h| h["report"][of].as_array().map(Vec::len))
+                    .filter_map(|h| h["report"][kind].as_array().map(Vec::len))
                     .sum();
-                if held == if of == "shards" { 16 } else { 8 } {
-                    return died.elapsed();
+                if held_count == if kind == "shards" { 16 } else { 8 } {
+                    return killed_at.elapsed();
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     };
-    let (shards_after, targets_after) = tokio::join!(all("shards"), all("targets"));
-    let busy = |e: &engine::Engine| e.streams() > 0;
-    while !targets.iter().all(|t| busy(&fleet.engines[t])) {
-        tokio::time::sleep(POLL).await;
+    let (shards_after, targets_after) = tokio::join!(all_held("shards"), all_held("targets"));
+    let is_busy = |e: &engine::Engine| e.streams() > 0;
+    while !targets.iter().all(|t| is_busy(&fleet.engines[t])) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     println!(
-        "killed a host with {shards} shards and {} targets: shards held after {:.2} s, targets \
-         after {:.2} s, their items run after {:.2} s (lease {:.1} s)",
+        "killed a host with {shards} shards and {} targets: all shards held after {:.2} s, all \
+         targets after {:.2} s, their items running after {:.2} s (lease {:.1} s)",
         targets.len(),
         shards_after.as_secs_f64(),
         targets_after.as_secs_f64(),
-        died.elapsed().as_secs_f64(),
+        killed_at.elapsed().as_secs_f64(),
         LEASE_MS as f64 / 1e3
     );
-    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
-    println!("  the job ended with {}", ended["request_counts"]);
+    let job_status = fleet.wait_job_end(SCHOOL_KEY, &job).await;
+    println!("  the job ended with {}", job_status["request_counts"]);
 }
 
-/// Runs a lot of the largest size.
-async fn largest() {
+/// Measures a job with an input file of the largest size.
+async fn measure_largest_job() {
     let fast = model::Config {
         step_base: Duration::from_millis(4),
         step_per_stream: Duration::from_micros(10),
@@ -120,13 +121,13 @@
         ..model::Config::default()
     };
     let fleet = Fleet::ready(config(16, fast)).await;
-    let lot = fleet::input_file("large", LOT_ITEMS, 1);
-    let before = resident_mb();
+    let input_file = fleet::input_file("large", MAX_FILE_ITEMS, 1);
+    let before = resident_memory_mb();
     let started = Instant::now();
-    let file = fleet.upload("a1", SCHOOL_KEY, &lot).await;
+    let file = fleet.upload("a1", SCHOOL_KEY, &input_file).await;
     println!(
-        "{LOT_ITEMS} items, {:.1} MB: uploaded in {:.1} s",
-        lot.len() as f64 / 1e6,
+        "{MAX_FILE_ITEMS} items, {:.1} MB: uploaded in {:.1} s",
+        input_file.len() as f64 / 1e6,
         started.elapsed().as_secs_f64()
     );
     let job = fleet.create_job("a1", SCHOOL_KEY, &file.json()["id"]).await;
@@ -136,24 +137,26 @@
     let running = Instant::now();
     let mut peak = before;
     loop {
-        peak = peak.max(resident_mb());
-        let seen = fleet.job(SCHOOL_KEY, &job).await;
-        let done = seen["request_counts"]["completed"].as_u64().unwrap_or(0);
-        if seen["status"] == "completed" {
+        peak = peak.max(resident_memory_mb());
+        let response = fleet.job(SCHOOL_KEY, &job).await;
+        let done = response["request_counts"]["completed"]
+            .as_u64()
+            .unwrap_or(0);
+        if response["status"] == "completed" {
             break;
         }
         if running.elapsed() > Duration::from_secs(120) {
-            println!("  stopped after 120 s with {done} done");
+            println!("  timed out after 120 s with {done} items completed");
             return;
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    let took = running.elapsed().as_secs_f64();
+    let duration_s = running.elapsed().as_secs_f64();
     let appends = fleet.platform.appends() - appends;
     println!(
-        "  run in {took:.1} s: {:.0} items/s, {:.0} appends/s for the fleet; memory of the \
-         whole process, log and lot included, {before:.0} MB before and {peak:.0} MB at most",
-        LOT_ITEMS as f64 / took,
-        appends as f64 / took
+        "  completed in {duration_s:.1} s: {:.0} items/s, {:.0} log appends/s for the fleet; resident \
+         memory of the process, including log and input file: {before:.0} MB before, {peak:.0} MB peak",
+        MAX_FILE_ITEMS as f64 / duration_s,
+        appends as f64 / duration_s
     );
 }
--- a/crates/standins/examples/target.rs
+++ b/crates/standins/examples/target.rs
@@ -1,4 +1,5 @@
-//! A target stand-in as a process: a model engine or a plain service.
+//! Runs a target stand-in as a process: a model engine, or with `--service` a plain
+//! service. It adds itself to the host list of the platform stand-in.
 //!
 //! ```sh
 //! cargo run -p notchwharf-standins --example target -- \
@@ -21,7 +22,7 @@
     checks_fencing: bool,
 }
 
-fn parse() -> Result<Args, lexopt::Error> {
+fn parse_args() -> Result<Args, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
     let mut args = Args {
         name: "t1".into(),
@@ -43,13 +44,13 @@
 
 #[tokio::main]
 async fn main() -> Result<(), lexopt::Error> {
-    let args = parse()?;
-    let failed = |err: std::io::Error| lexopt::Error::from(err.to_string());
-    let (mut engine, mut plain) = (None, None);
+    let args = parse_args()?;
+    let to_arg_error = |err: std::io::Error| lexopt::Error::from(err.to_string());
+    let (mut engine_handle, mut service_handle) = (None, None);
     let kind = match args.service {
         Some(service) => {
             let running = Service::start(([127, 0, 0, 1], 0).into()).await;
-            let url = plain.insert(running.map_err(failed)?).url();
+            let url = service_handle.insert(running.map_err(to_arg_error)?).url();
             Kind::Service { url, service }
         }
         None => {
@@ -58,7 +59,9 @@
                 weights_url: Some(args.platform.clone()),
                 ..engine::Config::default()
             });
-            let url = engine.insert(running.await.map_err(failed)?).url();
+            let url = engine_handle
+                .insert(running.await.map_err(to_arg_error)?)
+                .url();
             Kind::Engine {
                 url,
                 checks_fencing: args.checks_fencing,
@@ -74,7 +77,7 @@
     };
     listing::list(&args.platform, &listed)
         .await
-        .map_err(failed)?;
+        .map_err(to_arg_error)?;
     println!("{} is listed", listed.name);
     std::future::pending::<()>().await;
     Ok(())
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,9 +1,9 @@
 //! Stand-in for a target that runs a model engine.
 //!
-//! The text that it generates depends on prompt, model and version alone, so
-//! that a test can tell whether an answer is whole and its own. Prompts that
-//! contain [`POISON`] kill it, and prompts that contain [`MALFORMED`] are
-//! refused.
+//! The generated text depends only on prompt, model and version, so that a test can
+//! check that a response is complete and belongs to its request. Prompts that
+//! contain [`POISON`] crash the engine, and prompts that contain [`MALFORMED`] are
+//! rejected.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,7 +17,6 @@
 use bytes::Bytes;
 use futures_util::stream;
 use http_body_util::BodyExt;
-
 use http_body_util::StreamBody;
 use hyper::Method;
 use hyper::Request;
@@ -50,26 +49,26 @@
 use crate::model;
 use crate::model::Model;
 
-/// Prompts with this text kill the engine.
+/// Prompts that contain this text crash the engine.
 pub const POISON: &str = "[poison]";
-/// Prompts with this text are refused.
+/// Prompts that contain this text are rejected with status 400.
 pub const MALFORMED: &str = "[malformed]";
 
-const TOKENS_DEFAULT: u32 = 16;
-const LOAD_LAG: Duration = Duration::from_millis(100);
+const DEFAULT_TOKENS: u32 = 16;
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How the stand-in behaves.
+/// The configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Speed and memory.
+    /// The speed and memory of the engine.
     pub model: model::Config,
-    /// What it holds at start.
+    /// The models that are loaded at start.
     pub loaded: Vec<Held>,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing number.
     pub checks_fencing: bool,
-    /// The weight store; without one, loads take no time.
+    /// The URL of the weight store. Without one, loading a model takes no time.
     pub weights_url: Option<String>,
 }
 
@@ -85,24 +84,25 @@
     }
 }
 
-/// How the stand-in fails.
+/// The faults to inject. Each count applies to that many streams or requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// So many streams are cut after their second token.
+    /// Streams whose connection is reset before their second token.
     pub cut: u32,
-    /// So many streams end early with an end mark missing.
+    /// Streams that end before their second token, without an end marker.
     pub short: u32,
-    /// So many streams carry another request's id.
+    /// Streams with the ID and the text of another request.
     pub crossed: u32,
-    /// So many streams repeat each token.
+    /// Streams that repeat each token.
     pub doubled: u32,
-    /// So many requests are refused with status 503.
+    /// Requests that are rejected with status 503.
     pub busy: u32,
 }
 
+/// A fault of one stream, as in [`Faults`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Twist {
+enum StreamFault {
     Cut,
     Short,
     Crossed,
@@ -110,7 +110,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct Asked {
+struct ChatRequest {
     model: String,
     #[serde(default)]
     max_tokens: Option<u32>,
@@ -122,40 +122,43 @@
 }
 
 #[derive(Debug)]
-struct Open {
-    name: String,
+struct OpenStream {
+    request_id: String,
     prompt: String,
     prompt_tokens: u32,
-    held: Held,
-    twist: Option<Twist>,
+    /// The model variant that generates it.
+    variant: Held,
+    fault: Option<StreamFault>,
     sender: mpsc::UnboundedSender<io::Result<Frame<Bytes>>>,
 }
 
 #[derive(Debug)]
 struct State {
     model: Model,
-    open: HashMap<model::StreamId, Open>,
+    streams: HashMap<model::StreamId, OpenStream>,
     next_id: model::StreamId,
     incarnation: u64,
-    leaving: bool,
+    is_leaving: bool,
     role: Role,
-    holds: Vec<Held>,
+    loaded: Vec<Held>,
     loading: Vec<Held>,
     fence: u64,
     faults: Faults,
+    /// Number of starts of each prompt.
     runs: HashMap<String, u32>,
     orders: Vec<Order>,
-    told: (u32, u32),
+    /// Running streams and queued requests as of the last load report.
+    reported_load: (u32, u32),
 }
 
 #[derive(Debug)]
 struct Shared {
     cfg: Config,
     state: Mutex<State>,
-    work: Notify,
+    work_available: Notify,
 }
 
-/// A running engine stand-in.
+/// A running engine stand-in. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Engine {
     running: Arc<ServerHandle>,
@@ -163,32 +166,32 @@
 }
 
 impl Engine {
-    /// Starts a stand-in.
+    /// Starts an engine.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the address cannot be listened on.
+    /// Returns the operating system's error if the address cannot be bound.
     pub async fn start(cfg: Config) -> io::Result<Self> {
         let state = State {
             model: Model::new(cfg.model),
-            open: HashMap::new(),
+            streams: HashMap::new(),
             next_id: 1,
             incarnation: 1,
-            leaving: false,
+            is_leaving: false,
             role: Role::Any,
-            holds: cfg.loaded.clone(),
+            loaded: cfg.loaded.clone(),
             loading: Vec::new(),
             fence: 0,
             faults: Faults::default(),
             runs: HashMap::new(),
             orders: Vec::new(),
-            told: (0, 0),
+            reported_load: (0, 0),
         };
         let listen = cfg.listen;
         let shared = Arc::new(Shared {
             cfg,
             state: Mutex::new(state),
-            work: Notify::new(),
+            work_available: Notify::new(),
         });
         let handler = Arc::clone(&shared);
         let running = http::serve(listen, move |req| {
@@ -196,8 +199,8 @@
             async move { shared.handle(req).await }
         });
         let running = Arc::new(running.await?);
-        tokio::spawn(run(Arc::downgrade(&shared)));
-        tokio::spawn(tell(Arc::downgrade(&shared)));
+        tokio::spawn(run_steps(Arc::downgrade(&shared)));
+        tokio::spawn(run_load_reports(Arc::downgrade(&shared)));
         Ok(Self { running, shared })
     }
 
@@ -206,87 +209,89 @@
         self.running.url()
     }
 
-    /// Fails from now on as told.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: Faults) {
         self.shared.lock().faults = faults;
     }
 
-    /// Says that it is leaving.
+    /// Reports from now on that the engine is leaving.
     pub fn leave(&self) {
-        self.shared.lock().leaving = true;
+        self.shared.lock().is_leaving = true;
     }
 
-    /// Returns how often each prompt was started.
+    /// Returns how often each prompt was started from its first token.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.shared.lock().runs.clone()
     }
 
-    /// Returns the orders that were taken.
+    /// Returns the accepted orders.
     pub fn orders(&self) -> Vec<Order> {
         self.shared.lock().orders.clone()
     }
 
-    /// Cuts all streams, as a crash would.
+    /// Resets all streams and clears the state, as in a crash.
     pub fn kill_streams(&self) {
-        self.shared.lock().die();
+        self.shared.lock().crash();
     }
 
-    /// Returns how often it has crashed and started again.
+    /// Returns the number of crashes.
     pub fn crashes(&self) -> u64 {
         self.shared.lock().incarnation - 1
     }
 
-    /// Returns the number of streams that run.
+    /// Returns the number of running streams.
     pub fn streams(&self) -> usize {
         self.shared.lock().model.running()
     }
 }
 
 /// Returns the text that an engine generates for a prompt.
-pub fn expected_text(prompt: &str, held: &Held, tokens: u32) -> String {
-    (0..tokens).map(|i| token_text(prompt, held, i)).collect()
+pub fn expected_text(prompt: &str, variant: &Held, tokens: u32) -> String {
+    (0..tokens)
+        .map(|i| token_text(prompt, variant, i))
+        .collect()
 }
 
-/// Returns the prompt that messages amount to.
+/// Returns the prompt that consists of the contents of all messages.
 pub fn join_prompt(messages: &[serde_json::Value]) -> String {
     let contents = messages.iter().filter_map(|m| m.get("content")?.as_str());
     contents.collect::<Vec<_>>().join("\n")
 }
 
-fn token_text(prompt: &str, held: &Held, offset: u32) -> String {
-    let seed = format!("{prompt}\u{0}{}\u{0}{offset}", held.fingerprint());
+fn token_text(prompt: &str, variant: &Held, offset: u32) -> String {
+    let seed = format!("{prompt}\u{0}{}\u{0}{offset}", variant.fingerprint());
     format!(" w{}", xxh3_64(seed.as_bytes()) % 1_000)
 }
 
-/// Runs steps as long as the engine exists.
-async fn run(shared: std::sync::Weak<Shared>) {
+/// Runs steps until the engine is dropped.
+async fn run_steps(shared: std::sync::Weak<Shared>) {
     loop {
         let Some(engine) = shared.upgrade() else {
             return;
         };
-        let took = {
+        let duration = {
             let mut state = engine.lock();
             (!state.model.is_idle()).then(|| state.model.begin_step())
         };
-        let Some(took) = took else {
-            let work = engine.work.notified();
-            let _ = tokio::time::timeout(Duration::from_secs(1), work).await;
+        let Some(duration) = duration else {
+            let notified = engine.work_available.notified();
+            let _ = tokio::time::timeout(Duration::from_secs(1), notified).await;
             continue;
         };
-        tokio::time::sleep(took).await;
+        tokio::time::sleep(duration).await;
         engine.lock().end_step();
     }
 }
 
-/// Refreshes the load that is told, with its lag.
-async fn tell(shared: std::sync::Weak<Shared>) {
-    let mut ticks = tokio::time::interval(LOAD_LAG);
+/// Updates the reported load periodically, so that it lags behind the actual load.
+async fn run_load_reports(shared: std::sync::Weak<Shared>) {
+    let mut ticks = tokio::time::interval(LOAD_REPORT_INTERVAL);
     loop {
         ticks.tick().await;
         let Some(engine) = shared.upgrade() else {
             return;
         };
-        engine.lock().refresh_told();
+        engine.lock().refresh_reported_load();
     }
 }
 
@@ -301,13 +306,16 @@
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (&method, &parts[..]) {
             (&Method::POST, ["v1", "chat", "completions"]) => {
-                let name = req.headers().get(target::REQUEST_ID);
-                let name = name.and_then(|v| v.to_str().ok()).unwrap_or("-").to_owned();
+                let request_id = req.headers().get(target::REQUEST_ID);
+                let request_id = request_id
+                    .and_then(|v| v.to_str().ok())
+                    .unwrap_or("-")
+                    .to_owned();
                 let body = http::read_body(req).await?;
-                self.chat(name, &body)
+                self.chat(request_id, &body)
             }
-            (&Method::POST, ["v1", "requests", name, "cancel"]) => {
-                self.lock().cancel(name);
+            (&Method::POST, ["v1", "requests", request_id, "cancel"]) => {
+                self.lock().cancel(request_id);
                 http::json(StatusCode::OK, &Ack {})
             }
             (&Method::GET, ["v1", "status"]) => http::json(StatusCode::OK, &self.lock().status()),
@@ -331,32 +339,35 @@
         }
     }
 
-    fn chat(&self, name: String, body: &[u8]) -> HandlerResult {
-        let Ok(asked) = serde_json::from_slice::<Asked>(body) else {
+    fn chat(&self, request_id: String, body: &[u8]) -> HandlerResult {
+        let Ok(request) = serde_json::from_slice::<ChatRequest>(body) else {
             return http::empty(StatusCode::BAD_REQUEST);
         };
-        let prompt = join_prompt(&asked.messages);
+        let prompt = join_prompt(&request.messages);
         if prompt.contains(MALFORMED) {
             return http::empty(StatusCode::BAD_REQUEST);
         }
         let mut state = self.lock();
         if prompt.contains(POISON) {
-            state.die();
+            state.crash();
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         if state.faults.busy > 0 {
             state.faults.busy -= 1;
             return http::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let held = state.holds.iter().find(|h| h.fingerprint() == asked.model);
-        let Some(held) = held.cloned() else {
+        let variant = state
+            .loaded
+            .iter()
+            .find(|h| h.fingerprint() == request.model);
+        let Some(variant) = variant.cloned() else {
             return http::empty(StatusCode::NOT_FOUND);
         };
         let (sender, receiver) = mpsc::unbounded_channel();
-        state.start(&asked, name, prompt, held, sender);
-        let (running, waiting) = state.told;
+        state.start(&request, request_id, prompt, variant, sender);
+        let (running, waiting) = state.reported_load;
         drop(state);
-        self.work.notify_one();
+        self.work_available.notify_one();
         let frames = stream::unfold(receiver, |mut receiver| async {
             receiver.recv().await.map(|frame| (frame, receiver))
         });
@@ -377,12 +388,12 @@
         state.fence = state.fence.max(order.fence);
         state.orders.push(order.clone());
         match order.action {
-            Action::Unload(held) => state.holds.retain(|h| *h != held),
+            Action::Unload(variant) => state.loaded.retain(|h| *h != variant),
             Action::SetRole(role) => state.role = role,
-            Action::Load(held) => {
-                if !state.holds.contains(&held) && !state.loading.contains(&held) {
-                    state.loading.push(held.clone());
-                    tokio::spawn(load(Arc::clone(self), held));
+            Action::Load(variant) => {
+                if !state.loaded.contains(&variant) && !state.loading.contains(&variant) {
+                    state.loading.push(variant.clone());
+                    tokio::spawn(load_model(Arc::clone(self), variant));
                 }
             }
         }
@@ -391,67 +402,67 @@
     }
 }
 
-async fn load(shared: Arc<Shared>, held: Held) {
+async fn load_model(shared: Arc<Shared>, variant: Held) {
     if let Some(url) = &shared.cfg.weights_url {
         let client = Client::new(Duration::from_secs(600));
-        let url = format!("{url}/v1/weights/{}", held.model);
+        let url = format!("{url}/v1/weights/{}", variant.model);
         if let Ok(req) = notchwharf_clients::http::request(Method::GET, &url, Bytes::new()) {
             let _ = client.fetch(req).await;
         }
     }
     let mut state = shared.lock();
-    state.loading.retain(|h| *h != held);
-    state.holds.push(held);
+    state.loading.retain(|h| *h != variant);
+    state.loaded.push(variant);
 }
 
 impl State {
     fn start(
         &mut self,
-        asked: &Asked,
-        name: String,
+        request: &ChatRequest,
+        request_id: String,
         prompt: String,
-        held: Held,
+        variant: Held,
         sender: mpsc::UnboundedSender<io::Result<Frame<Bytes>>>,
     ) {
         let id = self.next_id;
         self.next_id += 1;
-        let done_tokens = asked.resume.as_ref().map_or(0, |r| r.tokens);
+        let done_tokens = request.resume.as_ref().map_or(0, |r| r.tokens);
         if done_tokens == 0 {
             *self.runs.entry(prompt.clone()).or_default() += 1;
         }
         let prompt_tokens = u32::try_from(prompt.len() / 4 + 1).unwrap_or(u32::MAX);
-        let tokens = asked.max_completion_tokens.or(asked.max_tokens);
+        let tokens = request.max_completion_tokens.or(request.max_tokens);
         self.model.submit(model::Request {
             id,
             prompt_tokens,
             prompt_hash: xxh3_64(prompt.as_bytes()),
-            tokens: tokens.unwrap_or(TOKENS_DEFAULT).max(1),
+            tokens: tokens.unwrap_or(DEFAULT_TOKENS).max(1),
             done_tokens,
         });
-        let twist = self.take_twist();
-        let open = Open {
-            name,
+        let fault = self.next_stream_fault();
+        let stream = OpenStream {
+            request_id,
             prompt,
             prompt_tokens,
-            held,
-            twist,
+            variant,
+            fault,
             sender,
         };
-        self.open.insert(id, open);
+        self.streams.insert(id, stream);
     }
 
-    fn take_twist(&mut self) -> Option<Twist> {
+    fn next_stream_fault(&mut self) -> Option<StreamFault> {
         let faults = &mut self.faults;
-        let kinds = [
-            (&mut faults.cut, Twist::Cut),
-            (&mut faults.short, Twist::Short),
-            (&mut faults.crossed, Twist::Crossed),
-            (&mut faults.doubled, Twist::Doubled),
+        let counters = [
+            (&mut faults.cut, StreamFault::Cut),
+            (&mut faults.short, StreamFault::Short),
+            (&mut faults.crossed, StreamFault::Crossed),
+            (&mut faults.doubled, StreamFault::Doubled),
         ];
-        for (left, twist) in kinds {
-            if *left > 0 {
-                *left -= 1;
-                return Some(twist);
+        for (remaining, fault) in counters {
+            if *remaining > 0 {
+                *remaining -= 1;
+                return Some(fault);
             }
         }
         None
@@ -459,89 +470,94 @@
 
     fn end_step(&mut self) {
         for token in self.model.end_step() {
-            let Some(open) = self.open.get(&token.id) else {
+            let Some(stream) = self.streams.get(&token.id) else {
                 continue;
             };
-            if !open.emit(token) {
-                self.open.remove(&token.id);
+            if !stream.emit(token) {
+                self.streams.remove(&token.id);
                 self.model.cancel(token.id);
             }
         }
     }
 
-    fn cancel(&mut self, name: &str) {
-        let found = self.open.iter().find(|(_, open)| open.name == name);
+    fn cancel(&mut self, request_id: &str) {
+        let found = self
+            .streams
+            .iter()
+            .find(|(_, stream)| stream.request_id == request_id);
         if let Some(id) = found.map(|(id, _)| *id) {
             self.model.cancel(id);
-            self.open.remove(&id);
+            self.streams.remove(&id);
         }
     }
 
-    fn die(&mut self) {
-        for open in self.open.values() {
-            let _ = open.sender.send(Err(io::ErrorKind::ConnectionReset.into()));
+    fn crash(&mut self) {
+        for stream in self.streams.values() {
+            let _ = stream
+                .sender
+                .send(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        self.open.clear();
+        self.streams.clear();
         self.model.clear();
         self.incarnation += 1;
     }
 
-    fn refresh_told(&mut self) {
+    fn refresh_reported_load(&mut self) {
         let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        self.told = (count(self.model.running()), count(self.model.waiting()));
+        self.reported_load = (count(self.model.running()), count(self.model.waiting()));
     }
 
     fn status(&self) -> Status {
         Status {
             incarnation: self.incarnation,
-            leaving: self.leaving,
+            leaving: self.is_leaving,
             role: self.role,
-            holds: self.holds.clone(),
+            holds: self.loaded.clone(),
             loading: self.loading.clone(),
-            running: self.told.0,
-            waiting: self.told.1,
+            running: self.reported_load.0,
+            waiting: self.reported_load.1,
         }
     }
 }
 
-impl Open {
-    /// Sends a token; returns whether the stream goes on.
+impl OpenStream {
+    /// Sends a token; returns whether the stream continues.
     fn emit(&self, token: model::Token) -> bool {
-        let early = token.offset == 1;
-        if self.twist == Some(Twist::Cut) && early {
+        let is_second = token.offset == 1;
+        if self.fault == Some(StreamFault::Cut) && is_second {
             let _ = self.sender.send(Err(io::ErrorKind::ConnectionReset.into()));
             return false;
         }
-        if self.twist == Some(Twist::Short) && early {
+        if self.fault == Some(StreamFault::Short) && is_second {
             return false;
         }
         let chunk = self.chunk(token);
         let text = serde_json::to_string(&chunk).unwrap_or_default();
-        let mut sent = self.send(&text);
-        if self.twist == Some(Twist::Doubled) {
-            sent = self.send(&text);
+        let mut is_sent = self.send(&text);
+        if self.fault == Some(StreamFault::Doubled) {
+            is_sent = self.send(&text);
         }
         if token.is_last {
             self.send(target::END);
         }
-        sent && !token.is_last
+        is_sent && !token.is_last
     }
 
     fn chunk(&self, token: model::Token) -> Chunk {
-        let (id, prompt) = match self.twist {
-            Some(Twist::Crossed) => (format!("{}-other", self.name), "another prompt"),
-            _ => (self.name.clone(), self.prompt.as_str()),
+        let (id, prompt) = match self.fault {
+            Some(StreamFault::Crossed) => (format!("{}-other", self.request_id), "another prompt"),
+            _ => (self.request_id.clone(), self.prompt.as_str()),
         };
         let completion_tokens = token.offset + 1;
         Chunk {
             id,
             offset_tokens: token.offset,
             tokens: 1,
-            system_fingerprint: self.held.fingerprint(),
+            system_fingerprint: self.variant.fingerprint(),
             choices: vec![Choice {
                 index: 0,
                 delta: Delta {
-                    content: token_text(prompt, &self.held, token.offset),
+                    content: token_text(prompt, &self.variant, token.offset),
                 },
                 finish_reason: token.is_last.then(|| "stop".to_owned()),
             }],
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,7 +1,7 @@
-//! A whole fleet in one process: platform, engines, a service and hosts.
+//! A complete fleet in one process: platform, engines, a service and hosts.
 //!
-//! Hosts are tasks here and processes elsewhere; between them are the same
-//! sockets. Stopping one drops it without a word to the others.
+//! Hosts run as tasks instead of processes, but communicate over the same sockets.
+//! A killed host stops without notifying the others.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,28 +30,28 @@
 use crate::service::ExecutedCall;
 use crate::service::Service;
 
-/// The API key of the school in [`bundle`].
+/// The API key of the tenant `school` in [`school_bundle`].
 pub const SCHOOL_KEY: &str = "school-key";
-/// The API key of the permit office in [`bundle`].
+/// The API key of the tenant `permits` in [`school_bundle`].
 pub const PERMITS_KEY: &str = "permits-key";
-const SERVICES: usize = 2;
-const WAIT_MAX: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(20);
+const SERVICE_COUNT: usize = 2;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a fleet consists of.
+/// The size and configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The number of hosts.
     pub hosts: usize,
     /// The number of engines.
     pub engines: usize,
-    /// The number of data centres that they stand in.
+    /// The number of data centres over which they are distributed.
     pub data_centres: usize,
-    /// How the platform behaves.
+    /// The configuration of the platform.
     pub platform: platform::Config,
-    /// How engines behave.
+    /// The configuration of each engine.
     pub engine: engine::Config,
-    /// Changes to the settings of every host, as JSON merged in.
+    /// JSON that is merged into the settings of every host.
     pub settings: Value,
 }
 
@@ -80,13 +80,13 @@
     pub engines: BTreeMap<String, Engine>,
     /// The targets of a plain service named `filing`.
     pub services: Vec<Service>,
-    /// The hosts that run, by name.
+    /// The running hosts, by name.
     pub hosts: BTreeMap<String, Server>,
     cfg: Config,
     client: Client,
 }
 
-/// An answer as a caller sees it.
+/// A response as a client receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status.
@@ -95,36 +95,36 @@
     pub body: String,
     /// The `Retry-After` header, in seconds.
     pub retry_after_s: Option<u64>,
-    /// Whether a kept answer was given again.
+    /// Whether it repeats a stored response (header `Idempotent-Replayed`).
     pub is_replayed: bool,
 }
 
 impl Response {
-    /// Returns whether this is a refusal that was not run and says when to come
-    /// back, as when a lease lapses for a moment on a busy machine.
+    /// Returns whether the request was rejected without being run and should be
+    /// retried later, for example because a lease expired briefly on a busy machine.
     pub fn is_retryable(&self) -> bool {
-        let not_run = self.json()["error"]["outcome"] == "not-run";
-        self.status == 503 && not_run && self.retry_after_s.is_some()
+        let is_not_run = self.json()["error"]["outcome"] == "not-run";
+        self.status == 503 && is_not_run && self.retry_after_s.is_some()
     }
 
-    /// Returns the body as JSON; null if it is none.
+    /// Returns the body as JSON, or null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 }
 
 impl Fleet {
-    /// Starts a fleet whose hosts have no bundle yet.
+    /// Starts a fleet without a bundle.
     ///
     /// # Panics
     ///
-    /// Panics if a part cannot be started; this is for tests and trials.
+    /// Panics if a component cannot be started.
     pub async fn start(cfg: Config) -> Self {
         let platform = Platform::start(cfg.platform.clone()).await;
         let platform = platform.expect("The platform starts.");
         let listen = ([127, 0, 0, 1], 0).into();
         let mut services = Vec::new();
-        for _ in 0..SERVICES {
+        for _ in 0..SERVICE_COUNT {
             services.push(Service::start(listen).await.expect("The service starts."));
         }
         let mut fleet = Self {
@@ -132,7 +132,7 @@
             engines: BTreeMap::new(),
             services,
             hosts: BTreeMap::new(),
-            client: Client::new(WAIT_MAX),
+            client: Client::new(WAIT_TIMEOUT),
             cfg,
         };
         fleet.list_services();
@@ -145,11 +145,11 @@
         fleet
     }
 
-    /// Starts a fleet with [`school_bundle`] in force and loaded.
+    /// Starts a fleet with [`school_bundle`] active and its model loaded everywhere.
     ///
     /// # Panics
     ///
-    /// Panics if it does not get that far.
+    /// Panics if a component cannot be started or the bundle is not active in time.
     pub async fn ready(cfg: Config) -> Self {
         let fleet = Self::start(cfg).await;
         fleet.activate_bundle(&school_bundle("1")).await;
@@ -157,7 +157,7 @@
         fleet
     }
 
-    /// Starts an engine and lists it.
+    /// Starts an engine and adds it to the host list.
     ///
     /// # Panics
     ///
@@ -183,7 +183,7 @@
         self.engines.insert(name.to_owned(), engine);
     }
 
-    /// Starts a host and lists it.
+    /// Starts a host and adds it to the host list.
     ///
     /// # Panics
     ///
@@ -197,14 +197,14 @@
         self.hosts.insert(name.to_owned(), server);
     }
 
-    /// Stops a host at once, without a word to the others.
+    /// Stops a host at once, without notifying the others.
     pub fn kill_host(&mut self, name: &str) {
         if let Some(server) = self.hosts.remove(name) {
             server.stop();
         }
     }
 
-    /// Lets a host finish what it has; returns whether it did in time.
+    /// Drains a host and stops it; returns whether all its work finished in time.
     pub async fn leave_host(&mut self, name: &str) -> bool {
         match self.hosts.remove(name) {
             Some(server) => server.leave().await,
@@ -216,7 +216,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the configured changes make them wrong.
+    /// Panics if the merged settings are invalid.
     pub fn settings(&self, name: &str) -> Settings {
         let mut text = json!({
             "host": {"name": name, "data_centre": self.data_centre(name)},
@@ -232,11 +232,11 @@
         parsed.expect("The settings are valid.")
     }
 
-    /// Returns the base URL of a host for callers.
+    /// Returns the base URL of a host for clients.
     ///
     /// # Panics
     ///
-    /// Panics if no such host runs.
+    /// Panics if the host is not running.
     pub fn url(&self, host: &str) -> String {
         format!("http://{}", self.hosts[host].addrs().listen)
     }
@@ -245,25 +245,25 @@
     ///
     /// # Panics
     ///
-    /// Panics if no such host runs.
+    /// Panics if the host is not running.
     pub fn admin_url(&self, host: &str) -> String {
         format!("http://{}", self.hosts[host].addrs().admin)
     }
 
-    /// Returns any host that runs.
+    /// Returns the name of a running host.
     ///
     /// # Panics
     ///
-    /// Panics if none does.
+    /// Panics if no host is running.
     pub fn any_host(&self) -> &str {
         self.hosts.keys().next().expect("A host runs.")
     }
 
-    /// Sends a request and returns the answer.
+    /// Sends a request and returns the response.
     ///
     /// # Errors
     ///
-    /// Returns why no whole answer came.
+    /// Returns an error if no complete response was received.
     pub async fn send(
         &self,
         method: Method,
@@ -274,63 +274,73 @@
         send(&self.client, method, url, headers, body.into()).await
     }
 
-    /// Publishes a bundle, signs it off, and waits until every host applies it.
+    /// Proposes a bundle, signs it off, and waits until it is active on every host.
+    /// Returns its version.
     ///
     /// # Panics
     ///
-    /// Panics if that fails.
+    /// Panics if a step fails or takes more than a minute.
     pub async fn activate_bundle(&self, bundle: &Bundle) -> u64 {
         let admin = self.admin_url(self.any_host());
-        let now = self.get_json(&format!("{admin}/admin/v1/bundle")).await;
-        let asked = json!({"base": now["version"], "author": "ana", "bundle": bundle});
-        let asked = self.post(&format!("{admin}/admin/v1/bundle"), &asked).await;
-        let signed = json!({"version": asked["version"], "digest": asked["digest"],
+        let current = self.get_json(&format!("{admin}/admin/v1/bundle")).await;
+        let proposal = json!({"base": current["version"], "author": "ana", "bundle": bundle});
+        let proposed = self
+            .post(&format!("{admin}/admin/v1/bundle"), &proposal)
+            .await;
+        let sign_off = json!({"version": proposed["version"], "digest": proposed["digest"],
             "author": "rui"});
-        self.post(&format!("{admin}/admin/v1/sign-off"), &signed)
+        self.post(&format!("{admin}/admin/v1/sign-off"), &sign_off)
             .await;
-        let version = asked["version"].as_u64().expect("A version is a number.");
+        let version = proposed["version"]
+            .as_u64()
+            .expect("A version is a number.");
         for host in self.hosts.keys() {
-            self.wait_until(|fleet| fleet.applies(host, version)).await;
+            self.wait_until(|fleet| fleet.has_activated(host, version))
+                .await;
         }
         version
     }
 
-    /// Waits until every engine holds what its plan says, given a fingerprint
-    /// that all of them hold.
+    /// Waits until every host sees the model with this fingerprint as loaded on
+    /// every engine.
+    ///
+    /// # Panics
+    ///
+    /// Panics if that takes more than a minute.
     pub async fn wait_loaded(&self, fingerprint: &str) {
         let fingerprint = fingerprint.to_owned();
         for host in self.hosts.keys() {
-            self.wait_until(|fleet| fleet.sees_held(host, &fingerprint))
+            self.wait_until(|fleet| fleet.sees_loaded(host, &fingerprint))
                 .await;
         }
     }
 
-    /// Waits until something is so.
+    /// Polls a condition until it is true.
     ///
     /// # Panics
     ///
-    /// Panics if it is not so within a minute.
-    pub async fn wait_until<'a, F, R>(&'a self, mut so: F)
+    /// Panics if it is not true within a minute.
+    pub async fn wait_until<'a, F, R>(&'a self, mut condition: F)
     where
         F: FnMut(&'a Self) -> R,
         R: Future<Output = bool>,
     {
-        let wait = async {
-            while !so(self).await {
-                tokio::time::sleep(POLL).await;
+        let polling = async {
+            while !condition(self).await {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let waited = tokio::time::timeout(WAIT_MAX, wait).await;
-        waited.expect("It becomes so within a minute.");
+        let result = tokio::time::timeout(WAIT_TIMEOUT, polling).await;
+        result.expect("The condition becomes true within a minute.");
     }
 
-    /// Uploads a lot and creates a job; returns the job's name.
+    /// Uploads an input file and creates a job from it; returns the ID of the job.
     ///
     /// # Panics
     ///
-    /// Panics if either is refused.
-    pub async fn submit(&self, host: &str, key: &str, lot: &str) -> String {
-        let file = retry_until_final(|| self.upload(host, key, lot)).await;
+    /// Panics if either is rejected.
+    pub async fn submit(&self, host: &str, key: &str, input_file: &str) -> String {
+        let file = retry_until_final(|| self.upload(host, key, input_file)).await;
         assert_eq!(file.status, 200, "{}", file.body);
         let file = file.json();
         let job = retry_until_final(|| self.create_job(host, key, &file["id"])).await;
@@ -338,83 +348,91 @@
         job.json()["id"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Uploads a lot.
+    /// Uploads an input file.
     ///
     /// # Panics
     ///
-    /// Panics if no answer comes.
-    pub async fn upload(&self, host: &str, key: &str, lot: &str) -> Response {
+    /// Panics if no response is received.
+    pub async fn upload(&self, host: &str, key: &str, input_file: &str) -> Response {
         let url = format!("{}/v1/files", self.url(host));
-        let form = upload_form(lot);
+        let form = upload_form(input_file);
         let auth = format!("Bearer {key}");
         let headers = [
             ("authorization", auth.as_str()),
             ("content-type", UPLOAD_CONTENT_TYPE),
         ];
-        let seen = self.send(Method::POST, &url, &headers, form).await;
-        seen.expect("An answer comes.")
+        let response = self.send(Method::POST, &url, &headers, form).await;
+        response.expect("A response is received.")
     }
 
-    /// Creates a job from an uploaded lot.
+    /// Creates a job from an uploaded file with the ID `file`.
     ///
     /// # Panics
     ///
-    /// Panics if no answer comes.
+    /// Panics if no response is received.
     pub async fn create_job(&self, host: &str, key: &str, file: &Value) -> Response {
         let url = format!("{}/v1/batches", self.url(host));
         let body = json!({"input_file_id": file, "endpoint": "/v1/chat/completions",
             "completion_window": "24h"});
         let auth = format!("Bearer {key}");
         let headers = [("authorization", auth.as_str())];
-        let seen = self.send(Method::POST, &url, &headers, body.to_string());
-        seen.await.expect("An answer comes.")
+        let response = self.send(Method::POST, &url, &headers, body.to_string());
+        response.await.expect("A response is received.")
     }
 
     /// Waits until a job has ended and returns it.
+    ///
+    /// # Panics
+    ///
+    /// Panics if that takes more than a minute.
     pub async fn wait_job_end(&self, key: &str, job: &str) -> Value {
-        let ended = |seen: &Value| seen["status"] != "in_progress" && seen["status"].is_string();
-        self.wait_until(|fleet| async move { ended(&fleet.job(key, job).await) })
+        let is_ended = |response: &Value| {
+            response["status"] != "in_progress" && response["status"].is_string()
+        };
+        self.wait_until(|fleet| async move { is_ended(&fleet.job(key, job).await) })
             .await;
         self.job(key, job).await
     }
 
-    /// Returns a job as its caller sees it; null if it cannot be had now.
+    /// Returns a job as its client sees it, or null if it is currently unavailable.
     pub async fn job(&self, key: &str, job: &str) -> Value {
         let url = format!("{}/v1/batches/{job}", self.url(self.any_host()));
-        let seen = self.get(key, &url).await;
-        seen.filter(|s| s.status == 200)
+        let response = self.get(key, &url).await;
+        response
+            .filter(|s| s.status == 200)
             .map(|s| s.json())
             .unwrap_or_default()
     }
 
-    /// Returns the lines of a file.
+    /// Returns the lines of a file, parsed as JSON.
     ///
     /// # Panics
     ///
     /// Panics if it cannot be read.
     pub async fn lines(&self, key: &str, file: &str) -> Vec<Value> {
         let url = format!("{}/v1/files/{file}/content", self.url(self.any_host()));
-        let seen = self.get(key, &url).await.expect("An answer comes.");
-        assert_eq!(seen.status, 200, "{}", seen.body);
-        let lines = seen
+        let response = self.get(key, &url).await.expect("A response is received.");
+        assert_eq!(response.status, 200, "{}", response.body);
+        let lines = response
             .body
             .lines()
             .map(|l| serde_json::from_str(l).unwrap_or_default());
         lines.collect()
     }
 
-    /// Sends a GET request with an API key.
+    /// Sends a GET request with an API key; returns `None` if no complete response was
+    /// received.
     pub async fn get(&self, key: &str, url: &str) -> Option<Response> {
         let auth = format!("Bearer {key}");
         let headers = [("authorization", auth.as_str())];
         self.send(Method::GET, url, &headers, "").await.ok()
     }
 
-    /// Asks for a chat completion.
+    /// Requests a chat completion.
     ///
     /// # Errors
     ///
-    /// Returns why no whole answer came.
+    /// Returns an error if no complete response was received.
     pub async fn chat(
         &self,
         host: &str,
@@ -428,39 +446,42 @@
             .await
     }
 
-    /// Reads JSON from an operator's address.
+    /// Fetches JSON from an operator's URL.
     ///
     /// # Panics
     ///
     /// Panics if it cannot be read.
     pub async fn get_json(&self, url: &str) -> Value {
-        self.client.get_json(url).await.expect("An answer comes.")
+        self.client
+            .get_json(url)
+            .await
+            .expect("A response is received.")
     }
 
     async fn post(&self, url: &str, body: &Value) -> Value {
-        let seen = self.send(Method::POST, url, &[], body.to_string()).await;
-        let seen = seen.expect("An answer comes.");
-        assert_eq!(seen.status, 200, "{}", seen.body);
-        seen.json()
+        let response = self.send(Method::POST, url, &[], body.to_string()).await;
+        let response = response.expect("A response is received.");
+        assert_eq!(response.status, 200, "{}", response.body);
+        response.json()
     }
 
-    async fn applies(&self, host: &str, version: u64) -> bool {
+    async fn has_activated(&self, host: &str, version: u64) -> bool {
         let url = format!("{}/admin/v1/bundle", self.admin_url(host));
         self.get_json(&url).await["version"] == version
     }
 
-    async fn sees_held(&self, host: &str, fingerprint: &str) -> bool {
+    async fn sees_loaded(&self, host: &str, fingerprint: &str) -> bool {
         let url = format!("{}/admin/v1/targets", self.admin_url(host));
-        let seen = self.get_json(&url).await;
-        let targets = seen["targets"].as_array().cloned().unwrap_or_default();
-        let holding = targets.iter().filter(|t| {
-            let holds = t["holds"].as_array();
-            holds.is_some_and(|h| h.iter().any(|f| f == fingerprint))
+        let response = self.get_json(&url).await;
+        let targets = response["targets"].as_array().cloned().unwrap_or_default();
+        let loaded = targets.iter().filter(|t| {
+            let models = t["holds"].as_array();
+            models.is_some_and(|m| m.iter().any(|f| f == fingerprint))
         });
-        holding.count() == self.engines.len()
+        loaded.count() == self.engines.len()
     }
 
-    /// Returns the calls that took effect at any target of the service.
+    /// Returns the calls that the targets of the service executed.
     pub fn executed_calls(&self) -> Vec<ExecutedCall> {
         self.services
             .iter()
@@ -489,7 +510,8 @@
     }
 }
 
-/// Returns a bundle with one serving on every engine and two tenants.
+/// Returns a bundle with one serving on every engine and two tenants, `school` and
+/// `permits`.
 pub fn school_bundle(version: &str) -> Bundle {
     let text = json!({
         "servings": [{"name": "hints", "model": "tutor", "version": version, "replicas": 1_000}],
@@ -505,7 +527,7 @@
     parsed.expect("The bundle is valid.")
 }
 
-/// Returns a lot of items with prompts of their own.
+/// Returns an input file of items, each with a unique prompt.
 pub fn input_file(name: &str, items: usize, tokens: u32) -> String {
     let line = |i: usize| {
         let body = json!({"model": "hints", "max_tokens": tokens,
@@ -517,46 +539,47 @@
     (0..items).map(line).collect()
 }
 
-/// Asks again, as a caller should, as long as it is told to come back.
+/// Sends a request until the response is final, retrying as a client should while
+/// the response is retryable.
 ///
 /// # Panics
 ///
-/// Panics if that goes on for a minute.
-pub async fn retry_until_final<F, R>(mut ask: F) -> Response
+/// Panics if there is no final response within a minute.
+pub async fn retry_until_final<F, R>(mut send: F) -> Response
 where
     F: FnMut() -> R,
     R: Future<Output = Response>,
 {
-    let asking = async {
+    let retrying = async {
         loop {
-            let seen = ask().await;
-            if !seen.is_retryable() {
-                return seen;
+            let response = send().await;
+            if !response.is_retryable() {
+                return response;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let asked = tokio::time::timeout(WAIT_MAX, asking).await;
-    asked.expect("There is a final answer within a minute.")
+    let result = tokio::time::timeout(WAIT_TIMEOUT, retrying).await;
+    result.expect("A final response is received within a minute.")
 }
 
 /// The content type of [`upload_form`].
 pub const UPLOAD_CONTENT_TYPE: &str = "multipart/form-data; boundary=edge";
 
-/// Returns the form that uploads a lot.
-pub fn upload_form(lot: &str) -> String {
+/// Returns the form that uploads an input file.
+pub fn upload_form(input_file: &str) -> String {
     format!(
         "--edge\r\ncontent-disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n\
          --edge\r\ncontent-disposition: form-data; name=\"file\"; filename=\"lot.jsonl\"\
-         \r\n\r\n{lot}\r\n--edge--\r\n"
+         \r\n\r\n{input_file}\r\n--edge--\r\n"
     )
 }
 
-/// Sends a request and returns the answer.
+/// Sends a request and returns the response.
 ///
 /// # Errors
 ///
-/// Returns why no whole answer came.
+/// Returns an error if no complete response was received.
 pub async fn send(
     client: &Client,
     method: Method,
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! The little of an HTTP server that every stand-in needs.
+//! A minimal HTTP server for the stand-ins.
 
 use std::future::Future;
 use std::io;
@@ -19,20 +19,20 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// The body of an answer; an error in it cuts the connection.
+/// The body of a response; an error in it resets the connection.
 pub type Body = BoxBody<Bytes, io::Error>;
-/// An answer; an error cuts the connection without one.
+/// The response of a handler; an error closes the connection without a response.
 pub type HandlerResult = Result<Response<Body>, io::Error>;
 
-/// A running stand-in; dropping it closes its port and its connections.
+/// A running server; dropping the handle closes its port and its connections.
 #[derive(Debug)]
 pub struct ServerHandle {
     addr: SocketAddr,
-    _stop: watch::Sender<()>,
+    _stop_sender: watch::Sender<()>,
 }
 
 impl ServerHandle {
-    /// Returns where it listens.
+    /// Returns the address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -43,11 +43,11 @@
     }
 }
 
-/// Serves requests until the value returned is dropped.
+/// Serves requests until the returned handle is dropped.
 ///
 /// # Errors
 ///
-/// Returns the system's error if the address cannot be listened on.
+/// Returns the operating system's error if the address cannot be bound.
 pub async fn serve<F, R>(listen: SocketAddr, handler: F) -> io::Result<ServerHandle>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
@@ -55,7 +55,7 @@
 {
     let listener = TcpListener::bind(listen).await?;
     let addr = listener.local_addr()?;
-    let (stop, mut stopped) = watch::channel(());
+    let (stop_sender, mut stop_receiver) = watch::channel(());
     tokio::spawn(async move {
         loop {
             let (socket, _) = tokio::select! {
@@ -63,31 +63,34 @@
                     Ok(accepted) => accepted,
                     Err(_) => continue,
                 },
-                _ = stopped.changed() => return,
+                _ = stop_receiver.changed() => return,
             };
             let _ = socket.set_nodelay(true);
             let handler = handler.clone();
-            let mut stopped = stopped.clone();
+            let mut stop_receiver = stop_receiver.clone();
             tokio::spawn(async move {
                 let service = service_fn(handler);
                 let conn = http1::Builder::new().serve_connection(TokioIo::new(socket), service);
                 tokio::select! {
                     _ = conn => {}
-                    _ = stopped.changed() => {}
+                    _ = stop_receiver.changed() => {}
                 }
             });
         }
     });
-    Ok(ServerHandle { addr, _stop: stop })
+    Ok(ServerHandle {
+        addr,
+        _stop_sender: stop_sender,
+    })
 }
 
-/// Returns an answer with JSON.
+/// Returns a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> HandlerResult {
     let text = serde_json::to_vec(value).map_err(io::Error::other)?;
     bytes(status, text.into())
 }
 
-/// Returns an answer with bytes.
+/// Returns a response with the given body.
 pub fn bytes(status: StatusCode, body: Bytes) -> HandlerResult {
     let body = Full::new(body).map_err(|never| match never {}).boxed();
     Response::builder()
@@ -96,22 +99,22 @@
         .map_err(io::Error::other)
 }
 
-/// Returns an empty answer.
+/// Returns a response without a body.
 pub fn empty(status: StatusCode) -> HandlerResult {
     bytes(status, Bytes::new())
 }
 
-/// Reads a whole body.
+/// Reads the complete body of a request.
 ///
 /// # Errors
 ///
-/// Returns an error if the connection is cut.
+/// Returns an error if the connection is closed before the end of the body.
 pub async fn read_body(req: Request<Incoming>) -> io::Result<Bytes> {
     let body = req.into_body().collect().await;
     Ok(body.map_err(io::Error::other)?.to_bytes())
 }
 
-/// Returns a parameter of a query.
+/// Returns a numeric parameter of a query string.
 pub fn query_param(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform and the targets, for tests and trials.
+//! Stand-ins for the platform and the targets, for tests and measurements.
 //!
-//! They speak the protocols of what they stand for, over HTTP on loopback, and
-//! fail on request. They are not published and are no part of the product.
+//! They implement the protocols of the real services over HTTP on loopback, and
+//! inject faults on request. They are unpublished and not part of a deployment.
 
 pub mod engine;
 pub mod fleet;
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/model.rs
@@ -1,32 +1,33 @@
-//! A model engine's timing, without I/O: continuous batching with a cache.
+//! Timing model of an engine, without I/O: continuous batching with a prompt cache.
 //!
-//! Every step gives each running stream one token. A step takes longer with
-//! each stream and with each prompt token that is not in the cache. Requests
-//! are admitted as they come, in order, as long as memory lasts.
+//! Every step generates one token for each running stream. Its duration grows with
+//! the number of streams and of prompt tokens that are not cached. Requests are
+//! admitted in order of arrival while memory is available.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What identifies a stream.
+/// Identifies a stream.
 pub type StreamId = u64;
 
 /// An engine's speed and memory.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Time of a step without streams.
+    /// Duration of a step without streams.
     pub step_base: Duration,
-    /// Time that each stream adds to a step.
+    /// Time that each running stream adds to a step.
     pub step_per_stream: Duration,
-    /// Time that each prompt token adds that is not cached.
+    /// Time that each cache_prompt prompt token adds to the step that admits its request.
     pub prefill_per_token: Duration,
-    /// Tokens that fit in memory, of running streams and cached prompts.
+    /// Tokens of running streams and cached prompts that fit in memory.
     pub memory_tokens: u32,
-    /// Streams that a step can hold.
+    /// Maximum number of running streams.
     pub streams_max: usize,
 }
 
-/// Defaults follow the size to design for: 2.2 million tokens a second from
-/// 1,400 runners at 26 ms between tokens is 41 streams a runner.
+/// Defaults follow the fleet size that the system is designed for: 1,400 engines
+/// generate 2.2 million tokens per second at 26 ms between tokens, which is 41
+/// streams per engine.
 impl Default for Config {
     fn default() -> Self {
         Self {
@@ -42,30 +43,30 @@
 /// A request to an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// What identifies its stream.
+    /// Identifies its stream.
     pub id: StreamId,
-    /// Tokens to read before the first is generated.
+    /// Prompt tokens to process before the first token is generated.
     pub prompt_tokens: u32,
-    /// A hash of the prompt, by which its tokens are found in the cache.
+    /// Hash of the prompt, the key in the cache.
     pub prompt_hash: u64,
-    /// Tokens to generate.
+    /// Tokens to generate in total.
     pub tokens: u32,
-    /// Tokens generated elsewhere or earlier.
+    /// Tokens that were already generated, here or elsewhere.
     pub done_tokens: u32,
 }
 
-/// A token generated.
+/// A generated token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
     /// The stream.
     pub id: StreamId,
-    /// The number of tokens before it.
+    /// The number of tokens before it in the stream.
     pub offset: u32,
-    /// Whether it is the last.
+    /// Whether it is the last of the stream.
     pub is_last: bool,
 }
 
-/// An engine's streams and cache.
+/// The state of an engine: its streams, queue and cache.
 #[derive(Clone, Debug)]
 pub struct Model {
     cfg: Config,
@@ -95,51 +96,52 @@
         self.waiting.len()
     }
 
-    /// Returns whether there is nothing to do.
+    /// Returns whether no stream runs and no request is queued.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty()
     }
 
-    /// Takes a request.
+    /// Queues a request.
     pub fn submit(&mut self, req: Request) {
         self.waiting.push_back(req);
     }
 
-    /// Ends a stream or takes a request out of the queue.
+    /// Ends a stream or removes a request from the queue.
     pub fn cancel(&mut self, id: StreamId) {
         self.running.retain(|r| r.id != id);
         self.waiting.retain(|r| r.id != id);
     }
 
-    /// Ends all streams and empties queue and cache.
+    /// Ends all streams and clears queue and cache.
     pub fn clear(&mut self) {
         self.running.clear();
         self.waiting.clear();
         self.cache.clear();
     }
 
-    /// Admits what fits and returns how long the step takes that now begins.
+    /// Begins a step: admits queued requests that fit and returns its duration.
     pub fn begin_step(&mut self) -> Duration {
-        let mut fill_tokens = 0;
+        let mut prefill_tokens = 0;
         while self.running.len() < self.cfg.streams_max {
             let Some(req) = self.waiting.front().copied() else {
                 break;
             };
-            if !self.running.is_empty() && self.used_tokens() + need(&req) > self.cfg.memory_tokens
+            if !self.running.is_empty()
+                && self.used_tokens() + reserved_tokens(&req) > self.cfg.memory_tokens
             {
                 break;
             }
             self.waiting.pop_front();
-            fill_tokens += self.uncached(&req);
+            prefill_tokens += self.cache_prompt(&req);
             self.running.push(req);
         }
         let streams = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
         self.cfg.step_base
             + self.cfg.step_per_stream * streams
-            + self.cfg.prefill_per_token * fill_tokens
+            + self.cfg.prefill_per_token * prefill_tokens
     }
 
-    /// Ends the step and returns the tokens that it generated.
+    /// Ends the current step and returns the tokens that it generated.
     pub fn end_step(&mut self) -> Vec<Token> {
         let mut tokens = Vec::with_capacity(self.running.len());
         for req in &mut self.running {
@@ -156,30 +158,30 @@
     }
 
     fn used_tokens(&self) -> u32 {
-        self.running.iter().map(need).sum()
+        self.running.iter().map(reserved_tokens).sum()
     }
 
-    /// Returns the tokens to read, and keeps the prompt in the cache.
-    fn uncached(&mut self, req: &Request) -> u32 {
-        let found = self
+    /// Adds the prompt to the cache and returns the number of tokens to process.
+    fn cache_prompt(&mut self, req: &Request) -> u32 {
+        let position = self
             .cache
             .iter()
             .position(|(hash, _)| *hash == req.prompt_hash);
-        if let Some(at) = found
-            && let Some(entry) = self.cache.remove(at)
+        if let Some(index) = position
+            && let Some(entry) = self.cache.remove(index)
         {
             self.cache.push_back(entry);
             return 1 + req.done_tokens / 16;
         }
         self.cache.push_back((req.prompt_hash, req.prompt_tokens));
-        let room = self.cfg.memory_tokens.saturating_sub(self.used_tokens());
-        while self.cache.iter().map(|(_, len)| len).sum::<u32>() > room {
+        let available = self.cfg.memory_tokens.saturating_sub(self.used_tokens());
+        while self.cache.iter().map(|(_, len)| len).sum::<u32>() > available {
             self.cache.pop_front();
         }
         req.prompt_tokens + req.done_tokens
     }
 }
 
-fn need(req: &Request) -> u32 {
+fn reserved_tokens(req: &Request) -> u32 {
     req.prompt_tokens + req.tokens
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -28,24 +28,25 @@
 use crate::http::HandlerResult;
 use crate::http::ServerHandle;
 
-/// Bytes of records in one page.
+/// Maximum size of the records in one page.
 const PAGE_BYTES_MAX: usize = 4 << 20;
-const WINDOW: Duration = Duration::from_secs(1);
+/// Window over which the append rate is limited.
+const APPEND_WINDOW: Duration = Duration::from_secs(1);
 
-/// How the stand-in behaves.
+/// The configuration of a platform.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Time for which records are kept.
+    /// Retention time of log records.
     pub retention: Duration,
-    /// Appends a second that are taken; more are refused.
+    /// Maximum appends per second; more are rejected.
     pub appends_per_s: u32,
-    /// Time after which a change of the host list shows.
+    /// Delay after which a change of the host list becomes visible.
     pub list_lag: Duration,
-    /// Rate of the weight store.
+    /// Throughput of the weight store.
     pub weights_bytes_per_s: u64,
-    /// Size of any model with its adapter.
+    /// Size of each model with its adapter.
     pub weights_bytes: u64,
 }
 
@@ -62,17 +63,17 @@
     }
 }
 
-/// How the stand-in fails.
+/// The faults to inject.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// The log refuses every call.
+    /// Whether the log rejects every call.
     pub log_down: bool,
-    /// The log takes this long for each append.
+    /// Latency of each append.
     pub append_ms: u64,
-    /// So many appends take effect, but their answers are lost.
+    /// Number of appends that take effect, but whose response is lost.
     pub lose_answers: u32,
-    /// So many appends are lost before they take effect.
+    /// Number of appends that are lost before they take effect.
     pub lose_appends: u32,
 }
 
@@ -87,14 +88,16 @@
     cfg: Config,
     faults: Faults,
     logs: HashMap<String, Log>,
-    window: (Instant, u32),
+    /// Start of the current append window, and the appends admitted in it.
+    append_window: (Instant, u32),
     appends: u64,
-    hosts: HashMap<String, Listed>,
+    listed: HashMap<String, Listed>,
+    /// Changes of the host list that are not yet visible; `None` is a removal.
     changes: VecDeque<(Instant, String, Option<Listed>)>,
-    store_free_at: Instant,
+    weights_available_at: Instant,
 }
 
-/// A running platform stand-in.
+/// A running platform stand-in. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Platform {
     running: Arc<ServerHandle>,
@@ -108,11 +111,11 @@
 }
 
 impl Platform {
-    /// Starts a stand-in.
+    /// Starts a platform.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the address cannot be listened on.
+    /// Returns the operating system's error if the address cannot be bound.
     pub async fn start(cfg: Config) -> io::Result<Self> {
         let now = Instant::now();
         let listen = cfg.listen;
@@ -120,11 +123,11 @@
             cfg,
             faults: Faults::default(),
             logs: HashMap::new(),
-            window: (now, 0),
+            append_window: (now, 0),
             appends: 0,
-            hosts: HashMap::new(),
+            listed: HashMap::new(),
             changes: VecDeque::new(),
-            store_free_at: now,
+            weights_available_at: now,
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
@@ -146,28 +149,32 @@
         self.running.url()
     }
 
-    /// Fails from now on as told.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: Faults) {
         self.shared.lock().faults = faults;
         self.shared.appended.notify_waiters();
     }
 
-    /// Lists a host or target, after the list's lag.
+    /// Adds or updates a host or target in the host list, visible after
+    /// [`Config::list_lag`].
     pub fn list(&self, listed: Listed) {
-        self.shared.lock().change(listed.name.clone(), Some(listed));
+        self.shared
+            .lock()
+            .queue_change(listed.name.clone(), Some(listed));
     }
 
-    /// Removes a host or target from the list, after the list's lag.
+    /// Removes a host or target from the host list, visible after
+    /// [`Config::list_lag`].
     pub fn unlist(&self, name: &str) {
-        self.shared.lock().change(name.to_owned(), None);
+        self.shared.lock().queue_change(name.to_owned(), None);
     }
 
-    /// Returns how many appends took effect.
+    /// Returns the number of appends admitted by the rate limit.
     pub fn appends(&self) -> u64 {
         self.shared.lock().appends
     }
 
-    /// Returns the records of a stream that are still kept.
+    /// Returns the retained records of a stream.
     pub fn records(&self, stream: &str) -> Vec<Vec<u8>> {
         let state = self.shared.lock();
         let log = state.logs.get(stream);
@@ -193,17 +200,19 @@
             }
             (&Method::GET, ["v1", "streams", stream, "records"]) => self.read(stream, &query).await,
             (&Method::GET, ["v1", "streams", stream]) => self.bounds(stream),
-            (&Method::GET, ["v1", "hosts"]) => http::json(StatusCode::OK, &self.lock().listed()),
+            (&Method::GET, ["v1", "hosts"]) => {
+                http::json(StatusCode::OK, &self.lock().current_list())
+            }
             (&Method::PUT, ["v1", "hosts"]) => {
                 let body = http::read_body(req).await?;
                 let Ok(listed) = serde_json::from_slice::<Listed>(&body) else {
                     return http::empty(StatusCode::BAD_REQUEST);
                 };
-                self.lock().change(listed.name.clone(), Some(listed));
+                self.lock().queue_change(listed.name.clone(), Some(listed));
                 http::empty(StatusCode::NO_CONTENT)
             }
             (&Method::DELETE, ["v1", "hosts", name]) => {
-                self.lock().change((*name).to_owned(), None);
+                self.lock().queue_change((*name).to_owned(), None);
                 http::empty(StatusCode::NO_CONTENT)
             }
             (&Method::GET, ["v1", "weights", ..]) => self.weights().await,
@@ -222,26 +231,26 @@
     async fn append(&self, stream: &str, data: Vec<u8>) -> HandlerResult {
         let faults = self.lock().faults.clone();
         tokio::time::sleep(Duration::from_millis(faults.append_ms)).await;
-        if faults.log_down || !self.lock().take_append() {
+        if faults.log_down || !self.lock().admit_append() {
             return http::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let lost = |count: &mut u32| {
-            let hit = *count > 0;
+        let take_fault = |count: &mut u32| {
+            let is_faulty = *count > 0;
             *count = count.saturating_sub(1);
-            hit
+            is_faulty
         };
-        let (offset, lose) = {
+        let (offset, is_response_lost) = {
             let mut state = self.lock();
-            if lost(&mut state.faults.lose_appends) {
+            if take_fault(&mut state.faults.lose_appends) {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             (
-                state.push(stream, data),
-                lost(&mut state.faults.lose_answers),
+                state.append_record(stream, data),
+                take_fault(&mut state.faults.lose_answers),
             )
         };
         self.appended.notify_waiters();
-        if lose {
+        if is_response_lost {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         http::json(StatusCode::OK, &Appended { offset })
@@ -282,27 +291,27 @@
     }
 
     async fn weights(&self) -> HandlerResult {
-        let ready_at = self.lock().take_weights();
-        tokio::time::sleep_until(ready_at).await;
+        let finished_at = self.lock().schedule_weights_download();
+        tokio::time::sleep_until(finished_at).await;
         http::empty(StatusCode::OK)
     }
 }
 
 impl State {
-    fn take_append(&mut self) -> bool {
+    fn admit_append(&mut self) -> bool {
         let now = Instant::now();
-        if now.duration_since(self.window.0) >= WINDOW {
-            self.window = (now, 0);
+        if now.duration_since(self.append_window.0) >= APPEND_WINDOW {
+            self.append_window = (now, 0);
         }
-        if self.window.1 >= self.cfg.appends_per_s {
+        if self.append_window.1 >= self.cfg.appends_per_s {
             return false;
         }
-        self.window.1 += 1;
+        self.append_window.1 += 1;
         self.appends += 1;
         true
     }
 
-    fn push(&mut self, stream: &str, data: Vec<u8>) -> u64 {
+    fn append_record(&mut self, stream: &str, data: Vec<u8>) -> u64 {
         let log = self.logs.entry(stream.to_owned()).or_default();
         log.records.push_back((Instant::now(), data));
         log.first + log.records.len() as u64 - 1
@@ -344,11 +353,11 @@
         }
     }
 
-    fn change(&mut self, name: String, listed: Option<Listed>) {
+    fn queue_change(&mut self, name: String, listed: Option<Listed>) {
         self.changes.push_back((Instant::now(), name, listed));
     }
 
-    fn listed(&mut self) -> Vec<Listed> {
+    fn current_list(&mut self) -> Vec<Listed> {
         let lag = self.cfg.list_lag;
         while self
             .changes
@@ -359,17 +368,17 @@
                 break;
             };
             match listed {
-                Some(listed) => self.hosts.insert(name, listed),
-                None => self.hosts.remove(&name),
+                Some(listed) => self.listed.insert(name, listed),
+                None => self.listed.remove(&name),
             };
         }
-        self.hosts.values().cloned().collect()
+        self.listed.values().cloned().collect()
     }
 
-    fn take_weights(&mut self) -> Instant {
-        let secs = self.cfg.weights_bytes as f64 / self.cfg.weights_bytes_per_s as f64;
-        let start = self.store_free_at.max(Instant::now());
-        self.store_free_at = start + Duration::from_secs_f64(secs);
-        self.store_free_at
+    fn schedule_weights_download(&mut self) -> Instant {
+        let duration_s = self.cfg.weights_bytes as f64 / self.cfg.weights_bytes_per_s as f64;
+        let start = self.weights_available_at.max(Instant::now());
+        self.weights_available_at = start + Duration::from_secs_f64(duration_s);
+        self.weights_available_at
     }
 }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,5 @@
-//! Stand-in for a plain service, some of whose calls must not be repeated.
+//! Stand-in for a plain service whose calls are not all idempotent. It records each
+//! call that it executes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,7 +18,7 @@
 use crate::http;
 use crate::http::ServerHandle;
 
-/// A call that took effect.
+/// A call that the service executed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ExecutedCall {
     /// The method.
@@ -28,7 +29,7 @@
     pub body: String,
 }
 
-/// A running service stand-in.
+/// A running service stand-in. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Service {
     running: Arc<ServerHandle>,
@@ -37,17 +38,17 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    taken: Mutex<Vec<ExecutedCall>>,
-    lose_responses: AtomicU32,
-    held: watch::Sender<bool>,
+    executed: Mutex<Vec<ExecutedCall>>,
+    responses_to_lose: AtomicU32,
+    is_holding: watch::Sender<bool>,
 }
 
 impl Service {
-    /// Starts a stand-in.
+    /// Starts a service.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if the address cannot be listened on.
+    /// Returns the operating system's error if the address cannot be bound.
     pub async fn start(listen: SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let handler = Arc::clone(&shared);
@@ -64,20 +65,21 @@
         self.running.url()
     }
 
-    /// Loses so many answers after the calls have taken effect.
+    /// Executes the next `count` calls, but resets their connections instead of
+    /// responding.
     pub fn lose_responses(&self, count: u32) {
-        self.shared.lose_responses.store(count, Ordering::SeqCst);
+        self.shared.responses_to_lose.store(count, Ordering::SeqCst);
     }
 
-    /// Holds answers back, after the calls have taken effect, until told not to.
-    pub fn hold_responses(&self, hold: bool) {
-        self.shared.held.send_replace(hold);
+    /// Delays responses to executed calls while `is_holding` is set.
+    pub fn hold_responses(&self, is_holding: bool) {
+        self.shared.is_holding.send_replace(is_holding);
     }
 
-    /// Returns the calls that took effect.
+    /// Returns the calls that were executed.
     pub fn executed_calls(&self) -> Vec<ExecutedCall> {
-        let taken = self.shared.taken.lock();
-        taken.unwrap_or_else(PoisonError::into_inner).clone()
+        let executed = self.shared.executed.lock();
+        executed.unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
@@ -88,15 +90,23 @@
         let body = String::from_utf8_lossy(&http::read_body(req).await?).into_owned();
         let call = ExecutedCall { method, path, body };
         let count = {
-            let mut taken = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
-            taken.push(call.clone());
-            taken.len()
+            let mut executed = self.executed.lock().unwrap_or_else(PoisonError::into_inner);
+            executed.push(call.clone());
+            executed.len()
         };
-        // The sender lives as long as this does.
-        let _ = self.held.subscribe().wait_for(|held| !held).await;
-        let lose = |left: u32| left.checked_sub(1);
+        // `wait_for` fails only if the sender is dropped, and `self` owns the sender.
+        let _ = self
+            .is_holding
+            .subscribe()
+            .wait_for(|is_holding| !is_holding)
+            .await;
+        let decrement = |left: u32| left.checked_sub(1);
         let order = Ordering::SeqCst;
-        if self.lose_responses.fetch_update(order, order, lose).is_ok() {
+        if self
+            .responses_to_lose
+            .fetch_update(order, order, decrement)
+            .is_ok()
+        {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         let mut resp = http::json(StatusCode::CREATED, &call)?;
