--- a/crates/server/tests/batch.rs
+++ b/crates/server/tests/batch.rs
@@ -53,9 +53,9 @@
 async fn any_host_serves_any_job() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 60, TOKENS))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 60, TOKENS))
         .await;
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (60, 60, 0));
     check_results(&fleet, &ended, "n", 60).await;
     for host in ["a1", "a2", "a3"] {
@@ -73,13 +73,13 @@
 #[tokio::test]
 async fn repeated_submission_yields_same_job() {
     let fleet = Fleet::ready(Config::default()).await;
-    let input_file = fleet::lot("n", 5, TOKENS);
+    let input_file = fleet::input_file("n", 5, TOKENS);
     let first = fleet.submit("a1", SCHOOL_KEY, &input_file).await;
     let repeated = fleet.submit("a2", SCHOOL_KEY, &input_file).await;
     assert_eq!(first, repeated);
     let other = fleet.submit("a2", PERMITS_KEY, &input_file).await;
     assert_ne!(first, other, "Another tenant gets a job of its own.");
-    fleet.job_ended(SCHOOL_KEY, &first).await;
+    fleet.wait_job_end(SCHOOL_KEY, &first).await;
     let after = fleet.submit("a3", SCHOOL_KEY, &input_file).await;
     assert_eq!(first, after);
 }
@@ -91,7 +91,7 @@
     let mut responses = Vec::new();
     for name in ["n", "n", "m"] {
         let file = fleet
-            .upload("a1", SCHOOL_KEY, &fleet::lot(name, 3, TOKENS))
+            .upload("a1", SCHOOL_KEY, &fleet::input_file(name, 3, TOKENS))
             .await;
         let body = json!({"input_file_id": file.json()["id"],
             "endpoint": "/v1/chat/completions", "completion_window": "24h"});
@@ -155,7 +155,7 @@
     };
     let fleet = Fleet::ready(config).await;
     assert_eq!(fleet.upload("a1", SCHOOL_KEY, "\n\n").await.status, 400);
-    let input_file = fleet::lot("n", 4, TOKENS);
+    let input_file = fleet::input_file("n", 4, TOKENS);
     assert_eq!(
         fleet.upload("a1", SCHOOL_KEY, &input_file).await.status,
         413
@@ -166,17 +166,17 @@
 async fn cancelled_job_stops() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 2_000, 64))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 2_000, 64))
         .await;
     fleet
-        .until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
+        .wait_until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
         .await;
     let url = format!("{}/v1/batches/{job}/cancel", fleet.url("a3"));
     let auth = format!("Bearer {SCHOOL_KEY}");
     let headers = [("authorization", auth.as_str())];
     // On a busy machine the owner's lease may expire briefly. It then rejects the request
     // as "not run", and the caller retries.
-    let response = fleet::insist(|| async {
+    let response = fleet::retry_until_final(|| async {
         let response = fleet.send(Method::POST, &url, &headers, "").await;
         response.unwrap()
     })
@@ -184,7 +184,7 @@
     assert_eq!(response.json()["status"], "cancelled", "{}", response.body);
     let counts_at_cancel = counts(&fleet.job(SCHOOL_KEY, &job).await);
     fleet
-        .until(|fleet| async { fleet.engines.values().all(|e| e.streams() == 0) })
+        .wait_until(|fleet| async { fleet.engines.values().all(|e| e.streams() == 0) })
         .await;
     let after = fleet.job(SCHOOL_KEY, &job).await;
     assert_eq!(
@@ -198,13 +198,13 @@
 #[tokio::test]
 async fn permanently_failed_item_is_listed_with_reason() {
     let fleet = Fleet::ready(Config::default()).await;
-    let mut input_file = fleet::lot("n", 20, TOKENS);
+    let mut input_file = fleet::input_file("n", 20, TOKENS);
     input_file.push_str(
         &line("bad", "hints").replace("\"content\":\"bad\"", "\"content\":\"[malformed]\""),
     );
     assert!(input_file.contains(engine::MALFORMED));
     let job = fleet.submit("a1", SCHOOL_KEY, &input_file).await;
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (21, 20, 1));
     let errors = ended["error_file_id"].as_str().unwrap();
     let lines = fleet.lines(SCHOOL_KEY, errors).await;
@@ -215,11 +215,11 @@
 #[tokio::test]
 async fn item_that_crashes_targets_does_not_fail_the_job() {
     let fleet = Fleet::ready(Config::default()).await;
-    let mut input_file = fleet::lot("n", 30, TOKENS);
+    let mut input_file = fleet::input_file("n", 30, TOKENS);
     input_file
         .push_str(&line("bad", "hints").replace("\"content\":\"bad\"", "\"content\":\"[poison]\""));
     let job = fleet.submit("a1", SCHOOL_KEY, &input_file).await;
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (31, 30, 1));
     let errors = ended["error_file_id"].as_str().unwrap();
     let lines = fleet.lines(SCHOOL_KEY, errors).await;
@@ -238,15 +238,15 @@
     };
     let mut fleet = Fleet::ready(config).await;
     let job = fleet
-        .submit("a4", SCHOOL_KEY, &fleet::lot("n", 400, TOKENS))
+        .submit("a4", SCHOOL_KEY, &fleet::input_file("n", 400, TOKENS))
         .await;
     for host in ["a4", "a2"].into_iter().take(crashes) {
         fleet.kill_host(host);
         fleet
-            .until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
+            .wait_until(|fleet| async { fleet.engines.values().any(|e| e.streams() > 0) })
             .await;
     }
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (400, 400, 0));
     check_results(&fleet, &ended, "n", 400).await;
 }
@@ -256,10 +256,12 @@
     let mut fleet = Fleet::ready(Config::default()).await;
     // The items run longer than the takeover takes, and there are enough for every target.
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 80, 300))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 80, 300))
         .await;
     fleet
-        .until(|fleet| async { fleet.engines.values().map(|e| e.streams()).sum::<usize>() >= 60 })
+        .wait_until(|fleet| async {
+            fleet.engines.values().map(|e| e.streams()).sum::<usize>() >= 60
+        })
         .await;
     let url = format!("{}/admin/v1/hosts", fleet.admin_url("a1"));
     let hosts = fleet.get_json(&url).await;
@@ -283,7 +285,7 @@
         .flat_map(|(_, engine)| engine.runs().into_keys())
         .collect();
     fleet.kill_host(owner["host"].as_str().unwrap());
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (80, 80, 0));
     let runs = |prompt: &str| {
         let runs = fleet
@@ -305,14 +307,14 @@
 async fn job_completes_after_log_outage_and_lost_responses() {
     let fleet = Fleet::ready(Config::default()).await;
     let job = fleet
-        .submit("a1", SCHOOL_KEY, &fleet::lot("n", 300, TOKENS))
+        .submit("a1", SCHOOL_KEY, &fleet::input_file("n", 300, TOKENS))
         .await;
     fleet.platform.set_faults(Faults {
         log_down: true,
         ..Faults::default()
     });
     let rejected = fleet
-        .upload("a2", SCHOOL_KEY, &fleet::lot("m", 3, TOKENS))
+        .upload("a2", SCHOOL_KEY, &fleet::input_file("m", 3, TOKENS))
         .await;
     assert_eq!(rejected.status, 503, "{}", rejected.body);
     assert_eq!(rejected.json()["error"]["outcome"], "not-run");
@@ -327,7 +329,7 @@
         lose_answers: 20,
         ..Faults::default()
     });
-    let ended = fleet.job_ended(SCHOOL_KEY, &job).await;
+    let ended = fleet.wait_job_end(SCHOOL_KEY, &job).await;
     assert_eq!(counts(&ended), (300, 300, 0));
     check_results(&fleet, &ended, "n", 300).await;
 }
--- a/crates/server/tests/online.rs
+++ b/crates/server/tests/online.rs
@@ -159,7 +159,7 @@
     let busy = |fleet: &Fleet| fleet.engines.values().any(|e| e.streams() > 0);
     let (response, ()) = {
         let chat = fleet.chat("a1", SCHOOL_KEY, &long);
-        let watch = fleet.until(|fleet| async move { busy(fleet) });
+        let watch = fleet.wait_until(|fleet| async move { busy(fleet) });
         let (response, ()) = tokio::join!(chat, async {
             watch.await;
             for engine in fleet.engines.values().filter(|e| e.streams() > 0) {
@@ -277,7 +277,7 @@
         ..one_engine()
     };
     let fleet = Fleet::start(config).await;
-    fleet.put_in_force(&school_bundle("1")).await;
+    fleet.activate_bundle(&school_bundle("1")).await;
     let response = fleet
         .chat("a1", SCHOOL_KEY, &chat_request(false))
         .await
@@ -294,7 +294,7 @@
     assert_eq!(fleet.get("", &url).await.unwrap().status, 503);
     let url = format!("{}/healthz", fleet.url("a1"));
     assert_eq!(fleet.get("", &url).await.unwrap().status, 200);
-    fleet.put_in_force(&school_bundle("1")).await;
+    fleet.activate_bundle(&school_bundle("1")).await;
     let url = format!("{}/readyz", fleet.url("a1"));
     assert_eq!(fleet.get("", &url).await.unwrap().status, 200);
 }
@@ -309,7 +309,7 @@
     fleet.engines["t1"].leave();
     let url = format!("{}/admin/v1/targets", fleet.admin_url("a1"));
     fleet
-        .until(|fleet| {
+        .wait_until(|fleet| {
             let url = url.clone();
             async move {
                 let response = fleet.get_json(&url).await;
@@ -333,8 +333,7 @@
 #[tokio::test]
 async fn only_signed_off_versions_run() {
     let fleet = Fleet::ready(one_engine()).await;
-    fleet.put_in_force(&school_bundle("2")).await;
-    // The previous version serves until the new one is loaded; after that, only the new
+    fleet.activate_bundle(&school_bundle("2")).await; // The previous version serves until the new one is loaded; after that, only the new
     // one does.
     let response = fleet
         .chat("a1", SCHOOL_KEY, &chat_request(false))
@@ -343,7 +342,7 @@
     let text = response.json()["choices"][0]["message"]["content"].clone();
     let versions = ["1", "2"].map(|v| json!(expected_text(PROMPT, &model_version(v), TOKENS)));
     assert!(versions.contains(&text), "{text}");
-    fleet.settled("tutor/-/2").await;
+    fleet.wait_loaded("tutor/-/2").await;
     let response = fleet
         .chat("a1", SCHOOL_KEY, &chat_request(false))
         .await
--- a/crates/server/tests/openai_client.rs
+++ b/crates/server/tests/openai_client.rs
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn client_library_runs_batch() {
     let fleet = Fleet::ready(Config::default()).await;
-    let input_file = fleet::lot("note", 25, 4);
+    let input_file = fleet::input_file("note", 25, 4);
     let upload = CreateFileRequest {
         file: FileInput::from_bytes("lot.jsonl".into(), input_file.into_bytes().into()),
         purpose: FilePurpose::Batch,
@@ -82,7 +82,7 @@
         .create(request)
         .await
         .unwrap();
-    fleet.job_ended(SCHOOL_KEY, &batch.id).await;
+    fleet.wait_job_end(SCHOOL_KEY, &batch.id).await;
     let batch = client(&fleet, "a3")
         .batches()
         .retrieve(&batch.id)
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -6,8 +6,8 @@
 use hyper::Method;
 use notchwharf_clients::http::Client;
 use notchwharf_standins::fleet;
+use notchwharf_standins::fleet::Response;
 use notchwharf_standins::fleet::SCHOOL_KEY;
-use notchwharf_standins::fleet::Seen;
 use notchwharf_standins::fleet::school_bundle;
 use notchwharf_standins::platform::Faults;
 use processes::Fleet;
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn crash_with_items_in_flight_loses_and_duplicates_nothing() {
     let mut fleet = Fleet::start(3).await;
-    let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
+    let job = fleet.submit(0, &fleet::input_file("n", 300, TOKENS)).await;
     fleet.wait_busy().await;
     fleet.hosts[1].child.start_kill().unwrap();
     fleet.check_results(0, &job, 300).await;
@@ -33,11 +33,11 @@
 #[tokio::test]
 async fn repeated_crashes_lose_and_duplicate_nothing() {
     let mut fleet = Fleet::start(3).await;
-    let mut jobs = vec![fleet.submit(0, &fleet::lot("n", 600, TOKENS)).await];
+    let mut jobs = vec![fleet.submit(0, &fleet::input_file("n", 600, TOKENS)).await];
     for round in 0..4 {
         // If the job completes before the next crash, another one is submitted.
         while !fleet.wait_busy_or_completed(0, &jobs[jobs.len() - 1]).await {
-            let input_file = fleet::lot(&format!("n{round}"), 600, TOKENS);
+            let input_file = fleet::input_file(&format!("n{round}"), 600, TOKENS);
             jobs.push(fleet.submit(0, &input_file).await);
         }
         let crashed_host = 1 + round % 2;
@@ -85,7 +85,7 @@
 async fn keyed_call_with_crashed_owner_is_unknown_and_not_retried() {
     const KEYS: usize = 12;
     let mut fleet = Fleet::start(3).await;
-    fleet.service.hold_answers(true);
+    fleet.service.hold_responses(true);
     let url = fleet.hosts[0].url.clone();
     let pending: Vec<_> = (0..KEYS)
         .map(|i| {
@@ -93,13 +93,13 @@
             tokio::spawn(async move { submit_permit(&client, &url, &format!("k{i}")).await })
         })
         .collect();
-    wait_until(|| async { fleet.service.taken().len() == KEYS }).await;
+    wait_until(|| async { fleet.service.executed_calls().len() == KEYS }).await;
     for host in 1..3 {
         fleet.hosts[host].child.start_kill().unwrap();
     }
     let hosts = format!("{}/admin/v1/hosts", fleet.hosts[0].admin);
     fleet.start_host("a4").await;
-    fleet.service.hold_answers(false);
+    fleet.service.hold_responses(false);
     let mut results = Vec::new();
     for task in pending {
         results.push(task.await.unwrap());
@@ -121,7 +121,7 @@
         wait_until(|| async { settled(submit_permit(&fleet.client, &url, &key).await) }).await;
     }
     assert_eq!(
-        fleet.service.taken().len(),
+        fleet.service.executed_calls().len(),
         KEYS,
         "Each permit is submitted once."
     );
@@ -130,7 +130,7 @@
 #[tokio::test]
 async fn job_acknowledged_before_crash_completes() {
     let mut fleet = Fleet::start(3).await;
-    let job = fleet.submit(2, &fleet::lot("n", 50, TOKENS)).await;
+    let job = fleet.submit(2, &fleet::input_file("n", 50, TOKENS)).await;
     fleet.hosts[2].child.start_kill().unwrap();
     fleet.check_results(0, &job, 50).await;
 }
@@ -138,7 +138,7 @@
 #[tokio::test]
 async fn host_suspended_past_its_lease_resumes_safely() {
     let fleet = Fleet::start(3).await;
-    let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
+    let job = fleet.submit(0, &fleet::input_file("n", 300, TOKENS)).await;
     fleet.wait_busy().await;
     signal(&fleet.hosts[1], "STOP");
     // Other hosts take over its shards before it resumes.
@@ -152,7 +152,7 @@
 #[tokio::test]
 async fn log_outage_and_lost_responses_lose_no_item() {
     let fleet = Fleet::start(3).await;
-    let job = fleet.submit(0, &fleet::lot("n", 300, TOKENS)).await;
+    let job = fleet.submit(0, &fleet::input_file("n", 300, TOKENS)).await;
     fleet.wait_busy().await;
     fleet.platform.set_faults(Faults {
         log_down: true,
@@ -174,7 +174,7 @@
 #[tokio::test]
 async fn shutdown_interrupts_no_request(#[case] log_down: bool) {
     let mut fleet = Fleet::start(3).await;
-    let job = fleet.submit(0, &fleet::lot("n", 200, TOKENS)).await;
+    let job = fleet.submit(0, &fleet::input_file("n", 200, TOKENS)).await;
     fleet.wait_busy().await;
     let url = format!("{}/v1/chat/completions", fleet.hosts[1].url);
     let chat_request = |i: u32, stream: bool| {
@@ -253,7 +253,7 @@
     fleet.wait_busy().await;
     signal(&fleet.hosts[0], "TERM");
     let ready = format!("{}/readyz", fleet.hosts[0].url);
-    let is_not_ready = |response: Option<Seen>| response.is_none_or(|s| s.status == 503);
+    let is_not_ready = |response: Option<Response>| response.is_none_or(|s| s.status == 503);
     wait_until(|| async { is_not_ready(fleet.send(Method::GET, &ready, String::new()).await) })
         .await;
     signal(&fleet.hosts[0], "TERM");
@@ -326,7 +326,7 @@
     });
     fleet.start_host("a3").await;
     let ready = format!("{}/readyz", fleet.hosts[2].url);
-    let is_ready = |response: Option<Seen>| response.is_some_and(|s| s.status == 200);
+    let is_ready = |response: Option<Response>| response.is_some_and(|s| s.status == 200);
     wait_until(|| async { is_ready(fleet.send(Method::GET, &ready, String::new()).await) }).await;
 }
 
--- a/crates/server/tests/services.rs
+++ b/crates/server/tests/services.rs
@@ -6,7 +6,7 @@
 use notchwharf_standins::fleet::Config;
 use notchwharf_standins::fleet::Fleet;
 use notchwharf_standins::fleet::PERMITS_KEY;
-use notchwharf_standins::fleet::Seen;
+use notchwharf_standins::fleet::Response;
 use notchwharf_standins::platform::Faults;
 use rstest::rstest;
 
@@ -20,14 +20,14 @@
 async fn ready_fleet() -> Fleet {
     let fleet = Fleet::start(config()).await;
     fleet
-        .put_in_force(&notchwharf_standins::fleet::school_bundle("1"))
+        .activate_bundle(&notchwharf_standins::fleet::school_bundle("1"))
         .await;
     let url = format!("{}/services/filing/probe", fleet.url("a1"));
     // The host list is delayed, so the service is not known immediately.
     for host in ["a1", "a2", "a3"] {
         let url = url.replace(&fleet.url("a1"), &fleet.url(host));
         fleet
-            .until(|fleet| {
+            .wait_until(|fleet| {
                 let url = url.clone();
                 async move { fleet.get(PERMITS_KEY, &url).await.unwrap().status == 201 }
             })
@@ -36,7 +36,13 @@
     fleet
 }
 
-async fn call(fleet: &Fleet, host: &str, method: Method, key: Option<&str>, body: &str) -> Seen {
+async fn call(
+    fleet: &Fleet,
+    host: &str,
+    method: Method,
+    key: Option<&str>,
+    body: &str,
+) -> Response {
     let url = format!("{}/services/filing/permits?year=2", fleet.url(host));
     let auth = format!("Bearer {PERMITS_KEY}");
     let mut headers = vec![("authorization", auth.as_str())];
@@ -46,12 +52,12 @@
 }
 
 /// Makes a keyed call, retrying while it is rejected as not run.
-async fn call_until_run(fleet: &Fleet, host: &str, key: &str, body: &str) -> Seen {
-    fleet::insist(|| call(fleet, host, Method::POST, Some(key), body)).await
+async fn call_until_run(fleet: &Fleet, host: &str, key: &str, body: &str) -> Response {
+    fleet::retry_until_final(|| call(fleet, host, Method::POST, Some(key), body)).await
 }
 
 fn filing_count(fleet: &Fleet) -> usize {
-    let requests = fleet.taken();
+    let requests = fleet.executed_calls();
     requests.iter().filter(|t| t.path == "/permits").count()
 }
 
@@ -59,11 +65,11 @@
 async fn keyed_call_runs_once_and_any_host_replays_its_response() {
     let fleet = ready_fleet().await;
     let first = call_until_run(&fleet, "a1", "k", "permit").await;
-    assert_eq!((first.status, first.replayed), (201, false), "{first:?}");
+    assert_eq!((first.status, first.is_replayed), (201, false), "{first:?}");
     for host in ["a1", "a2", "a3"] {
         let repeated = call_until_run(&fleet, host, "k", "permit").await;
         assert_eq!(
-            (repeated.status, repeated.replayed),
+            (repeated.status, repeated.is_replayed),
             (201, true),
             "{repeated:?}"
         );
@@ -81,13 +87,15 @@
 #[tokio::test]
 async fn lost_response_is_unknown_and_call_not_retried(#[case] key: Option<&str>) {
     let fleet = ready_fleet().await;
-    fleet.services.iter().for_each(|s| s.lose_answers(1));
-    let response = fleet::insist(|| call(&fleet, "a1", Method::POST, key, "permit")).await;
+    fleet.services.iter().for_each(|s| s.lose_responses(1));
+    let response =
+        fleet::retry_until_final(|| call(&fleet, "a1", Method::POST, key, "permit")).await;
     assert_eq!(response.status, 502);
     assert_eq!(response.json()["error"]["outcome"], "unknown");
     assert_eq!(filing_count(&fleet), 1);
     if key.is_some() {
-        let repeated = fleet::insist(|| call(&fleet, "a2", Method::POST, key, "permit")).await;
+        let repeated =
+            fleet::retry_until_final(|| call(&fleet, "a2", Method::POST, key, "permit")).await;
         assert_eq!(repeated.json()["error"]["outcome"], "unknown");
         assert_eq!(filing_count(&fleet), 1);
     }
@@ -96,14 +104,13 @@
 #[tokio::test]
 async fn idempotent_call_is_retried() {
     let fleet = ready_fleet().await;
-    fleet.services.iter().for_each(|s| s.lose_answers(1));
-    let response = call(&fleet, "a1", Method::PUT, None, "permit").await;
-    // Both targets lose a response and are skipped for a while, so that the outcome
+    fleet.services.iter().for_each(|s| s.lose_responses(1));
+    let response = call(&fleet, "a1", Method::PUT, None, "permit").await; // Both targets lose a response and are skipped for a while, so that the outcome
     // remains unknown.
     assert_eq!(response.json()["error"]["outcome"], "unknown");
     assert_eq!(filing_count(&fleet), 2);
     fleet
-        .until(|fleet| async { call(fleet, "a1", Method::PUT, None, "p").await.status == 201 })
+        .wait_until(|fleet| async { call(fleet, "a1", Method::PUT, None, "p").await.status == 201 })
         .await;
 }
 
@@ -138,11 +145,11 @@
     for i in 0..8 {
         let key = format!("k{i}");
         fleet
-            .until(|fleet| {
+            .wait_until(|fleet| {
                 let key = key.clone();
                 async move {
                     let response = call(fleet, "a1", Method::POST, Some(&key), "permit").await;
-                    response.replayed
+                    response.is_replayed
                 }
             })
             .await;
@@ -157,7 +164,7 @@
     let peer = fleet.hosts["a3"].addrs().peer;
     fleet.kill_host("a3");
     fleet
-        .until(|_| async { tokio::net::TcpStream::connect(peer).await.is_err() })
+        .wait_until(|_| async { tokio::net::TcpStream::connect(peer).await.is_err() })
         .await;
     for i in 0..12 {
         let key = format!("fresh-{i}");
--- a/crates/server/tests/session.rs
+++ b/crates/server/tests/session.rs
@@ -6,7 +6,7 @@
 
 use hyper::Method;
 use notchwharf_standins::fleet;
-use notchwharf_standins::fleet::Seen;
+use notchwharf_standins::fleet::Response;
 use notchwharf_standins::fleet::school_bundle;
 use processes::Fleet;
 use processes::WAIT_MAX;
@@ -25,13 +25,13 @@
         self.0.push_str(&format!("# {what}\n"));
     }
 
-    fn response(&mut self, response: &Seen) {
+    fn response(&mut self, response: &Response) {
         let mut body = response.json();
         normalize(&mut body);
         self.0.push_str(&format!("{} {body:#}\n", response.status));
     }
 
-    fn stream(&mut self, response: &Seen) {
+    fn stream(&mut self, response: &Response) {
         self.0.push_str(&format!("{}\n", response.status));
         for event in response
             .body
@@ -103,7 +103,7 @@
             .unwrap(),
     );
     transcript.heading("an input file of 1,000 items, uploaded to one host and read from another");
-    let job = fleet.submit(2, &fleet::lot("note", ITEMS, 4)).await;
+    let job = fleet.submit(2, &fleet::input_file("note", ITEMS, 4)).await;
     fleet.wait_busy().await;
 
     transcript.heading("a new bundle while the job is running");
@@ -133,7 +133,10 @@
     let at = url(&fleet, 1, &format!("/v1/batches/{job}"));
     transcript.response(&fleet.send(Method::GET, &at, String::new()).await.unwrap());
     transcript.heading("the same input file again yields the same job");
-    assert_eq!(fleet.submit(0, &fleet::lot("note", ITEMS, 4)).await, job);
+    assert_eq!(
+        fleet.submit(0, &fleet::input_file("note", ITEMS, 4)).await,
+        job
+    );
 
     transcript.heading("online with the new version");
     let at = format!("{}/admin/v1/targets", fleet.hosts[0].admin);
