--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -4,7 +4,7 @@
 //! the host has not read yet. So a key is rejected as unknown only by a configuration that was
 //! the newest one when the request arrived. Otherwise the host reads the configuration again,
 //! and if it can't, refuses the request as not run. A known key is accepted by the
-//! configuration at hand, unless the settings limit its age: then it must have been confirmed
+//! current configuration, unless the settings limit its age: then it must have been confirmed
 //! within that time.
 //!
 //! Accepting unknown keys while the store is unavailable was rejected: each outage would make
--- a/crates/gateway/src/blobs.rs
+++ b/crates/gateway/src/blobs.rs
@@ -233,7 +233,7 @@
                 return Err(StoreError::Expired);
             }
         }
-        Ok(self.cache_joined(blob, found))
+        Ok(self.concat_and_cache(blob, found))
     }
 
     /// Reads blobs of one partition by their keys: pages from the first key to the last,
@@ -265,7 +265,7 @@
                 };
                 chunks.push(bytes);
                 if chunks.len() == blob.records as usize {
-                    let contents = self.cache_joined(blob, std::mem::take(chunks));
+                    let contents = self.concat_and_cache(blob, std::mem::take(chunks));
                     missing.remove(key.as_str());
                     found.insert(key, contents);
                 }
@@ -281,7 +281,7 @@
     }
 
     /// Concatenates the chunks of a blob and caches the result.
-    fn cache_joined(&self, blob: &Blob, chunks: Chunks) -> Bytes {
+    fn concat_and_cache(&self, blob: &Blob, chunks: Chunks) -> Bytes {
         let contents = concat(chunks);
         lock(&self.cache).put(&blob.key, &contents);
         contents
@@ -297,7 +297,7 @@
 #[derive(Debug, Default)]
 struct ExpiredPartition<'a> {
     /// The greatest offset known to have expired; all before it have expired too.
-    latest: u64,
+    greatest_offset: u64,
     blobs: Vec<&'a Blob>,
 }
 
@@ -305,12 +305,12 @@
     /// Returns whether the offset of a blob is known to have expired.
     fn includes(&self, blob: &Blob) -> bool {
         let partition = self.by_partition.get(&blob.part);
-        partition.is_some_and(|partition| blob.offset <= partition.latest)
+        partition.is_some_and(|partition| blob.offset <= partition.greatest_offset)
     }
 
     fn insert(&mut self, blob: &'a Blob) {
         let partition = self.by_partition.entry(blob.part).or_default();
-        partition.latest = partition.latest.max(blob.offset);
+        partition.greatest_offset = partition.greatest_offset.max(blob.offset);
         partition.blobs.push(blob);
     }
 }
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -1,9 +1,9 @@
 //! Catalog of routes and targets, read from the store or received from peers.
 //!
 //! Records are ordered by offset; a record older than the known state is ignored, whatever its
-//! source. [`discovery`] decides which targets exist. This module feeds it with readings, logs the
-//! changes and applies them to the balancer. Readings are applied one after another under one lock,
-//! so that the balancer and the records sent to peers reflect the same reading.
+//! source. [`discovery`] decides which targets exist. This module passes it the results of reads,
+//! logs the changes and applies them to the balancer. Results are applied one after another under
+//! one lock, so that the balancer and the records sent to peers reflect the same read.
 
 mod config;
 mod evacuation;
@@ -57,7 +57,7 @@
 /// Time after an outage of the store within which running targets write their entries again, as
 /// specified by the platform.
 const REREGISTER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay until an update of an entry is received, besides the interval between readings: a response
+/// Delay until an update of an entry is received, besides the interval between reads: a response
 /// of the store takes some milliseconds.
 const UPDATE_LATENCY: Duration = Duration::from_millis(50);
 /// Time for which a host that has exhausted its CPU quota may be paused while it sends a request.
@@ -144,15 +144,16 @@
         }
     }
 
-    /// Applies a reading of targets.
-    fn apply_targets(&self, reading: ReadAttempt, now: Instant) -> Updated {
+    /// Applies the result of a read of targets.
+    fn apply_targets(&self, attempt: ReadAttempt, now: Instant) -> Updated {
         let ReadAttempt {
             requested_at,
             result,
-        } = reading;
+        } = attempt;
         let decode = |value: &Bytes| (self.deps.decode.target)(value);
         let evidence = self.deps.store.evidence();
-        let mut state = lock(&self.state); // Taken before this reading is applied, whose changes are newer.
+        let mut state = lock(&self.state);
+        // Taken before this read is applied, whose changes are newer.
         let complete_as_of = state.targets.complete_as_of();
         let changes = match result {
             Ok(Records::Listed { end, records }) => {
@@ -217,7 +218,7 @@
     }
 
     /// Applies changes of targets and returns whether there were any. The caller holds the lock on
-    /// the state, so that no other reading is applied in between.
+    /// the state, so that no other read is applied in between.
     fn apply_changes<E: fmt::Display>(
         &self,
         complete_as_of: Option<Instant>,
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -72,26 +72,26 @@
     }
 }
 
-/// Applies a reading of the configuration topic.
-pub(super) async fn apply_reading(ctx: &Context, reading: ReadAttempt) {
+/// Applies the result of a read of the configuration topic.
+pub(super) async fn apply_read(ctx: &Context, attempt: ReadAttempt) {
     // The follower retries; `Store` has logged the failure.
-    let Ok(seen) = reading.result else {
+    let Ok(fetched) = attempt.result else {
         return;
     };
-    let is_whole = match &seen {
+    let is_at_end = match &fetched {
         Records::Listed { .. } => true,
         Records::Appended { is_at_end, .. } => *is_at_end,
     };
-    let listing_end = seen.listing_end();
-    let records = seen.records();
+    let listing_end = fetched.listing_end();
+    let records = fetched.records();
     for record in records.clone() {
         apply_record(ctx, record, "store").await;
     }
     // Applied after the configuration, since peers compare a version that covers both.
     evacuation::apply_records(ctx, listing_end, &records);
     // Recorded after the records are applied; otherwise outdated routes would count as confirmed.
-    if is_whole {
-        ctx.catalog.record_confirmation(reading.requested_at);
+    if is_at_end {
+        ctx.catalog.record_confirmation(attempt.requested_at);
     }
 }
 
@@ -175,10 +175,10 @@
     }
     *last = Some(Instant::now());
     let from = Some(ctx.catalog.versions().config).filter(|end| *end > 0);
-    let reading = ctx.follower().read_once(Topic::Config, from).await;
+    let attempt = ctx.follower().read_once(Topic::Config, from).await;
     ctx.metrics
         .count(Counted::Changes, "configuration looked for");
-    apply_reading(ctx, reading).await;
+    apply_read(ctx, attempt).await;
 }
 
 impl Catalog {
--- a/crates/gateway/src/catalog/follow.rs
+++ b/crates/gateway/src/catalog/follow.rs
@@ -37,13 +37,13 @@
 
 /// Returns how a topic is read. A waiting read costs no call, so it waits as long as the settle
 /// time allows: 3 s with a settle time of 5 s, which takes a third of the calls of a wait of 1 s.
-fn pace(settings: &Settings, gap: Duration) -> PollConfig {
+fn poll_config(settings: &Settings, min_interval: Duration) -> PollConfig {
     let settle = ms(settings.targets.settle_ms);
     PollConfig {
         wait: settle
             .saturating_sub(SETTLE_MARGIN)
             .clamp(WAIT_MIN, WAIT_MAX),
-        min_interval: gap,
+        min_interval,
         backoff_max: RETRY_PAUSE_MAX,
     }
 }
@@ -59,7 +59,7 @@
 }
 
 async fn follow_config(ctx: Arc<Context>) {
-    let pace = pace(&ctx.settings, CONFIG_READ_INTERVAL);
+    let poll_config = poll_config(&ctx.settings, CONFIG_READ_INTERVAL);
     peers::wait_for_role(&ctx).await;
     // Records received from a peer need not be listed again.
     let catalog = Arc::clone(&ctx.catalog);
@@ -69,23 +69,23 @@
         reads_first: false,
     };
     let follower = ctx.follower();
-    // Decoding a large configuration takes time, during which later readings are queued.
-    let (readings, mut read) = mpsc::unbounded_channel();
-    let sink = move |reading| {
-        // The receiver lives until the follower has ended.
-        let _ = readings.send(reading);
+    // Decoding a large configuration takes time, during which later results are queued.
+    let (attempts_tx, mut attempts) = mpsc::unbounded_channel();
+    let sink = move |attempt| {
+        // The receiver exists until the follower has ended.
+        let _ = attempts_tx.send(attempt);
     };
-    let following = follower.follow(Topic::Config, pace, source, sink);
+    let following = follower.follow(Topic::Config, poll_config, source, sink);
     let applying = async {
-        while let Some(reading) = read.recv().await {
-            config::apply_reading(&ctx, reading).await;
+        while let Some(attempt) = attempts.recv().await {
+            config::apply_read(&ctx, attempt).await;
         }
     };
     tokio::join!(following, applying);
 }
 
 async fn follow_targets(ctx: Arc<Context>) {
-    let pace = pace(&ctx.settings, TARGETS_READ_INTERVAL);
+    let poll_config = poll_config(&ctx.settings, TARGETS_READ_INTERVAL);
     peers::wait_for_role(&ctx).await;
     let catalog = Arc::clone(&ctx.catalog);
     let source = Source {
@@ -94,11 +94,13 @@
         reads_first: false,
     };
     let follower = ctx.follower();
-    let sink = |reading| {
-        let updated = ctx.catalog.apply_targets(reading, Instant::now());
+    let sink = |attempt| {
+        let updated = ctx.catalog.apply_targets(attempt, Instant::now());
         notify(&ctx, updated);
     };
-    follower.follow(Topic::Targets, pace, source, sink).await;
+    follower
+        .follow(Topic::Targets, poll_config, source, sink)
+        .await;
 }
 
 /// Notifies the users of routes and targets of changes.
--- a/crates/gateway/src/catalog/records.rs
+++ b/crates/gateway/src/catalog/records.rs
@@ -33,7 +33,7 @@
 /// State of another host's reading of the log, on this host's clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerReading {
-    /// When its newest complete reading of targets was requested.
+    /// When its newest complete read of targets was requested.
     pub(crate) requested_at: Option<Instant>,
     /// When its configuration was last confirmed to be the newest.
     pub(crate) config_as_of: Option<Instant>,
@@ -44,15 +44,15 @@
     /// Converts a reported state to this host's clock, given the delay of the message.
     pub(crate) fn from_peer(message: &records::Reading, delay: Duration, now: Instant) -> Self {
         let at = |ago: Option<u64>| ago.and_then(|ago| now.checked_sub(ms(ago) + delay));
-        let availability = |message: &records::Contact| {
+        let history = |message: &records::Contact| {
             CallHistory::from_peer(at(message.away_ms_ago), at(message.back_ms_ago))
         };
         Self {
             requested_at: at(message.age_ms),
             config_as_of: at(message.config_age_ms),
             evidence: Evidence {
-                reads: availability(&message.targets),
-                calls: availability(&message.calls),
+                reads: history(&message.targets),
+                calls: history(&message.calls),
             },
         }
     }
@@ -138,15 +138,15 @@
         let state = lock(&self.state);
         let evidence = self.evidence(&state);
         let ago = |at: Option<Instant>| at.map(|at| millis(now.saturating_duration_since(at)));
-        let availability = |of: &CallHistory| records::Contact {
+        let history = |of: &CallHistory| records::Contact {
             away_ms_ago: ago(of.outage_at()),
             back_ms_ago: ago(of.recovered_at()),
         };
         records::Reading {
             age_ms: ago(state.targets.complete_as_of()),
             config_age_ms: ago(state.config_as_of),
-            targets: availability(&evidence.reads),
-            calls: availability(&evidence.calls),
+            targets: history(&evidence.reads),
+            calls: history(&evidence.calls),
         }
     }
 
--- a/crates/gateway/src/cleanup.rs
+++ b/crates/gateway/src/cleanup.rs
@@ -39,7 +39,7 @@
 /// Maximum number of keys deleted by one call.
 const KEYS_MAX: usize = 200;
 
-/// Forgets expired jobs in memory, and deletes expired records from the store while this host
+/// Removes expired jobs from memory, and deletes expired records from the store while this host
 /// is the selected one.
 pub(crate) async fn run(ctx: Arc<Context>) {
     let retention_ms = ctx.settings.batch.readable_ms;
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -86,7 +86,7 @@
     pub(crate) startup: Arc<Startup>,
     pub(crate) suspects: Suspects,
     pub(crate) limits: Limits,
-    pub(crate) waiting: Arc<RequestQueue>,
+    pub(crate) request_queue: Arc<RequestQueue>,
 }
 
 impl std::fmt::Debug for Context {
@@ -111,7 +111,7 @@
         let routes = watch::Sender::new(None);
         let wait = ms(settings.online.start_wait_ms);
         let startup = Arc::new(Startup::new(wait, logger.clone()));
-        let uses = catalog::Dependencies {
+        let catalog_deps = catalog::Dependencies {
             startup: Arc::clone(&startup),
             store: store.clone(),
             decode: ports.decode,
@@ -127,7 +127,7 @@
             host: settings.host.name.clone(),
             call_bytes_max: usize::try_from(settings.store.call_bytes_max).unwrap_or(usize::MAX),
         });
-        let catalog = Arc::new(Catalog::new(&settings, uses));
+        let catalog = Arc::new(Catalog::new(&settings, catalog_deps));
         let distributor = Arc::new(Distributor::new(spread::Dependencies {
             host: settings.host.name.clone(),
             incarnation,
@@ -138,7 +138,7 @@
             drain_time: ms(settings.targets.drain_ms),
         }));
         let peers = Peers::new(&settings.peers);
-        let waiting = Arc::new(RequestQueue::new(waiting::Dependencies {
+        let request_queue = Arc::new(RequestQueue::new(waiting::Dependencies {
             balancer: Arc::clone(&balancer),
             metrics: Arc::clone(&metrics),
             logger: logger.clone(),
@@ -163,7 +163,7 @@
             journal: Journal::default(),
             blobs: Blobs::new(store.clone(), &settings.store),
             peers,
-            waiting,
+            request_queue,
             items: Items::default(),
             progress,
             startup,
@@ -235,17 +235,17 @@
 
     /// Returns the number of other hosts that are alive.
     pub fn peers_alive(&self) -> usize {
-        self.peers.alive()
+        self.peers.alive_count()
     }
 
     /// Returns the number of other hosts in the host list.
     pub fn peers_listed(&self) -> usize {
-        self.peers.listed()
+        self.peers.listed_count()
     }
 
     /// Returns the number of other hosts that have reported that they can reach the store.
     pub fn peers_with_store(&self) -> usize {
-        self.peers.with_store()
+        self.peers.with_store_count()
     }
 
     /// Returns whether the store is considered available.
@@ -276,7 +276,7 @@
     /// Waits until the host has stopped.
     pub(crate) async fn stopped(&self) {
         let mut phase = self.phase.subscribe();
-        // The sender lives as long as the context.
+        // The sender exists as long as the context.
         let _ = phase.wait_for(|p| *p == Phase::Stopped).await;
     }
 }
--- a/crates/gateway/src/cpu_time.rs
+++ b/crates/gateway/src/cpu_time.rs
@@ -80,8 +80,8 @@
     while ticks.recv().await.is_some() && *phase.borrow() != Phase::Stopped {
         let parts = ACTIVITIES.map(|activity| {
             let micros = metrics.counted(Counted::WorkMicros, activity.name());
-            let times = metrics.counted(Counted::Work, activity.name());
-            format!("{} {times} times {micros} us", activity.name())
+            let count = metrics.counted(Counted::Work, activity.name());
+            format!("{} {count} times {micros} us", activity.name())
         });
         let datagrams = |direction| metrics.counted(Counted::Datagrams, direction);
         slog::info!(logger, "processor time by activity"; "parts" => parts.join(", "),
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -10,15 +10,15 @@
 
 /// Returns the fingerprint of a request to a host. It covers the workspace and not the key:
 /// otherwise a caller with two keys could crash twice as many targets.
-pub(crate) fn of(decode: &Decode, host: &str, forward: &ForwardedRequest) -> Fingerprint {
+pub(crate) fn of(decode: &Decode, host: &str, request: &ForwardedRequest) -> Fingerprint {
     fingerprint::of(&Content {
         host,
-        method: forward.method.as_str(),
-        path: &forward.path,
-        caller: match &forward.workspace {
+        method: request.method.as_str(),
+        path: &request.path,
+        caller: match &request.workspace {
             Some(workspace) => workspace.as_bytes(),
-            None => (decode.caller)(&forward.headers),
+            None => (decode.caller)(&request.headers),
         },
-        body: &forward.body,
+        body: &request.body,
     })
 }
--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -150,10 +150,10 @@
     let mut ticks = ctx.timer.subscribe(TICK);
     let mut gauge_ticks = ctx.timer.subscribe(GAUGE_INTERVAL);
     // The records may have been loaded before the subscription.
-    sync(&ctx);
+    apply_records(&ctx);
     while ctx.phase() < Phase::Leaving {
         tokio::select! {
-            _ = changed.changed() => sync(&ctx),
+            _ = changed.changed() => apply_records(&ctx),
             () = ctx.items.wake.notified() => {}
             tick = ticks.recv() => {
                 if tick.is_none() {
@@ -199,7 +199,7 @@
 }
 
 /// Applies the job records to the backlog and cancels items that are no longer this host's.
-fn sync(ctx: &Arc<Context>) {
+fn apply_records(ctx: &Arc<Context>) {
     let missing = {
         let jobs = ctx.journal.jobs();
         lock(&ctx.items.backlog).update(&jobs, ctx.host())
--- a/crates/gateway/src/items/load.rs
+++ b/crates/gateway/src/items/load.rs
@@ -11,7 +11,7 @@
 use notchwharf_ledger::jobs::Offset;
 use notchwharf_ledger::jobs::workspace_of;
 
-use super::sync;
+use super::apply_records;
 use crate::backlog::Item;
 use crate::context::Context;
 use crate::jobs::Payload;
@@ -40,7 +40,7 @@
                 "error" => err.to_string());
             tokio::time::sleep(RETRY_DELAY).await;
             lock(&ctx.items.backlog).remove_unloaded(job);
-            sync(&ctx);
+            apply_records(&ctx);
         }
     }
     ctx.items.wake();
--- a/crates/gateway/src/items/run.rs
+++ b/crates/gateway/src/items/run.rs
@@ -132,7 +132,7 @@
 }
 
 /// Checks whether a target crashed while it ran an item.
-async fn check_crash(ctx: &Arc<Context>, item: &Item, target: TargetId, ran: Duration) {
+async fn check_crash(ctx: &Arc<Context>, item: &Item, target: TargetId, run_time: Duration) {
     let Some(addr) = lock(&ctx.balancer).spec(&target).map(|spec| spec.addr) else {
         return;
     };
@@ -141,7 +141,7 @@
         id: item.request.id.clone(),
         target,
         addr,
-        run_time: ran,
+        run_time,
         sent_at: None,
     };
     quarantine::check_crash(ctx, run).await;
--- a/crates/gateway/src/items/takeover.rs
+++ b/crates/gateway/src/items/takeover.rs
@@ -40,7 +40,7 @@
         {
             continue;
         }
-        for (job, epoch, owner) in orphans(&ctx) {
+        for (job, epoch, owner) in jobs_to_take_over(&ctx) {
             slog::info!(ctx.logger, "taking over job"; "job" => job.as_str(),
                 "owner" => owner, "epoch" => epoch);
             let record = Record::Taken {
@@ -57,14 +57,14 @@
 }
 
 /// Returns the open jobs that this host is to take over, with their epochs and owners.
-fn orphans(ctx: &Context) -> Vec<(JobId, Offset, String)> {
+fn jobs_to_take_over(ctx: &Context) -> Vec<(JobId, Offset, String)> {
     let jobs = ctx.journal.jobs();
-    let orphans = jobs.open().filter(|job| {
+    let orphaned = jobs.open().filter(|job| {
         job.owner != ctx.host()
             && peers::is_responsible_for(ctx, &job.owner)
             && !ctx.peers.retains_jobs(&job.owner)
             && ctx.peers.is_successor(ctx.host(), &job.accepted.job)
     });
-    let orphans = orphans.map(|job| (job.accepted.job.clone(), job.epoch, job.owner.clone()));
-    orphans.collect()
+    let orphaned = orphaned.map(|job| (job.accepted.job.clone(), job.epoch, job.owner.clone()));
+    orphaned.collect()
 }
--- a/crates/gateway/src/jobs.rs
+++ b/crates/gateway/src/jobs.rs
@@ -131,7 +131,7 @@
 type JobResult<T> = Result<T, JobError>;
 
 fn not_now(ctx: &Context, reason: &'static str) -> JobError {
-    let retry_after = if ctx.peers.with_store() > 0 {
+    let retry_after = if ctx.peers.with_store_count() > 0 {
         OTHER_HOST_RETRY
     } else {
         STORE_RETRY
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -95,12 +95,12 @@
 impl Watch {
     /// Waits until more of the log has been read.
     pub(crate) async fn changed(&mut self) {
-        // The sender lives as long as the journal.
+        // The sender exists as long as the journal.
         let _ = self.changed.changed().await;
     }
 }
 
-/// Receives the result of a read to the end of the log.
+/// A request to read the log to its end: the channel to which the result is sent.
 type SyncRequest = oneshot::Sender<Result<(), StoreError>>;
 
 impl Default for Journal {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Jobs, while they are looked at.
+/// The jobs. Records are not applied while this exists, since it holds the lock.
 pub struct View<'a>(MutexGuard<'a, State>);
 
 impl std::fmt::Debug for View<'_> {
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -62,7 +62,7 @@
         quarantine::start(&ctx);
         tokio::spawn(limits::run(Arc::clone(&ctx)));
         tokio::spawn(waiting::run(
-            Arc::clone(&ctx.waiting),
+            Arc::clone(&ctx.request_queue),
             ctx.phase.subscribe(),
         ));
         items::start(&ctx);
@@ -87,7 +87,7 @@
     /// Shuts down gracefully: reports not ready, finishes requests in progress and stops.
     ///
     /// Returns whether everything was finished within the configured time.
-    pub async fn leave(self) -> bool {
+    pub async fn shut_down(self) -> bool {
         let ctx = &self.ctx;
         ctx.advance_phase(Phase::Leaving);
         ctx.peers.notify();
@@ -103,9 +103,11 @@
 
     async fn drain(&self) {
         let ctx = &self.ctx;
-        let mut ticks = ctx.timer.subscribe(DRAIN_CHECK_INTERVAL); // Hosts that start meanwhile query the listed hosts for the leases on limits that they
+        let mut ticks = ctx.timer.subscribe(DRAIN_CHECK_INTERVAL);
+        // Hosts that start meanwhile query the listed hosts for the leases on limits that they
         // hold.
-        limits::release_leases(ctx); // If the entry cannot be deleted, other hosts detect the shutdown by the missing
+        limits::release_leases(ctx);
+        // If the entry cannot be deleted, other hosts detect the shutdown by the missing
         // heartbeats.
         let _ = tokio::time::timeout(DEREGISTER_TIMEOUT, peers::deregister(ctx)).await;
         tokio::time::sleep(ms(ctx.settings.shutdown.notice_ms)).await;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,8 +1,8 @@
 //! Enforces the rate limits of workspaces: queries the hosts that hold them, see
 //! [`notchwharf_quota`].
 //!
-//! A query is one datagram each way. Datagrams are lost and hosts stall, so a query without an
-//! answer is sent to the other holder, alternating until its timeout. Then the request is
+//! A query is one datagram each way. Datagrams are lost and hosts stall, so a query without a
+//! response is sent to the other holder, alternating until its timeout. Then the request is
 //! refused as not run: admitting it unchecked would exceed the limit during network
 //! partitions.
 
@@ -54,7 +54,7 @@
 /// Time after which a query is sent to the other holder: ten round trips to another data
 /// centre, a tenth of usual objectives.
 const QUERY_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which a query fails: each holder was asked three times by then.
+/// Time after which a query fails: each holder was queried three times by then.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 /// Divisor of a route's objective that gives the longest wait for the limit: the rest of the
 /// objective is for the first event.
@@ -141,8 +141,8 @@
         return Ok(None);
     }
     let started = Instant::now();
-    let left = deadline.saturating_duration_since(started);
-    let max_wait = objective.min(left) / MAX_WAIT_DIVISOR;
+    let remaining = deadline.saturating_duration_since(started);
+    let max_wait = objective.min(remaining) / MAX_WAIT_DIVISOR;
     let (number, decision) = query_holders(ctx, workspace, max_wait, started).await;
     match decision {
         Decision::Admitted { delay } => {
@@ -214,13 +214,13 @@
             message,
         } => (number, to, message),
     };
-    let (decision_tx, mut decided) = oneshot::channel();
+    let (decision_tx, mut decision_rx) = oneshot::channel();
     lock(&ctx.limits.pending).insert(number, decision_tx);
     let _guard = CancelOnDrop { ctx, number };
     send(ctx, to, message);
     let deadline = Instant::now() + QUERY_TIMEOUT;
     loop {
-        if let Ok(decision) = tokio::time::timeout(QUERY_RETRY_INTERVAL, &mut decided).await {
+        if let Ok(decision) = tokio::time::timeout(QUERY_RETRY_INTERVAL, &mut decision_rx).await {
             return (number, decision.unwrap_or(Decision::Unknown));
         }
         let now = Instant::now();
@@ -359,7 +359,7 @@
     };
     let addrs = peers.iter().map(|peer| (peer.key, peer.addr));
     *lock(&ctx.limits.addrs) = addrs.collect();
-    let candidates = keys(|peer| peer.could_hold);
+    let candidates = keys(|peer| peer.is_holder_candidate);
     let fleet = Fleet {
         holder_candidates: &candidates,
         members: &keys(|_| true),
--- a/crates/gateway/src/limits/allowance.rs
+++ b/crates/gateway/src/limits/allowance.rs
@@ -3,7 +3,7 @@
 //! A record for each slot in the store holds when its allowance was last requested. Two hosts
 //! may request it concurrently after reading the same record. The order in the store decides:
 //! after its append, a host reads the records before it that it hadn't read. An append without
-//! an answer grants the allowance to no host; if it takes effect later, the next request is
+//! a response grants the allowance to no host; if it takes effect later, the next request is
 //! only delayed longer than necessary.
 
 use std::time::Duration;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -29,9 +29,9 @@
     Datagrams,
     /// Changes of the host's view of the fleet, by kind.
     Changes,
-    /// Units of work by part of the host.
+    /// Units of work by activity of the host.
     Work,
-    /// Time of units of work in microseconds, by part of the host.
+    /// Time of units of work in microseconds, by activity of the host.
     WorkMicros,
 }
 
--- a/crates/gateway/src/online.rs
+++ b/crates/gateway/src/online.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The request as it is forwarded.
-    pub forward: ForwardedRequest,
+    pub forwarded: ForwardedRequest,
     /// The host that it names.
     pub host: String,
     /// How long the caller waits.
@@ -63,7 +63,7 @@
 }
 
 /// A target's response as it is forwarded to the caller.
-pub struct Answer {
+pub struct ForwardedResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -72,7 +72,7 @@
     pub body: Body,
 }
 
-impl std::fmt::Debug for Answer {
+impl std::fmt::Debug for ForwardedResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Answer")
             .field("status", &self.status)
@@ -89,13 +89,13 @@
     ctx: &Arc<Context>,
     mut req: Request,
     arrived: Instant,
-) -> Result<Answer, Failure> {
+) -> Result<ForwardedResponse, Failure> {
     let Identified { table, caller } = identify_caller(ctx, &req, arrived).await?;
     let route = find_route(ctx, &table, &req)?;
-    access::set_workspace(ctx, &mut req.forward.headers, &caller);
-    req.forward.workspace = caller.name().map(str::to_owned);
+    access::set_workspace(ctx, &mut req.forwarded.headers, &caller);
+    req.forwarded.workspace = caller.name().map(str::to_owned);
     let wait = req.deadline.map_or(route.timeout, |d| d.min(route.timeout));
-    let mut trace = Trace::new(ctx, &req.forward, &route, table.version(), arrived);
+    let mut trace = Trace::new(ctx, &req.forwarded, &route, table.version(), arrived);
     let deadline = arrived + wait;
     let permit = admit(ctx, &caller, &route, deadline).await;
     let permit = permit.inspect_err(|failure| trace.fail(failure))?;
@@ -112,10 +112,10 @@
     arrived: Instant,
 ) -> Result<Identified, Failure> {
     let head = RequestHead {
-        id: &req.forward.id,
+        id: &req.forwarded.id,
         host: &req.host,
         path: path_of(req),
-        headers: &req.forward.headers,
+        headers: &req.forwarded.headers,
     };
     let deadline = arrived + req.deadline.unwrap_or(DEFAULT_DEADLINE);
     let identified = access::identify_request(ctx, head, deadline).await;
@@ -131,7 +131,7 @@
         trace::log_no_route(ctx, req, table.version());
         Failure::NoRoute
     })?;
-    if route.kind == Kind::Batch && req.forward.method == Method::POST {
+    if route.kind == Kind::Batch && req.forwarded.method == Method::POST {
         // It was read as an online request by an older route table. A target would run the
         // whole job as a single request that nobody sent.
         return Err(Failure::NotRun {
@@ -179,5 +179,5 @@
 }
 
 fn path_of(req: &Request) -> &str {
-    req.forward.path.split('?').next().unwrap_or_default()
+    req.forwarded.path.split('?').next().unwrap_or_default()
 }
--- a/crates/gateway/src/online/body.rs
+++ b/crates/gateway/src/online/body.rs
@@ -17,7 +17,7 @@
 use hyper::header::CONTENT_LENGTH;
 use notchwharf_config::routes::Kind;
 
-use super::Answer;
+use super::ForwardedResponse;
 use super::dispatch::Dispatch;
 use super::dispatch::StartedResponse;
 use crate::error::Failure;
@@ -56,7 +56,7 @@
     /// The connection was lost.
     ConnectionLost(&'static str),
     /// The target stalled or sent an event out of order.
-    Invalid(&'static str),
+    Unusable(&'static str),
     /// The request's deadline has passed.
     TimedOut,
 }
@@ -82,7 +82,7 @@
 
     /// Returns the response. A resumable stream is returned only once its first event has
     /// arrived: until then the caller has seen no headers, and another target's may be used.
-    pub(super) async fn start(mut self) -> Result<Answer, Failure> {
+    pub(super) async fn start(mut self) -> Result<ForwardedResponse, Failure> {
         if self.events.is_some() {
             match self.next().await {
                 Some(Ok(bytes)) => self.first_event = Some(bytes),
@@ -96,7 +96,7 @@
             headers.remove(CONTENT_LENGTH);
         }
         self.dispatch.trace.record_status(status);
-        Ok(Answer {
+        Ok(ForwardedResponse {
             status,
             headers,
             body: self.into_body(),
@@ -149,23 +149,24 @@
     async fn read(&mut self) -> Result<Option<Bytes>, Interruption> {
         if std::mem::take(&mut self.is_out_of_order) {
             // The events before it have been forwarded.
-            return Err(Interruption::Invalid("event out of order"));
+            return Err(Interruption::Unusable("event out of order"));
         }
         let Some(response) = &mut self.response else {
             return Ok(None);
         };
-        let until = self.dispatch.deadline;
-        let stall = ms(self.dispatch.ctx.settings.online.stall_ms);
-        let wait = match self.events {
-            Some(_) => until.min(Instant::now() + stall),
-            None => until,
+        let deadline = self.dispatch.deadline;
+        let stall_timeout = ms(self.dispatch.ctx.settings.online.stall_ms);
+        let read_deadline = match self.events {
+            Some(_) => deadline.min(Instant::now() + stall_timeout),
+            None => deadline,
         };
-        let frame = tokio::time::timeout_at(wait.into(), response.reply.body.frame()).await;
+        let frame =
+            tokio::time::timeout_at(read_deadline.into(), response.reply.body.frame()).await;
         let Ok(frame) = frame else {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(Interruption::TimedOut);
             }
-            return Err(Interruption::Invalid("silent"));
+            return Err(Interruption::Unusable("silent"));
         };
         let frame = match frame {
             Some(Ok(frame)) => frame,
@@ -251,7 +252,7 @@
         let (reason, may_have_crashed) = match interruption {
             Interruption::TimedOut => return Err(Failure::TimedOut),
             Interruption::ConnectionLost(reason) => (reason, true),
-            Interruption::Invalid(reason) => (reason, false),
+            Interruption::Unusable(reason) => (reason, false),
         };
         let Some(response) = self.response.take() else {
             return Err(Failure::Unknown { reason });
--- a/crates/gateway/src/online/dispatch.rs
+++ b/crates/gateway/src/online/dispatch.rs
@@ -15,7 +15,7 @@
 use notchwharf_routing::fingerprint::Fingerprint;
 use notchwharf_startup::Dependency;
 
-use super::Answer;
+use super::ForwardedResponse;
 use super::Request;
 use super::body::ResponseBody;
 use super::trace::Trace;
@@ -41,7 +41,7 @@
 /// A request that is being dispatched.
 pub(super) struct Dispatch {
     pub(super) ctx: Arc<Context>,
-    pub(super) forward: Arc<ForwardedRequest>,
+    pub(super) request: Arc<ForwardedRequest>,
     /// The host that the request names.
     pub(super) host: String,
     pub(super) route: Arc<Route>,
@@ -81,12 +81,12 @@
         permit: Option<Permit>,
         deadline: Instant,
     ) -> Self {
-        let service = route.select_service(hash(&req.forward.id));
+        let service = route.select_service(hash(&req.forwarded.id));
         Self {
             trace,
             permit,
             ctx: Arc::clone(ctx),
-            forward: Arc::new(req.forward),
+            request: Arc::new(req.forwarded),
             host: req.host,
             affinity: req.affinity,
             deadline,
@@ -106,7 +106,7 @@
     }
 
     /// Sends the request until a target responds, and forwards the response.
-    pub(super) async fn run(mut self) -> Result<Answer, Failure> {
+    pub(super) async fn run(mut self) -> Result<ForwardedResponse, Failure> {
         match self.send(None).await {
             Ok(response) => ResponseBody::new(self, response).start().await,
             Err(failure) => {
@@ -177,10 +177,10 @@
 
     /// Returns the request's fingerprint.
     pub(super) fn fingerprint(&mut self) -> Fingerprint {
-        let (ctx, host, forward) = (&self.ctx, &self.host, &self.forward);
+        let (ctx, host, request) = (&self.ctx, &self.host, &self.request);
         *self
             .fingerprint
-            .get_or_insert_with(|| fingerprint::of(&ctx.decode, host, forward))
+            .get_or_insert_with(|| fingerprint::of(&ctx.decode, host, request))
     }
 
     /// Returns the number of crashes that are attributed to the request.
@@ -230,7 +230,7 @@
     ) {
         let run = quarantine::BrokenRun {
             fingerprint: self.fingerprint(),
-            id: self.forward.id.clone(),
+            id: self.request.id.clone(),
             target: target.clone(),
             addr,
             run_time,
@@ -269,7 +269,7 @@
     ) -> Result<StartedResponse, NoReply> {
         let sent_at = Instant::now();
         let call = Call {
-            request: Arc::clone(&self.forward),
+            request: Arc::clone(&self.request),
             target: choice.target.clone(),
             addr: choice.addr,
             remaining: self.deadline.saturating_duration_since(sent_at),
@@ -361,7 +361,7 @@
     }
 }
 
-/// Reason of an offer that was cut short by the request's deadline.
+/// Reason of an offer that the request's deadline ended.
 const TIMED_OUT: &str = "timed out";
 /// Reason of an offer to which the target responded with a server error.
 const TARGET_FAILED: &str = "target failed";
--- a/crates/gateway/src/online/slot.rs
+++ b/crates/gateway/src/online/slot.rs
@@ -32,10 +32,10 @@
         }
         if let (Some(scheduling), Some(left)) = (self.scheduling, self.objective()) {
             let slot_request = self.slot_request(scheduling, now + left);
-            match self.ctx.waiting.acquire_slot(slot_request).await {
+            match self.ctx.request_queue.acquire_slot(slot_request).await {
                 Ok(slot) => {
                     let choice = slot.choice.clone();
-                    let workspace = self.forward.workspace.as_deref();
+                    let workspace = self.request.workspace.as_deref();
                     let running = Running::in_slot(&self.ctx, slot, workspace, scheduling.weight);
                     return Ok((choice, running));
                 }
@@ -57,11 +57,11 @@
     /// Returns the request as it is passed to the wait queue.
     fn slot_request(&self, scheduling: SchedulingParams, first_event_due: Instant) -> SlotRequest {
         SlotRequest {
-            id: self.forward.id.clone(),
+            id: self.request.id.clone(),
             service: self.service.clone(),
             affinity: self.affinity,
             tried: self.tried.clone(),
-            workspace: self.forward.workspace.clone(),
+            workspace: self.request.workspace.clone(),
             scheduling,
             waiting_since: self.trace.arrived(),
             first_event_due,
--- a/crates/gateway/src/online/trace.rs
+++ b/crates/gateway/src/online/trace.rs
@@ -53,22 +53,22 @@
 /// Logs a request that matches no route.
 pub(super) fn log_no_route(ctx: &Context, req: &Request, routes_version: u64) {
     ctx.metrics.count(Counted::Requests, "no route");
-    slog::info!(ctx.logger, "request"; "id" => req.forward.id.as_str(), "outcome" => "no route",
-        "host" => req.host.as_str(), "path" => req.forward.path.as_str(), "routes_version" => routes_version);
+    slog::info!(ctx.logger, "request"; "id" => req.forwarded.id.as_str(), "outcome" => "no route",
+        "host" => req.host.as_str(), "path" => req.forwarded.path.as_str(), "routes_version" => routes_version);
 }
 
 impl Trace {
     pub(super) fn new(
         ctx: &Arc<Context>,
-        forward: &ForwardedRequest,
+        request: &ForwardedRequest,
         route: &Arc<Route>,
         routes_version: u64,
         arrived: Instant,
     ) -> Self {
         let record = Record {
             ctx: Arc::clone(ctx),
-            id: forward.id.clone(),
-            workspace: forward.workspace.clone(),
+            id: request.id.clone(),
+            workspace: request.workspace.clone(),
             route: Arc::clone(route),
             routes_version,
             arrived,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -104,7 +104,7 @@
     pub(crate) key: HostKey,
     pub(crate) addr: SocketAddr,
     /// Whether it may hold leases on limits.
-    pub(crate) could_hold: bool,
+    pub(crate) is_holder_candidate: bool,
     /// Whether it has been silent for so long that its leases have expired.
     pub(crate) is_silent: bool,
 }
@@ -168,13 +168,13 @@
     }
 
     /// Returns the number of other hosts of this host's cell that are alive.
-    pub(crate) fn alive(&self) -> usize {
+    pub(crate) fn alive_count(&self) -> usize {
         let known = lock(&self.known);
         known.values().filter(|peer| peer.is_alive).count()
     }
 
     /// Returns the number of other hosts whose data centre is known.
-    pub(crate) fn listed(&self) -> usize {
+    pub(crate) fn listed_count(&self) -> usize {
         let known = lock(&self.known);
         let listed = known.values().filter(|peer| peer.data_centre.is_some());
         listed.count()
@@ -213,7 +213,7 @@
         let all = known.iter().map(|(host, peer)| QuotaPeer {
             key: host_key(host),
             addr: peer.addr,
-            could_hold: peer.is_alive && !peer.status.leaving,
+            is_holder_candidate: peer.is_alive && !peer.status.leaving,
             is_silent: peer.is_marked_silent && !peer.is_alive,
         });
         all.collect()
@@ -293,19 +293,19 @@
     }
 
     /// Returns the number of peers that can reach the store.
-    pub(crate) fn with_store(&self) -> usize {
+    pub(crate) fn with_store_count(&self) -> usize {
         self.item_hosts().len() + self.remote_hosts_with_store().len()
     }
 
     /// Returns the addresses of random peers that can reach the store, in the order in which to
-    /// call them: up to `most` of this host's cell, then up to `most` of others. The store may have
+    /// call them: up to `max` of this host's cell, then up to `max` of others. The store may have
     /// refused the whole cell a moment ago without its hosts having reported it.
-    pub(crate) fn sample_with_store(&self, most: usize) -> Vec<SocketAddr> {
+    pub(crate) fn sample_with_store(&self, max: usize) -> Vec<SocketAddr> {
         let (item_hosts, remote_hosts) = (self.item_hosts(), self.remote_hosts_with_store());
         let known = lock(&self.known);
         let mut rng = rand::rng();
-        let local = item_hosts.sample(&mut rng, most);
-        let remote = remote_hosts.sample(&mut rng, most);
+        let local = item_hosts.sample(&mut rng, max);
+        let remote = remote_hosts.sample(&mut rng, max);
         local
             .chain(remote)
             .filter_map(|host| known.get(host).map(|peer| peer.addr))
@@ -356,12 +356,14 @@
         is_reader: ctx.distributor.is_reader(),
         reads_first: true,
     };
-    tokio::spawn(
-        ctx.follower()
-            .follow(Topic::Hosts, host_list::PACE, source, move |reading| {
-                host_list::apply_reading(&shared, reading);
-            }),
-    );
+    tokio::spawn(ctx.follower().follow(
+        Topic::Hosts,
+        host_list::POLL_CONFIG,
+        source,
+        move |attempt| {
+            host_list::apply_read(&shared, attempt);
+        },
+    ));
     let ticks = ctx.timer.subscribe(spread::TICK);
     let links = links::new(ctx);
     spread::start(&ctx.distributor, links, ticks, ctx.phase.subscribe());
@@ -412,10 +414,10 @@
             *lock(&ctx.peers.peer_lost_at) = Some(Instant::now());
             lock(&ctx.balancer).remove_peer(&host);
             ctx.items.remove_peer(&host);
-            ctx.waiting.remove_peer(&host);
+            ctx.request_queue.remove_peer(&host);
             ctx.items.wake();
         }
         host_list::mark_silent(&ctx);
-        ctx.waiting.set_host_count(local_host_count(&ctx));
+        ctx.request_queue.set_host_count(local_host_count(&ctx));
     }
 }
--- a/crates/gateway/src/peers/bootstrap.rs
+++ b/crates/gateway/src/peers/bootstrap.rs
@@ -66,7 +66,7 @@
 pub(super) struct Bootstrap {
     /// Whether the host list has been read, or reading it has failed.
     is_list_attempted: watch::Sender<bool>,
-    /// When the newest reading of the host list was requested.
+    /// When the newest read of the host list was requested.
     list_read_at: watch::Sender<Option<Instant>>,
     /// Whether it is decided if this host reads routes and targets or follows another host.
     is_role_decided: watch::Sender<bool>,
@@ -94,7 +94,7 @@
         self.is_list_attempted.send_replace(true);
     }
 
-    /// Records a reading of the host list.
+    /// Records a read of the host list.
     pub(super) fn record_list_read(&self, requested_at: Instant) {
         self.list_read_at
             .send_modify(|read_at| *read_at = (*read_at).max(Some(requested_at)));
@@ -120,7 +120,7 @@
         self.list_read_at().is_some()
     }
 
-    /// Returns when the newest reading of the host list was requested.
+    /// Returns when the newest read of the host list was requested.
     pub(super) fn list_read_at(&self) -> Option<Instant> {
         *self.list_read_at.borrow()
     }
@@ -152,7 +152,7 @@
 /// Waits until it is decided whether this host reads routes and targets or follows another host.
 pub(crate) async fn wait_for_role(ctx: &Context) {
     let mut is_decided = ctx.peers.bootstrap.is_role_decided.subscribe();
-    // The sender lives as long as the context.
+    // The sender exists as long as the context.
     let _ = is_decided.wait_for(|is_decided| *is_decided).await;
 }
 
--- a/crates/gateway/src/peers/contact.rs
+++ b/crates/gateway/src/peers/contact.rs
@@ -39,11 +39,12 @@
 /// thousands of hosts contact at once.
 const HOSTS_RETURNED_MAX: usize = 64;
 
-/// A host's name and listing, as sent to seeds and returned by them.
+/// A host's name and address, as sent to seeds and returned by them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Introduction {
     host: HostId,
-    listing: HostInfo,
+    #[serde(rename = "listing")]
+    info: HostInfo,
 }
 
 /// Contacts the seeds until the host list has been read.
@@ -65,7 +66,7 @@
 }
 
 /// Returns whether seeds need not be contacted: the list contained this host at its start,
-/// was read after all hosts that started with it had been entered, or many hosts are known.
+/// was read after all hosts that started with it had written their entries, or many hosts are known.
 fn is_fleet_found(ctx: &Context) -> bool {
     let peers = &ctx.peers;
     let registered_at = *lock(&peers.registered_at);
@@ -79,12 +80,12 @@
 async fn contact_seed(ctx: &Arc<Context>, seed: SocketAddr) {
     let own = Introduction {
         host: ctx.host().to_owned(),
-        listing: host_list::own_info(ctx),
+        info: host_list::own_info(ctx),
     };
     let body = postcard::to_stdvec(&own).expect("Introductions are representable.");
-    let respond = rpc::call(seed, rpc::CONTACTS, body.into(), TIMEOUT).await;
+    let response = rpc::call(seed, rpc::CONTACTS, body.into(), TIMEOUT).await;
     // A failed seed is retried after the others.
-    let Ok(bytes) = respond else {
+    let Ok(bytes) = response else {
         return ctx.metrics.count(Counted::Changes, "seed not reached");
     };
     match postcard::from_bytes::<Vec<Introduction>>(&bytes) {
@@ -112,7 +113,7 @@
     let mut introductions = others(ctx, &requesting.host);
     introductions.push(Introduction {
         host: ctx.host().to_owned(),
-        listing: host_list::own_info(ctx),
+        info: host_list::own_info(ctx),
     });
     add(ctx, &requesting);
     Some(postcard::to_stdvec(&introductions).expect("Introductions are representable."))
@@ -121,12 +122,12 @@
 fn others(ctx: &Context, requesting: &str) -> Vec<Introduction> {
     let known = lock(&ctx.peers.known);
     let others = known.iter().filter_map(|(host, peer)| {
-        let listing = HostInfo {
+        let info = HostInfo {
             addr: peer.addr,
             data_centre: peer.data_centre.clone()?,
         };
         let host = host.clone();
-        (host != requesting).then_some(Introduction { host, listing })
+        (host != requesting).then_some(Introduction { host, info })
     });
     others.sample(&mut rand::rng(), HOSTS_RETURNED_MAX)
 }
@@ -136,7 +137,7 @@
     if introduction.host == ctx.host() || lock(&ctx.peers.known).contains_key(&introduction.host) {
         return false;
     }
-    host_list::add_contact(ctx, &introduction.host, &introduction.listing);
+    host_list::add_contact(ctx, &introduction.host, &introduction.info);
     cell::update_division(ctx);
     ctx.peers.notify();
     true
--- a/crates/gateway/src/peers/host_list.rs
+++ b/crates/gateway/src/peers/host_list.rs
@@ -27,7 +27,7 @@
 
 /// How the list is read. It changes rarely, and a host known to any other soon becomes known to all
 /// by its own datagrams.
-pub(super) const PACE: PollConfig = PollConfig {
+pub(super) const POLL_CONFIG: PollConfig = PollConfig {
     wait: Duration::from_secs(10),
     min_interval: Duration::from_millis(700),
     backoff_max: Duration::from_millis(400),
@@ -60,10 +60,11 @@
     pub(super) data_centre: String,
 }
 
-/// A host's entry in the store. Entries written by older versions contain only the listing.
+/// A host's entry in the store. Entries written by older versions contain only the [`HostInfo`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HostEntry {
-    listing: HostInfo,
+    #[serde(rename = "listing")]
+    info: HostInfo,
     /// Whether other hosts have marked the host as silent.
     is_silent: bool,
 }
@@ -71,9 +72,9 @@
 impl HostEntry {
     fn decode(value: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(value).or_else(|_| {
-            let listing = postcard::from_bytes(value)?;
+            let info = postcard::from_bytes(value)?;
             Ok(Self {
-                listing,
+                info,
                 is_silent: false,
             })
         })
@@ -81,8 +82,8 @@
 }
 
 /// Returns the record of a host's entry.
-fn entry(host: &str, listing: HostInfo, is_silent: bool) -> Entry {
-    let entry = HostEntry { listing, is_silent };
+fn entry(host: &str, info: HostInfo, is_silent: bool) -> Entry {
+    let entry = HostEntry { info, is_silent };
     let value = postcard::to_stdvec(&entry).expect("Host entries are representable.");
     Entry {
         key: host.to_owned(),
@@ -127,7 +128,7 @@
     let value = own.and_then(|own| own.entry.value.as_deref());
     let is_listed = value.is_some_and(|value| {
         let entry = HostEntry::decode(value);
-        entry.is_ok_and(|own| !own.is_silent && own.listing == own_info(ctx))
+        entry.is_ok_and(|own| !own.is_silent && own.info == own_info(ctx))
     });
     let mut registered_at = lock(&ctx.peers.registered_at);
     if is_listed {
@@ -169,12 +170,12 @@
 
 /// Applies changes of the list received from a peer.
 pub(super) fn apply_changes(ctx: &Arc<Context>, received: Hosts) {
-    let known_to = end(ctx);
-    if received.from > known_to || received.to <= known_to {
+    let known_end = end(ctx);
+    if received.from > known_end || received.to <= known_end {
         return;
     }
     let changes = received.changes.into_iter();
-    let changes = changes.filter(|(_, offset, _)| received.is_complete || *offset >= known_to);
+    let changes = changes.filter(|(_, offset, _)| received.is_complete || *offset >= known_end);
     let records = changes.map(|(host, offset, value)| StoredRecord {
         offset,
         entry: Entry {
@@ -185,18 +186,24 @@
     apply(ctx, Instant::now(), false, received.to, records.collect());
 }
 
-/// Applies a reading of the list.
-pub(super) fn apply_reading(ctx: &Arc<Context>, reading: ReadAttempt) {
+/// Applies the result of a read of the list.
+pub(super) fn apply_read(ctx: &Arc<Context>, attempt: ReadAttempt) {
     // The follower retries; `Store` has logged the failure.
-    let Ok(seen) = reading.result else {
+    let Ok(fetched) = attempt.result else {
         ctx.peers.bootstrap.mark_list_attempted();
         return;
     };
-    let listed_to = seen.listing_end();
-    let records = seen.records();
-    let read_to = records.last().map_or(0, |record| record.offset + 1);
-    let to = listed_to.unwrap_or(read_to);
-    apply(ctx, reading.requested_at, listed_to.is_some(), to, records);
+    let listing_end = fetched.listing_end();
+    let records = fetched.records();
+    let read_end = records.last().map_or(0, |record| record.offset + 1);
+    let to = listing_end.unwrap_or(read_end);
+    apply(
+        ctx,
+        attempt.requested_at,
+        listing_end.is_some(),
+        to,
+        records,
+    );
 }
 
 fn apply(
@@ -227,7 +234,7 @@
             continue;
         };
         match HostEntry::decode(&value) {
-            Ok(entry) if update_host(ctx, &host, &entry) => added.push((host, entry.listing.addr)),
+            Ok(entry) if update_host(ctx, &host, &entry) => added.push((host, entry.info.addr)),
             Ok(_) => {}
             Err(err) => slog::error!(ctx.logger, "invalid host entry";
                 "peer" => host, "error" => err.to_string()),
@@ -251,9 +258,9 @@
 }
 
 /// Adds a host learned from a peer rather than from the list.
-pub(super) fn add_contact(ctx: &Context, host: &str, listing: &HostInfo) {
+pub(super) fn add_contact(ctx: &Context, host: &str, info: &HostInfo) {
     let entry = HostEntry {
-        listing: listing.clone(),
+        info: info.clone(),
         is_silent: false,
     };
     update_host(ctx, host, &entry);
@@ -261,8 +268,8 @@
 
 /// Applies a host's entry; returns whether the host was unknown.
 fn update_host(ctx: &Context, host: &str, entry: &HostEntry) -> bool {
-    let listing = &entry.listing;
-    let addr = listing.addr;
+    let info = &entry.info;
+    let addr = info.addr;
     let mut known = lock(&ctx.peers.known);
     let is_new = !known.contains_key(host);
     let peer = known
@@ -270,26 +277,26 @@
         .or_insert_with(|| Peer::new(addr));
     peer.addr = addr;
     peer.is_marked_silent = entry.is_silent;
-    peer.data_centre = Some(listing.data_centre.clone());
+    peer.data_centre = Some(info.data_centre.clone());
     is_new
 }
 
 /// Marks hosts in the list that have been silent for long, if this host is responsible for it. A
-/// starting host queries all listed hosts for their leases on limits and would wait for failed ones
-/// in vain. Marked hosts still count as hosts of the fleet, since a host that is only partitioned
+/// starting host queries all listed hosts for their leases on limits, and a query to a failed host
+/// would only time out. Marked hosts still count as hosts of the fleet, since a host that is only partitioned
 /// keeps its share of each limit.
 pub(super) fn mark_silent(ctx: &Arc<Context>) {
     if !ctx.store.is_up() || ctx.phase() != Phase::Ready {
         return;
     }
-    for (host, listing) in silent_hosts(ctx) {
+    for (host, info) in silent_hosts(ctx) {
         if !ctx.peers.is_successor(ctx.host(), &host) {
             continue;
         }
         set_marked(ctx, &host, true);
         slog::info!(ctx.logger, "silent host marked in the list"; "peer" => host.as_str());
         ctx.metrics.count(Counted::Changes, "silent host marked");
-        tokio::spawn(write_silent_mark(Arc::clone(ctx), host, listing));
+        tokio::spawn(write_silent_mark(Arc::clone(ctx), host, info));
     }
 }
 
@@ -304,17 +311,17 @@
         if !has_failed || (cells.is_divided() && !cell::is_in_own_cell(ctx, cells, host, peer)) {
             return None;
         }
-        let listing = HostInfo {
+        let info = HostInfo {
             addr: peer.addr,
             data_centre: peer.data_centre.clone()?,
         };
-        Some((host.clone(), listing))
+        Some((host.clone(), info))
     });
     silent_hosts.collect()
 }
 
-async fn write_silent_mark(ctx: Arc<Context>, host: HostId, listing: HostInfo) {
-    let entry = entry(&host, listing, true);
+async fn write_silent_mark(ctx: Arc<Context>, host: HostId, info: HostInfo) {
+    let entry = entry(&host, info, true);
     let res = ctx.store.append(Topic::Hosts, 0, vec![entry]).await;
     if res.is_err() {
         // `Store` has logged the failure; a later check retries.
--- a/crates/gateway/src/peers/rpc.rs
+++ b/crates/gateway/src/peers/rpc.rs
@@ -130,7 +130,7 @@
 }
 
 /// Returns records for a peer, unless too many transfers are in progress.
-fn begin_transfer(
+fn transfer_records(
     ctx: &Context,
     in_progress: &Mutex<Option<Gauge>>,
     get: impl FnOnce(&Context) -> Vec<u8>,
@@ -176,7 +176,7 @@
     let body = body.map(http_body_util::Collected::to_bytes);
     let response_body = match (path.as_str(), body) {
         (CHANGES, Some(body)) => changes(ctx, &body, in_progress),
-        (RECORDS, _) if ctx.journal.is_loaded() => begin_transfer(ctx, in_progress, records),
+        (RECORDS, _) if ctx.journal.is_loaded() => transfer_records(ctx, in_progress, records),
         (CONTACTS, Some(body)) => contact::respond(ctx, &body),
         (SUSPECTS, _) => suspects::snapshot(ctx),
         (JOBS, Some(body)) => jobs::handle_forwarded(ctx, &body).await,
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -111,7 +111,7 @@
     let mut recipients = status_recipients(ctx, due);
     recipients.addrs.extend(changed_remote_recipients(ctx, due));
     if !recipients.addrs.is_empty() {
-        let contention = ctx.waiting.summary(Instant::now());
+        let contention = ctx.request_queue.summary(Instant::now());
         let bytes = messages::encode_with_contention(own_status(ctx, number), contention.as_ref());
         for addr in recipients.addrs {
             // If this is lost, the next one replaces it.
@@ -123,10 +123,10 @@
 }
 
 /// Returns the hosts of remote data centres at whose targets this host's load has changed since the
-/// last status sent to them. Where requests wait in a queue, hosts learn of requests from elsewhere
-/// only by this: a relayed status arrives too late.
+/// last status sent to them. Where requests wait in a queue, hosts are notified of requests from other
+/// data centres in time only by this: a relayed status arrives too late.
 fn changed_remote_recipients(ctx: &Context, due: Due) -> Vec<SocketAddr> {
-    if !due.local || !ctx.waiting.has_been_used() {
+    if !due.local || !ctx.request_queue.has_been_used() {
         return Vec::new();
     }
     let now = lock(&ctx.balancer).own_remote_loads(&ctx.settings.host.data_centre);
@@ -177,7 +177,7 @@
         PeerMessage::Preemption(preemption) => preempt_item(ctx, preemption),
         PeerMessage::Cell(status) => cell::apply_status(ctx, addr, status),
         PeerMessage::Suspects(reports) => suspects::apply_reports(ctx, &reports),
-        PeerMessage::SlotTransfer(transfer) => ctx.waiting.accept_transfer(transfer.target),
+        PeerMessage::SlotTransfer(transfer) => ctx.request_queue.accept_transfer(transfer.target),
         PeerMessage::Limits(message) => limits::handle_message(ctx, addr, &message),
         PeerMessage::Announcement(message) => ctx.distributor.receive(addr, message),
     }
@@ -230,7 +230,7 @@
         apply_contention(ctx, &host, &update, contention);
     }
     if has_load_changed {
-        ctx.waiting.wake();
+        ctx.request_queue.wake();
     }
     if update.is_new {
         slog::info!(ctx.logger, "host up"; "peer" => host.as_str(),
@@ -255,11 +255,11 @@
 ) {
     let now = Instant::now();
     if update.is_local {
-        return ctx.waiting.update_peer(host, contention, now);
+        return ctx.request_queue.update_peer(host, contention, now);
     }
     let has_waiting = contention.is_some_and(|reported| !reported.waiting.is_empty());
     if let (true, Some(data_centre)) = (has_waiting, &update.data_centre) {
-        ctx.waiting.record_remote_queue(data_centre, now);
+        ctx.request_queue.record_remote_queue(data_centre, now);
     }
 }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Applies the quarantine at a host: detects crashes of targets, and holds back requests that
 //! may have caused them. The rules are in [`quarantine`].
 //!
-//! An interrupted run alone says little: the connection may have been reset, the response
+//! An interrupted run alone is weak evidence: the connection may have been reset, the response
 //! lost, or the target crashed. So the host probes the target's address at once. If the
 //! connection is refused, the target has crashed, and all requests that ran there become
 //! suspects. Waiting until another request is refused there was rejected: a target that failed
--- a/crates/gateway/src/quarantine/records.rs
+++ b/crates/gateway/src/quarantine/records.rs
@@ -48,7 +48,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct CrashRecord {
-    life: u64,
+    #[serde(rename = "life")]
+    incarnation: u64,
     ran_ms: u64,
     /// By the clock of the host that wrote the record.
     at_unix_ms: u64,
@@ -61,7 +62,7 @@
     };
     let now_unix_ms = unix_ms();
     let crashes = report.crashes.iter().map(|crash| CrashRecord {
-        life: crash.incarnation,
+        incarnation: crash.incarnation,
         ran_ms: millis(crash.run_time),
         at_unix_ms: now_unix_ms.saturating_sub(millis(crash.age)),
     });
@@ -126,7 +127,7 @@
     };
     let now_unix_ms = unix_ms();
     let crashes = record.crashes.iter().map(|crash| CrashReport {
-        incarnation: crash.life,
+        incarnation: crash.incarnation,
         run_time: ms(crash.ran_ms),
         age: ms(now_unix_ms.saturating_sub(crash.at_unix_ms)),
     });
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,7 +1,7 @@
 //! Calls to the store, with metrics and tracking of its availability.
 //!
 //! The availability of the store decides whether jobs are taken over, and whether a missing entry
-//! means that its target is gone.
+//! means that its target has ended.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -89,7 +89,7 @@
         health.unavailable_since.is_none() && is_settled
     }
 
-    /// Returns the evidence for deciding whether a target with a missing entry is gone.
+    /// Returns the evidence for deciding whether a target with a missing entry has ended.
     pub(crate) fn evidence(&self) -> Evidence {
         let health = lock(&self.health);
         Evidence {
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -11,7 +11,7 @@
 use crate::sync::lock;
 use crate::waiting::ReservedSlot;
 
-/// The kind of work.
+/// The class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Class {
     /// An online request.
@@ -58,7 +58,7 @@
         weight: f64,
     ) -> Self {
         if let Some(workspace) = workspace {
-            ctx.waiting.record_start(workspace, weight);
+            ctx.request_queue.record_start(workspace, weight);
         }
         ctx.peers.notify();
         Self {
@@ -86,13 +86,13 @@
             was_scarce
         };
         if let Some(workspace) = &self.workspace {
-            self.ctx.waiting.record_end(workspace);
+            self.ctx.request_queue.record_end(workspace);
         }
-        if let Some(host) = self.ctx.waiting.transfer_freed_slot(&self.target) {
+        if let Some(host) = self.ctx.request_queue.transfer_freed_slot(&self.target) {
             self.ctx.peers.transfer_slot(&host, key_of(&self.target));
         }
         self.ctx.peers.notify_load(was_scarce);
         self.ctx.items.wake();
-        self.ctx.waiting.wake();
+        self.ctx.request_queue.wake();
     }
 }
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Runs the wait queue of this host: gives requests target slots as these are freed. The order
+//! Runs the wait queue of this host: assigns target slots to requests as these are freed. The order
 //! of requests is decided in [`notchwharf_waiting`].
 //!
 //! A request is enqueued, and receives a reserved slot or a refusal through a channel. One task
@@ -107,14 +107,14 @@
 
 /// Removes a request from the queue when its caller disconnects.
 struct RemoveOnDrop<'a> {
-    waiting: &'a RequestQueue,
+    queue: &'a RequestQueue,
     ticket: Ticket,
 }
 
 impl Drop for RemoveOnDrop<'_> {
     fn drop(&mut self) {
-        let mut state = lock(&self.waiting.state);
-        self.waiting.remove(&mut state, self.ticket);
+        let mut state = lock(&self.queue.state);
+        self.queue.remove(&mut state, self.ticket);
     }
 }
 
@@ -151,7 +151,7 @@
             (ticket, state.entries.contains_key(&ticket))
         };
         let guard = RemoveOnDrop {
-            waiting: self,
+            queue: self,
             ticket,
         };
         if !is_waiting {
@@ -388,15 +388,15 @@
 }
 
 /// Processes the queue until the host stops.
-pub(crate) async fn run(waiting: Arc<RequestQueue>, mut phase: watch::Receiver<Phase>) {
+pub(crate) async fn run(queue: Arc<RequestQueue>, mut phase: watch::Receiver<Phase>) {
     while *phase.borrow() != Phase::Stopped {
-        let is_idle = waiting.count.load(Ordering::Relaxed) == 0;
+        let is_idle = queue.count.load(Ordering::Relaxed) == 0;
         tokio::select! {
-            () = waiting.wake.notified() => {}
+            () = queue.wake.notified() => {}
             () = tokio::time::sleep(POLL_INTERVAL), if !is_idle => {}
             // The phase has changed, or the host was dropped.
             changed = phase.changed() => if changed.is_err() { return; },
         }
-        waiting.process();
+        queue.process();
     }
 }
--- a/crates/gateway/src/waiting/reserved_slot.rs
+++ b/crates/gateway/src/waiting/reserved_slot.rs
@@ -21,7 +21,7 @@
 }
 
 impl ReservedSlot {
-    /// Hands the counted slot to the caller, who has to free it.
+    /// Transfers the counted slot to the caller, which has to free it.
     pub(crate) fn commit(mut self) -> TargetId {
         self.is_committed = true;
         self.choice.target.clone()
--- a/crates/gateway/src/waiting/slot_request.rs
+++ b/crates/gateway/src/waiting/slot_request.rs
@@ -1,4 +1,4 @@
-//! What a request passes to the wait queue, and the error that it may get back.
+//! What a request passes to the wait queue, and the error that the queue may return.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/crates/gateway/src/waiting/transfer.rs
+++ b/crates/gateway/src/waiting/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer of freed slots: while requests wait, the host at which a request ends gives the slot
+//! Transfer of freed slots: while requests wait, the host at which a request ends assigns the slot
 //! to the first request in the queue, here or at a peer.
 
 use std::time::Instant;
@@ -17,7 +17,7 @@
 use crate::sync::lock;
 
 impl RequestQueue {
-    /// Gives a target's slot that was just freed to a waiting request. Returns the peer to
+    /// Assigns a target's slot that was just freed to a waiting request. Returns the peer to
     /// which the slot has to be transferred if the request waits there.
     pub(crate) fn transfer_freed_slot(&self, target: &TargetId) -> Option<HostId> {
         let now = Instant::now();
--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -66,15 +66,13 @@
 async fn job_of(host: &RunningHost, key: &str) -> String {
     let mut headers = HeaderMap::new();
     headers.insert(KEY_HEADER, format!("Key {key}").parse().unwrap());
-    let presented = RequestHead {
+    let head = RequestHead {
         id: "j1",
         host: HOST,
         path: "/",
         headers: &headers,
     };
-    let caller = access::identify_job_caller(host.ctx(), presented)
-        .await
-        .unwrap();
+    let caller = access::identify_job_caller(host.ctx(), head).await.unwrap();
     jobs::resolve_job_id(host.ctx(), &caller, "j1")
 }
 
--- a/crates/gateway/tests/catalog.rs
+++ b/crates/gateway/tests/catalog.rs
@@ -73,7 +73,8 @@
     let host = harness.start_ready("a1").await;
     wait_until("all are known", || host.ctx().targets_known() == 2).await;
     let before = harness.store.read_count(topic);
-    harness.store.fail_next_read(topic); // The second read starts after the failure was detected.
+    harness.store.fail_next_read(topic);
+    // The second read starts after the failure was detected.
     wait_until("the topic is read again", || {
         harness.store.read_count(topic) > before + 1
     })
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -34,7 +34,7 @@
     started.await
 }
 
-async fn until_all_connected(hosts: &[RunningHost]) {
+async fn wait_until_all_connected(hosts: &[RunningHost]) {
     wait_until("each host is connected to all others", || {
         let mut peers_alive = hosts.iter().map(|host| host.ctx().peers_alive());
         peers_alive.all(|alive| alive == hosts.len() - 1)
@@ -59,7 +59,7 @@
         let name = format!("a{number}");
         hosts.push(start(&harness, &name, &connection, contact, &seeds(&contacts)).await);
     }
-    until_all_connected(&hosts).await;
+    wait_until_all_connected(&hosts).await;
 }
 
 #[tokio::test]
@@ -70,7 +70,7 @@
     let contact = free_addr();
     let mut hosts = vec![start(&harness, "a0", &connection, contact, &[]).await];
     hosts.push(start(&harness, "a1", &connection, free_addr(), &[contact]).await);
-    until_all_connected(&hosts).await;
+    wait_until_all_connected(&hosts).await;
     connection.set_closed(false);
     for host in &hosts {
         host.wait_ready().await;
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -225,13 +225,13 @@
     let host = harness.start_ready("a1").await;
     for attempt in 0..12 {
         let id = format!("r{attempt}");
-        let is_hit = attempt % 3 != 2;
-        if is_hit {
+        let has_crashed = attempt % 3 != 2;
+        if has_crashed {
             harness.targets.script_request(&id, &[Action::Crash]);
         }
         let result = host.send_with_body(NON_RESUMABLE, &id, "healthy").await;
         let is_complete = result.unwrap().body.is_some();
-        assert_eq!(is_complete, !is_hit, "{id}");
+        assert_eq!(is_complete, !has_crashed, "{id}");
         harness.targets.restart_all();
     }
     let metrics = &host.ctx().metrics;
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -24,7 +24,7 @@
     harness
 }
 
-async fn until_evacuated(host: &RunningHost, data_centres: usize) {
+async fn wait_until_evacuated(host: &RunningHost, data_centres: usize) {
     let line = format!("name=\"data_centres_evacuated\"}} {data_centres}");
     wait_until("the evacuation is known", || {
         host.ctx().metrics.text().contains(&line)
@@ -62,7 +62,7 @@
             .contains(&"t1".to_owned())
     );
     harness.store.set_evacuated("d", true);
-    until_evacuated(&host, 1).await;
+    wait_until_evacuated(&host, 1).await;
     assert_eq!(targets_used(&harness, &host, "s").await, ["t2"]);
     host.submit("j1", 4, 10).await.unwrap();
     host.results("j1", 4).await;
@@ -71,7 +71,7 @@
         assert!(runs.iter().all(|(target, _)| target == "t2"), "{runs:?}");
     }
     harness.store.set_evacuated("d", false);
-    until_evacuated(&host, 0).await;
+    wait_until_evacuated(&host, 0).await;
     assert!(
         targets_used(&harness, &host, "u")
             .await
@@ -85,7 +85,7 @@
     let host = harness.start_ready("a1").await;
     harness.store.set_evacuated("d", true);
     harness.store.set_evacuated("e", true);
-    until_evacuated(&host, 2).await;
+    wait_until_evacuated(&host, 2).await;
     let refused = host.send(harness::NON_RESUMABLE, "r1").await.unwrap_err();
     assert!(matches!(refused, Failure::NotRun { .. }), "{refused:?}");
     assert!(harness.targets.runs("r1").is_empty());
@@ -104,7 +104,7 @@
         harness.store.expire_history();
     }
     let host = harness.start_ready("a1").await;
-    until_evacuated(&host, 1).await;
+    wait_until_evacuated(&host, 1).await;
     assert_eq!(targets_used(&harness, &host, "r").await, ["t2"]);
 }
 
@@ -113,11 +113,11 @@
     let harness = harness();
     let host = harness.start_ready("a1").await;
     harness.store.set_evacuated("d", true);
-    until_evacuated(&host, 1).await;
+    wait_until_evacuated(&host, 1).await;
     harness.store.fail_next_read(Topic::Config);
     harness.store.set_evacuated("d", false);
     harness.store.expire_history();
-    until_evacuated(&host, 0).await;
+    wait_until_evacuated(&host, 0).await;
 }
 
 #[tokio::test]
@@ -126,9 +126,9 @@
     let (partitioned, connection, _connected) = start_two_hosts(&harness).await;
     close_connection(&partitioned, &connection).await;
     harness.store.set_evacuated("d", true);
-    until_evacuated(&partitioned, 1).await;
+    wait_until_evacuated(&partitioned, 1).await;
     harness.store.set_evacuated("d", false);
-    until_evacuated(&partitioned, 0).await;
+    wait_until_evacuated(&partitioned, 0).await;
 }
 
 #[tokio::test]
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -178,8 +178,8 @@
         self.host.context()
     }
 
-    pub async fn leave(self) -> bool {
-        self.host.leave().await
+    pub async fn shut_down(self) -> bool {
+        self.host.shut_down().await
     }
 
     /// Stops the host without a graceful shutdown.
@@ -225,7 +225,7 @@
     ) -> Result<Response, Failure> {
         let mut req = request(path, id);
         let value = format!("Key {key}").parse().unwrap();
-        req.forward.headers.insert(KEY_HEADER, value);
+        req.forwarded.headers.insert(KEY_HEADER, value);
         self.send_request(req).await
     }
 
@@ -237,7 +237,7 @@
         body: &str,
     ) -> Result<Response, Failure> {
         let mut req = request(path, id);
-        req.forward.body = Bytes::from(body.to_owned());
+        req.forwarded.body = Bytes::from(body.to_owned());
         self.send_request(req).await
     }
 
@@ -285,7 +285,7 @@
     wait_until("the store is unavailable", || !host.ctx().is_store_up()).await;
 }
 
-/// A response with its collected body; `None` if the body broke off.
+/// A response with its collected body; `None` if the body was interrupted.
 #[derive(Debug)]
 pub struct Response {
     pub status: StatusCode,
@@ -302,7 +302,7 @@
 
 pub fn request(path: &str, id: &str) -> online::Request {
     online::Request {
-        forward: ForwardedRequest {
+        forwarded: ForwardedRequest {
             id: id.to_owned(),
             method: Method::POST,
             path: path.to_owned(),
--- a/crates/gateway/tests/harness/targets.rs
+++ b/crates/gateway/tests/harness/targets.rs
@@ -129,7 +129,7 @@
         self.state.lock().unwrap().crashing_bodies.insert(body);
     }
 
-    /// Crashes a target: its responses break off and it refuses connections.
+    /// Crashes a target: its responses are interrupted and it refuses connections.
     pub fn crash(&self, target: &str) {
         let mut state = self.state.lock().unwrap();
         *state.crashes.entry(target.to_owned()).or_default() += 1;
--- a/crates/gateway/tests/online.rs
+++ b/crates/gateway/tests/online.rs
@@ -250,21 +250,21 @@
 }
 
 #[tokio::test]
-async fn a_leaving_host_completes_the_responses_it_has_started() {
+async fn a_host_that_shuts_down_completes_the_responses_it_has_started() {
     let harness = Harness::new(&["t1"]);
     let host = harness.start_ready("a1").await;
     harness.targets.hold();
     let in_flight = host.ctx().in_flight.enter();
     let serving = online::serve(host.ctx(), request(NON_RESUMABLE, "r1"), Instant::now());
     let response = serving.await.unwrap();
-    let leaving = tokio::spawn(host.leave());
+    let shutdown = tokio::spawn(host.shut_down());
     let body = tokio::spawn(response.body.collect());
     tokio::time::sleep(Duration::from_millis(5)).await;
     harness.targets.release();
     let body = body.await.unwrap().unwrap().to_bytes();
     assert_eq!(body, full_response("r1"));
     drop(in_flight);
-    assert!(leaving.await.unwrap());
+    assert!(shutdown.await.unwrap());
 }
 
 /// Guards against a job that runs as one request that nobody sent. A host that has just started
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -70,7 +70,8 @@
     let peer = Peer::connect(host.ctx().settings.host.peer_listen).await;
     peer.send_status("b1", 1_000, 50, &[]).await;
     wait_until("the peer is alive", || host.ctx().peers_alive() == 1).await;
-    wait_until("its failure is detected", || host.ctx().peers_alive() == 0).await; // It restarts with an earlier time of day.
+    wait_until("its failure is detected", || host.ctx().peers_alive() == 0).await;
+    // It restarts with an earlier time of day.
     peer.send_status("b1", 500, 1, &[("t1", 2)]).await;
     wait_until("the peer is alive again", || host.ctx().peers_alive() == 1).await;
     assert_eq!(host.ctx().load_of("t1").online, 2);
@@ -135,7 +136,8 @@
     wait_until("the relayed peer is alive", || {
         host.ctx().peers_alive() == 1
     })
-    .await; // The address of the other host is unknown, so its status is ignored.
+    .await;
+    // The address of the other host is unknown, so its status is ignored.
     assert_eq!(host.ctx().load_of("t1").online, 2);
 }
 
@@ -151,7 +153,8 @@
     let hosts = hosts_with_failed_peer(&harness, 5, data_centre).await;
     let peer = Peer::connect(hosts[0].ctx().settings.host.peer_listen).await;
     let metrics = &hosts[0].ctx().metrics;
-    let relayed = || metrics.counted(Counted::Datagrams, "passed on"); // Until the list is read, hosts do not know which ones are local.
+    let relayed = || metrics.counted(Counted::Datagrams, "passed on");
+    // Until the list is read, hosts do not know which ones are local.
     let relayed_before = relayed();
     peer.send_status("x1", u64::MAX, 1, &[("t1", 2)]).await;
     wait_until("the recipient has applied the status", || {
--- a/crates/gateway/tests/progress.rs
+++ b/crates/gateway/tests/progress.rs
@@ -108,7 +108,7 @@
     wait_discovered(&[&a1, &a2]).await;
     start_item(&harness, &a1).await;
     assert_eq!(harness.store.key_count(Topic::Progress), 0);
-    assert!(a1.leave().await);
+    assert!(a1.shut_down().await);
     complete_resumed(&harness, &a2).await;
 }
 
@@ -120,14 +120,14 @@
     wait_discovered(&[&a1, &a2]).await;
     let failed = Action::Status(500);
     // The item fails twice at the first host; its third run does not end.
-    let acts = [&[failed, failed, Action::HangAfter(0)], &[failed; 9][..]].concat();
-    harness.targets.script_request("j1-0", &acts);
+    let actions = [&[failed, failed, Action::HangAfter(0)], &[failed; 9][..]].concat();
+    harness.targets.script_request("j1-0", &actions);
     a1.submit("j1", 1, 10).await.unwrap();
     wait_until("the item has failed twice", || {
         harness.targets.runs("j1-0").len() == 3
     })
     .await;
-    assert!(a1.leave().await);
+    assert!(a1.shut_down().await);
     let results = a2.results("j1", 1).await;
     assert_eq!(results[0].text, None);
     // At the only target, which fails every run, an item may fail six times.
--- a/crates/gateway/tests/spread.rs
+++ b/crates/gateway/tests/spread.rs
@@ -57,7 +57,7 @@
         for host in &fleet.hosts {
             host.wait_ready().await;
         }
-        fleet.until_one_reads(HOSTS).await;
+        fleet.wait_until_one_reads(HOSTS).await;
         fleet
     }
 
@@ -71,7 +71,7 @@
             .collect()
     }
 
-    async fn until_one_reads(&self, hosts: usize) {
+    async fn wait_until_one_reads(&self, hosts: usize) {
         wait_until("the list is known and one host reads", || {
             let first = self.hosts.iter().filter(|host| {
                 let ctx = host.ctx();
@@ -83,7 +83,7 @@
         .await;
     }
 
-    async fn until_all_know(&self, target: &str) {
+    async fn wait_until_all_know(&self, target: &str) {
         wait_until("all hosts know a target", || {
             let mut hosts = self.hosts.iter();
             hosts.all(|host| host.ctx().is_target_known(target))
@@ -97,7 +97,7 @@
     let fleet = Fleet::start(&["t1", "t2"]).await;
     let store = &fleet.harness.store;
     store.put_target("t3", "up");
-    fleet.until_all_know("t3").await;
+    fleet.wait_until_all_know("t3").await;
     store.put_target("t1", "leaving");
     wait_until("all know that it leaves", || {
         fleet.hosts.iter().all(|host| host.ctx().is_leaving("t1"))
@@ -119,18 +119,18 @@
 }
 
 #[tokio::test]
-async fn readings_scale_with_data_centres_not_hosts() {
+async fn reads_scale_with_data_centres_not_hosts() {
     let fleet = Fleet::start(&["t1"]).await;
     let store = &fleet.harness.store;
     let before = store.read_count(Topic::Targets);
     for number in 0..10 {
         store.put_target(&format!("n{number}"), "up");
-        fleet.until_all_know(&format!("n{number}")).await;
+        fleet.wait_until_all_know(&format!("n{number}")).await;
     }
-    let readings = store.read_count(Topic::Targets) - before;
-    // Each record ends a waiting reading; without records, readings end once a second.
+    let reads = store.read_count(Topic::Targets) - before;
+    // Each record ends a waiting read; without records, reads end once a second.
     let limit = DATA_CENTRES * (10 + 20);
-    assert!(readings <= limit, "{readings} readings");
+    assert!(reads <= limit, "{reads} reads");
 }
 
 #[tokio::test]
@@ -166,7 +166,7 @@
     let reader = fleet.readers()[0];
     fleet.hosts.remove(reader).kill();
     fleet.harness.store.put_target("t2", "up");
-    fleet.until_all_know("t2").await;
+    fleet.wait_until_all_know("t2").await;
     wait_until("one host reads again", || fleet.readers().len() == 1).await;
 }
 
@@ -183,7 +183,7 @@
         fleet.connections[number].set_closed(true);
     }
     fleet.harness.store.put_target("t2", "up");
-    fleet.until_all_know("t2").await;
+    fleet.wait_until_all_know("t2").await;
     fleet.harness.store.delete_target("t2");
     wait_until("all know that it is removed", || {
         let mut hosts = fleet.hosts.iter();
@@ -195,7 +195,7 @@
         .iter()
         .for_each(|connection| connection.set_closed(false));
     fleet.harness.store.put_target("t3", "up");
-    fleet.until_all_know("t3").await;
+    fleet.wait_until_all_know("t3").await;
     wait_until("the first one reads again", || fleet.readers() == [reader]).await;
 }
 
@@ -212,7 +212,7 @@
     fleet.harness.store.delete_target("t1");
     fleet.harness.store.expire_history();
     fleet.connections[reader].set_closed(false);
-    fleet.until_all_know("t2").await;
+    fleet.wait_until_all_know("t2").await;
     wait_until("the target deleted meanwhile is removed", || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| !host.ctx().is_target_known("t1"))
@@ -263,7 +263,7 @@
     socket.send_to(&bytes, addr).await.unwrap();
     // The next announcement of the reader must still be applied.
     fleet.harness.store.put_target("t3", "up");
-    fleet.until_all_know("t3").await;
+    fleet.wait_until_all_know("t3").await;
     assert!(other.ctx().is_target_known("t1"));
     tokio::time::timeout(
         Duration::from_secs(20),
--- a/crates/gateway/tests/start.rs
+++ b/crates/gateway/tests/start.rs
@@ -22,7 +22,7 @@
 /// Hosts per data centre; they form one cell.
 const HOSTS: usize = 8;
 /// Hosts of a cell that list from the store.
-const LISTERS: usize = 3;
+const LISTING_HOSTS: usize = 3;
 
 /// Starts the fleet; each host uses its own connection to the store.
 async fn start(
@@ -69,7 +69,7 @@
     wait_all_ready(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
         let listings = harness.store.pages_read(topic) - before;
-        let max_listings = DATA_CENTRES * LISTERS;
+        let max_listings = DATA_CENTRES * LISTING_HOSTS;
         assert!(listings <= max_listings, "{topic:?}: {listings} listings");
     }
     for host in &hosts {
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn hosts_list_for_themselves_if_the_listers_cannot() {
+async fn hosts_list_for_themselves_if_the_listing_hosts_cannot() {
     let harness = after_a_power_loss().await;
     let unreachable = harness.store.connection();
     unreachable.set_closed(true);
@@ -114,7 +114,7 @@
     wait_all_ready(&hosts).await;
     for (topic, before) in topics.into_iter().zip(before) {
         let listings = harness.store.pages_read(topic) - before;
-        let max_listings = DATA_CENTRES * LISTERS;
+        let max_listings = DATA_CENTRES * LISTING_HOSTS;
         assert!(listings <= max_listings, "{topic:?}: {listings} listings");
     }
 }
