--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -28,7 +28,7 @@
 use crate::time::ms;
 
 /// Longest time for which a request waits until the configuration is confirmed: two reads of a
-/// store that answers within its timeout, and less than a third of the time that callers wait.
+/// store that responds within its timeout, and less than a third of the time that callers wait.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(800);
 /// Retry delay if this host couldn't confirm the configuration: the retry is likely to reach
 /// another host.
@@ -120,7 +120,7 @@
 ) -> Result<Identified, Failure> {
     let RequestHead { id, headers, .. } = head;
     let arrived = Instant::now();
-    let until = deadline.min(arrived + CONFIRM_TIMEOUT);
+    let confirm_deadline = deadline.min(arrived + CONFIRM_TIMEOUT);
     loop {
         let table = ctx
             .wait_for_routes(deadline)
@@ -131,7 +131,7 @@
         let is_public = is_public(&table);
         let reason = match caller(ctx, &table, headers, is_public) {
             Ok(Caller::Workspace(_)) if !is_config_fresh(ctx, arrived) => {
-                if catalog::confirm(ctx, arrived, until).await {
+                if catalog::confirm(ctx, arrived, confirm_deadline).await {
                     continue;
                 }
                 return Err(unconfirmed(ctx, id, "the configuration may be old"));
@@ -143,7 +143,7 @@
         if !may_be_new || ctx.catalog.is_confirmed(arrived) {
             return Err(reject(ctx, id, &table, reason));
         }
-        if !catalog::confirm(ctx, arrived, until).await {
+        if !catalog::confirm(ctx, arrived, confirm_deadline).await {
             return Err(unconfirmed(ctx, id, "the key may be a new one"));
         }
     }
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -146,7 +146,7 @@
 
 /// Ensures that the current configuration was the newest at `since` or later, by reading the store
 /// if necessary; returns whether it was. Records read meanwhile have been applied on return.
-pub(crate) async fn confirm(ctx: &Context, since: Instant, until: Instant) -> bool {
+pub(crate) async fn confirm(ctx: &Context, since: Instant, deadline: Instant) -> bool {
     if ctx.catalog.is_confirmed(since) {
         return true;
     }
@@ -154,14 +154,14 @@
         // A peer with access to the store may provide a newer version; whether that is the
         // newest cannot be known.
         let mut routes = ctx.routes.subscribe();
-        let wait = PEER_WAIT.min(until.saturating_duration_since(Instant::now()));
+        let wait = PEER_WAIT.min(deadline.saturating_duration_since(Instant::now()));
         return matches!(
             tokio::time::timeout(wait, routes.changed()).await,
             Ok(Ok(()))
         ) && ctx.catalog.is_confirmed(since);
     }
-    let until = tokio::time::Instant::from_std(until);
-    let checked = tokio::time::timeout_at(until, check_newest(ctx, since)).await;
+    let deadline = tokio::time::Instant::from_std(deadline);
+    let checked = tokio::time::timeout_at(deadline, check_newest(ctx, since)).await;
     checked.is_ok() && ctx.catalog.is_confirmed(since)
 }
 
--- a/crates/gateway/src/online.rs
+++ b/crates/gateway/src/online.rs
@@ -1,7 +1,7 @@
 //! Online requests: finds the route, dispatches the request to a target and forwards the
 //! response.
 //!
-//! Three outcomes are kept apart throughout. A request that did not run may be offered to
+//! Three outcomes are distinguished throughout. A request that did not run may be offered to
 //! another target or refused. One that may have run is sent again only if its route allows
 //! that. One whose response has started is forwarded as it arrives; a resumable stream that is
 //! interrupted continues at another target within the same response, after its last complete
--- a/crates/gateway/src/online/body.rs
+++ b/crates/gateway/src/online/body.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns the response. A resumable stream is returned only once its first event has
-    /// arrived: until then the caller has seen no headers, and another target's may be used.
+    /// arrived: until then the caller has received no headers, and another target's may be used.
     pub(super) async fn start(mut self) -> Result<ForwardedResponse, Failure> {
         if self.events.is_some() {
             match self.next().await {
--- a/crates/gateway/src/online/dispatch.rs
+++ b/crates/gateway/src/online/dispatch.rs
@@ -197,15 +197,15 @@
     async fn admit(&mut self) -> Result<Option<RunGuard>, Failure> {
         // A blamed request may be the first one that a starting host receives.
         let suspects_known = self.ctx.startup.wait_ready(Dependency::Suspects);
-        let until = self.deadline - MIN_TIME_LEFT;
+        let admit_deadline = self.deadline - MIN_TIME_LEFT;
         // After this timeout there is no time left for an offer either.
-        let _ = tokio::time::timeout_at(until.into(), suspects_known).await;
+        let _ = tokio::time::timeout_at(admit_deadline.into(), suspects_known).await;
         let gate = Arc::clone(&self.ctx.suspects.gate);
         if gate.is_empty() {
             return Ok(None);
         }
         let fingerprint = self.fingerprint();
-        let admitted = gate.admit(fingerprint, until);
+        let admitted = gate.admit(fingerprint, admit_deadline);
         admitted.await.map_err(|blocked| match blocked {
             Blocked::Refused {
                 crashes,
@@ -276,8 +276,8 @@
             resume_after,
         };
         let replied = (self.ctx.targets.call)(call);
-        let until = tokio::time::Instant::from_std(self.deadline);
-        let reply = match tokio::time::timeout_at(until, replied).await {
+        let deadline = tokio::time::Instant::from_std(self.deadline);
+        let reply = match tokio::time::timeout_at(deadline, replied).await {
             Ok(reply) => reply?,
             Err(_) => return Err(NoReply::Unknown(TIMED_OUT)),
         };
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -276,7 +276,7 @@
         })
     }
 
-    /// Returns whether a peer has failed or left within a time before now.
+    /// Returns whether a peer has failed or announced its shutdown within a time before now.
     pub(crate) fn has_lost_peer_within(&self, time: Duration) -> bool {
         lock(&self.peer_lost_at).is_some_and(|at| at.elapsed() < time)
     }
--- a/crates/gateway/src/peers/bootstrap.rs
+++ b/crates/gateway/src/peers/bootstrap.rs
@@ -7,7 +7,7 @@
 //! retries add load while the store still processes the abandoned calls. So in a fleet that is
 //! divided into cells, a few hosts of each cell list, selected by rendezvous hashing among the
 //! hosts in the host list. The others copy from them and then from one another. A host that
-//! receives nothing in time lists itself, so a failure of the listing hosts costs a moment only.
+//! receives nothing in time lists itself, so a failure of the listing hosts only delays the start.
 //!
 //! Listing sequentially, one host after another, was rejected since it takes the same six seconds.
 //! Longer timeouts alone were rejected for the same reason.
--- a/crates/gateway/src/peers/contact.rs
+++ b/crates/gateway/src/peers/contact.rs
@@ -2,8 +2,8 @@
 //!
 //! If the store is unavailable from a fleet's first start on, there is no host list. Seeds,
 //! the hosts named in the settings, record each host that contacts them and return the
-//! hosts they know. Of two hosts, the one that contacts a seed later learns of the other
-//! and sends it a datagram.
+//! hosts they know. Of two hosts, the one that contacts a seed later receives the address
+//! of the other and sends it a datagram.
 //!
 //! Seeds are contacted only until the host list has been read: when a large fleet starts,
 //! the store serves the list faster than a few seeds could.
--- a/crates/gateway/src/peers/host_list.rs
+++ b/crates/gateway/src/peers/host_list.rs
@@ -257,7 +257,7 @@
     }
 }
 
-/// Adds a host learned from a peer rather than from the list.
+/// Adds a host received from a peer rather than from the list.
 pub(super) fn add_contact(ctx: &Context, host: &str, info: &HostInfo) {
     let entry = HostEntry {
         info: info.clone(),
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -289,7 +289,7 @@
     }
 }
 
-/// What a status says about its sender.
+/// The state of a peer after its status was recorded.
 struct StatusUpdate {
     /// The address of the host.
     addr: SocketAddr,
--- a/crates/gateway/src/peers/suspects.rs
+++ b/crates/gateway/src/peers/suspects.rs
@@ -39,7 +39,7 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeout of a request: many times the latency between data centres.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Maximum time after its start for which a host holds back requests until it knows which ones are
+/// Maximum time after its start for which a host delays requests until it knows which ones are
 /// blamed: three heartbeats of a peer, the first of which may be lost.
 const CATCH_UP_MAX: Duration = Duration::from_millis(1_000);
 
@@ -115,7 +115,7 @@
 pub(crate) async fn catch_up(ctx: Arc<Context>) {
     while !ctx.startup.is_ready(Dependency::Suspects) && ctx.phase() < Phase::Leaving {
         if ctx.startup.uptime() > CATCH_UP_MAX {
-            // No peer responds; holding back all requests would be worse.
+            // No peer responds; delaying all requests further would be worse.
             slog::warn!(
                 ctx.logger,
                 "no peer provided the blamed requests; starting without them"
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -135,8 +135,8 @@
 
     fn record_written(&self, batch: Vec<(ItemKey, Option<Bytes>)>) {
         let mut state = lock(&self.state);
-        let kept = batch.into_iter().filter(|(_, value)| value.is_some());
-        state.saved.extend(kept.map(|(key, _)| key));
+        let written = batch.into_iter().filter(|(_, value)| value.is_some());
+        state.saved.extend(written.map(|(key, _)| key));
     }
 
     /// Schedules records again that were not written, unless newer ones replace them.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Applies the quarantine at a host: detects crashes of targets, and holds back requests that
+//! Applies the quarantine at a host: detects crashes of targets, and delays or refuses requests that
 //! may have caused them. The rules are in [`quarantine`].
 //!
 //! An interrupted run alone is weak evidence: the connection may have been reset, the response
--- a/crates/gateway/src/sse.rs
+++ b/crates/gateway/src/sse.rs
@@ -1,7 +1,7 @@
 //! Parses server-sent events, so that an interrupted stream can be resumed at another target.
 //!
 //! Only complete events are used: a partial event before an interruption is discarded, and the
-//! next target is asked to resume after the last complete one.
+//! next target resumes after the last complete one.
 
 use bytes::Bytes;
 use bytes::BytesMut;
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Reserves the chosen slot for a request and takes it out of the queue.
+    /// Reserves the chosen slot for a request and removes it from the queue.
     fn start_at(
         &self,
         state: &mut State,
@@ -338,7 +338,7 @@
             "retry_after_ms" => millis(retry_after));
     }
 
-    /// Takes a request out of the queue and sends it its outcome.
+    /// Removes a request from the queue and sends it its outcome.
     fn decide(&self, state: &mut State, ticket: Ticket, outcome: Result<ReservedSlot, SlotError>) {
         let Some(entry) = self.remove(state, ticket) else {
             return;
--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -1,4 +1,4 @@
-//! API keys, and the jobs of workspaces, at a host that is cut off from the store while a peer
+//! API keys, and the jobs of workspaces, at a host that has no access to the store while a peer
 //! reaches it.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
@@ -24,7 +24,7 @@
 use notchwharf_gateway::error::JobError;
 use notchwharf_gateway::jobs;
 
-/// Starts a host that knows the keys and is then cut off from the store, and one that is not.
+/// Starts a host that knows the keys and then loses access to the store, and one that does not.
 async fn start(harness: &Harness) -> (RunningHost, ScriptedStore, RunningHost) {
     harness.configure_keys(2, &[("k1", "choir"), ("k2", "choir"), ("k3", "strings")]);
     let (isolated, connection, connected) = start_two_hosts(harness).await;
