--- a/crates/gateway/tests/access.rs
+++ b/crates/gateway/tests/access.rs
@@ -1,4 +1,4 @@
-//! API keys, and the jobs of workspaces, at a host that is cut off from the store while a peer
+//! API keys, and the jobs of workspaces, at a host that has no access to the store while a peer
 //! reaches it.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
@@ -24,7 +24,7 @@
 use notchwharf_gateway::error::JobError;
 use notchwharf_gateway::jobs;
 
-/// Starts a host that knows the keys and is then cut off from the store, and one that is not.
+/// Starts a host that knows the keys and then loses access to the store, and one that does not.
 async fn start(harness: &Harness) -> (RunningHost, ScriptedStore, RunningHost) {
     harness.configure_keys(2, &[("k1", "choir"), ("k2", "choir"), ("k3", "strings")]);
     let (isolated, connection, connected) = start_two_hosts(harness).await;
@@ -66,15 +66,13 @@
 async fn job_of(host: &RunningHost, key: &str) -> String {
     let mut headers = HeaderMap::new();
     headers.insert(KEY_HEADER, format!("Key {key}").parse().unwrap());
-    let presented = RequestHead {
+    let head = RequestHead {
         id: "j1",
         host: HOST,
         path: "/",
         headers: &headers,
     };
-    let caller = access::identify_job_caller(host.ctx(), presented)
-        .await
-        .unwrap();
+    let caller = access::identify_job_caller(host.ctx(), head).await.unwrap();
     jobs::resolve_job_id(host.ctx(), &caller, "j1")
 }
 
