--- a/crates/clients/src/log.rs
+++ b/crates/clients/src/log.rs
@@ -1,7 +1,7 @@
 //! The platform's append-only log service.
 //!
-//! [`Log::append`] is not idempotent by itself: after a lost answer the record
-//! may stand in the stream, so a writer looks for its record's id there.
+//! [`Log::append`] is not idempotent: if the response is lost, the record may nevertheless
+//! have been appended. Before retrying, a writer searches the stream for its record's id.
 
 use std::time::Duration;
 
@@ -12,83 +12,83 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::error::Call;
-use crate::error::Read;
+use crate::error::CallError;
+use crate::error::ReadError;
+use crate::http::CallResult;
 use crate::http::Client;
-use crate::http::Res;
 
-const GONE: u16 = 410;
+const STATUS_GONE: u16 = 410;
 
 /// A client of the log service.
 #[derive(Clone, Debug)]
 pub struct Log {
     client: Client,
-    reader: Client,
+    polling_client: Client,
     base_url: String,
 }
 
-/// The offsets that a stream holds.
+/// The range of offsets that a stream retains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bounds {
-    /// The oldest offset kept.
+    /// The oldest retained offset.
     pub first: u64,
-    /// The offset that the next append gets.
+    /// The offset that the next append will receive.
     pub next: u64,
 }
 
-/// The answer to an append.
+/// The response to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Appended {
     /// The offset of the record.
     pub offset: u64,
 }
 
-/// A run of records as the service sends it.
+/// Consecutive records of a stream, as sent by the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The oldest offset kept.
+    /// The oldest retained offset.
     pub first: u64,
-    /// The offset that the next append gets.
+    /// The offset that the next append will receive.
     pub next: u64,
-    /// The records, by offset.
-    pub records: Vec<Stored>,
+    /// The records, ordered by offset.
+    pub records: Vec<StoredRecord>,
 }
 
-/// A record as the service sends it.
+/// A record with its offset, as sent by the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredRecord {
     /// The offset.
     pub offset: u64,
-    /// The content in Base64.
+    /// The Base64-encoded content.
     pub data: String,
 }
 
-impl Stored {
-    /// Returns a record as the service sends it.
+impl StoredRecord {
+    /// Encodes a record as the service sends it.
     pub fn new(offset: u64, data: &[u8]) -> Self {
         let data = BASE64_STANDARD.encode(data);
         Self { offset, data }
     }
 
-    /// Returns the content.
+    /// Returns the decoded content.
     ///
     /// # Errors
     ///
-    /// Returns [`Read::Undecodable`] if it is not Base64.
-    pub fn bytes(&self) -> Result<Vec<u8>, Read> {
+    /// Returns [`ReadError::Undecodable`] if the content is not valid Base64.
+    pub fn bytes(&self) -> Result<Vec<u8>, ReadError> {
         BASE64_STANDARD
             .decode(&self.data)
-            .map_err(|_| Read::Undecodable)
+            .map_err(|_| ReadError::Undecodable)
     }
 }
 
 impl Log {
-    /// Returns a client whose calls take at most `timeout`, and whose waiting
-    /// reads take at most `wait` more.
+    /// Returns a client that limits each call to `timeout`, and each read, which may wait for
+    /// a record, to `timeout + wait`.
     pub fn new(base_url: &str, timeout: Duration, wait: Duration) -> Self {
         Self {
             client: Client::new(timeout),
-            reader: Client::new(timeout + wait),
+            polling_client: Client::new(timeout + wait),
             base_url: base_url.trim_end_matches('/').into(),
         }
     }
@@ -97,52 +97,56 @@
     ///
     /// # Errors
     ///
-    /// Returns why no offset came; the record may stand in the stream unless
-    /// the failure is [`Call::NotSent`] or a status.
-    pub async fn append(&self, stream: &str, record: Vec<u8>) -> Res<u64> {
+    /// Returns an error if no offset is received. The record may have been appended
+    /// unless the error is [`CallError::NotSent`] or [`CallError::Status`].
+    pub async fn append(&self, stream: &str, record: Vec<u8>) -> CallResult<u64> {
         let url = format!("{}/v1/streams/{stream}/records", self.base_url);
-        let done: Appended = self.client.post_bytes(&url, Bytes::from(record)).await?;
-        Ok(done.offset)
+        let appended: Appended = self.client.post_bytes(&url, Bytes::from(record)).await?;
+        Ok(appended.offset)
     }
 
-    /// Returns the offsets that a stream holds.
+    /// Returns the range of offsets that a stream retains.
     ///
     /// # Errors
     ///
-    /// Returns [`Read::Down`] if the service does not answer.
-    pub async fn bounds(&self, stream: &str) -> Result<Bounds, Read> {
+    /// Returns [`ReadError::Unavailable`] if the call fails.
+    pub async fn bounds(&self, stream: &str) -> Result<Bounds, ReadError> {
         let url = format!("{}/v1/streams/{stream}", self.base_url);
-        self.client.get_json(&url).await.map_err(|_| Read::Down)
+        self.client
+            .get_json(&url)
+            .await
+            .map_err(|_| ReadError::Unavailable)
     }
 
-    /// Reads at most `max` records, waiting up to `wait` for the first.
+    /// Reads at most `max` records from offset `from` on, waiting up to `wait` for the first.
     ///
     /// # Errors
     ///
-    /// Returns [`Read::Expired`] if `from` is older than what is kept.
+    /// Returns [`ReadError::Expired`] if `from` is older than the oldest retained
+    /// offset, and [`ReadError::Unavailable`] if the call fails.
     pub async fn read(
         &self,
         stream: &str,
         from: u64,
         max: u32,
         wait: Duration,
-    ) -> Result<Page, Read> {
+    ) -> Result<Page, ReadError> {
         let wait_ms = wait.as_millis();
         let url = format!(
             "{}/v1/streams/{stream}/records?from={from}&max={max}&wait_ms={wait_ms}",
             self.base_url
         );
-        match self.reader.get_json(&url).await {
+        match self.polling_client.get_json(&url).await {
             Ok(page) => Ok(page),
             Err(report) if is_gone(&report) => {
                 let first = self.bounds(stream).await?.first;
-                Err(Read::Expired { first })
+                Err(ReadError::Expired { first })
             }
-            Err(_) => Err(Read::Down),
+            Err(_) => Err(ReadError::Unavailable),
         }
     }
 }
 
-fn is_gone(report: &Report<Call>) -> bool {
-    *report.current_context() == Call::Status(GONE)
+fn is_gone(report: &Report<CallError>) -> bool {
+    *report.current_context() == CallError::Status(STATUS_GONE)
 }
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -31,8 +31,8 @@
 use notchwharf_startup::Startup;
 use tokio::sync::watch;
 
-use crate::follow::Reading;
-use crate::follow::Seen;
+use crate::follower::ReadAttempt;
+use crate::follower::Records;
 use crate::metrics::Counted;
 use crate::metrics::Metrics;
 use crate::ports::Decode;
@@ -145,29 +145,31 @@
     }
 
     /// Applies a reading of targets.
-    fn apply_targets(&self, reading: Reading, now: Instant) -> Updated {
-        let Reading { asked, seen } = reading;
+    fn apply_targets(&self, reading: ReadAttempt, now: Instant) -> Updated {
+        let ReadAttempt {
+            requested_at,
+            result,
+        } = reading;
         let decode = |value: &Bytes| (self.deps.decode.target)(value);
         let evidence = self.deps.store.evidence();
-        let mut state = lock(&self.state);
-        // Taken before this reading is applied, whose changes are newer.
+        let mut state = lock(&self.state); // Taken before this reading is applied, whose changes are newer.
         let complete_as_of = state.targets.complete_as_of();
-        let changes = match seen {
-            Ok(Seen::All { end, records }) => {
+        let changes = match result {
+            Ok(Records::Listed { end, records }) => {
                 slog::info!(self.deps.logger, "targets listed"; "targets" => records.len(),
                     "offset" => end, "source" => "store");
                 let records = records.into_iter().map(record).collect();
-                let read_info = ReadInfo::at_end(asked, now);
+                let read_info = ReadInfo::at_end(requested_at, now);
                 state
                     .targets
                     .apply_listing(&read_info, &evidence, end, records, decode)
             }
-            Ok(Seen::More { records, is_whole }) => {
+            Ok(Records::Appended { records, is_at_end }) => {
                 let records = records.into_iter().map(record).collect();
                 let read_info = ReadInfo {
-                    requested_at: asked,
+                    requested_at,
                     answered_at: now,
-                    is_at_end: is_whole,
+                    is_at_end,
                 };
                 state
                     .targets
--- a/crates/gateway/src/catalog/config.rs
+++ b/crates/gateway/src/catalog/config.rs
@@ -19,8 +19,8 @@
 use super::evacuation;
 use super::follow::notify;
 use crate::context::Context;
-use crate::follow::Reading;
-use crate::follow::Seen;
+use crate::follower::ReadAttempt;
+use crate::follower::Records;
 use crate::metrics::Counted;
 use crate::ports::DecodeError;
 use crate::ports::Entry;
@@ -73,14 +73,14 @@
 }
 
 /// Applies a reading of the configuration topic.
-pub(super) async fn apply_reading(ctx: &Context, reading: Reading) {
+pub(super) async fn apply_reading(ctx: &Context, reading: ReadAttempt) {
     // The follower retries; `Store` has logged the failure.
-    let Ok(seen) = reading.seen else {
+    let Ok(seen) = reading.result else {
         return;
     };
     let is_whole = match &seen {
-        Seen::All { .. } => true,
-        Seen::More { is_whole, .. } => *is_whole,
+        Records::Listed { .. } => true,
+        Records::Appended { is_at_end, .. } => *is_at_end,
     };
     let listing_end = seen.listing_end();
     let records = seen.records();
@@ -91,7 +91,7 @@
     evacuation::apply_records(ctx, listing_end, &records);
     // Recorded after the records are applied; otherwise outdated routes would count as confirmed.
     if is_whole {
-        ctx.catalog.record_confirmation(reading.asked);
+        ctx.catalog.record_confirmation(reading.requested_at);
     }
 }
 
@@ -175,7 +175,7 @@
     }
     *last = Some(Instant::now());
     let from = Some(ctx.catalog.versions().config).filter(|end| *end > 0);
-    let reading = ctx.follower().once(Topic::Config, from).await;
+    let reading = ctx.follower().read_once(Topic::Config, from).await;
     ctx.metrics
         .count(Counted::Changes, "configuration looked for");
     apply_reading(ctx, reading).await;
--- a/crates/gateway/src/catalog/follow.rs
+++ b/crates/gateway/src/catalog/follow.rs
@@ -11,8 +11,8 @@
 use super::Updated;
 use super::config;
 use crate::context::Context;
-use crate::follow::Pace;
-use crate::follow::Source;
+use crate::follower::PollConfig;
+use crate::follower::Source;
 use crate::peers;
 use crate::ports::Topic;
 use crate::time::ms;
@@ -37,14 +37,14 @@
 
 /// Returns how a topic is read. A waiting read costs no call, so it waits as long as the settle
 /// time allows: 3 s with a settle time of 5 s, which takes a third of the calls of a wait of 1 s.
-fn pace(settings: &Settings, gap: Duration) -> Pace {
+fn pace(settings: &Settings, gap: Duration) -> PollConfig {
     let settle = ms(settings.targets.settle_ms);
-    Pace {
+    PollConfig {
         wait: settle
             .saturating_sub(SETTLE_MARGIN)
             .clamp(WAIT_MIN, WAIT_MAX),
-        gap,
-        pause_max: RETRY_PAUSE_MAX,
+        min_interval: gap,
+        backoff_max: RETRY_PAUSE_MAX,
     }
 }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -114,7 +114,7 @@
 
     /// Returns the value of a counter.
     pub fn counted(&self, what: Counted, label: &str) -> u64 {
-        self.0.counted(what as usize, label)
+        self.0.counter_value(what as usize, label)
     }
 
     /// Records a duration under the name of a route or call.
@@ -126,7 +126,7 @@
 
     /// Sets a gauge.
     pub fn set(&self, name: &str, value: usize) {
-        self.0.set(name, value);
+        self.0.set_gauge(name, value);
     }
 
     /// Returns all metrics in the Prometheus text format.
--- a/crates/gateway/src/online/slot.rs
+++ b/crates/gateway/src/online/slot.rs
@@ -12,6 +12,8 @@
 
 use super::dispatch::Dispatch;
 use super::dispatch::MIN_TIME_LEFT;
+use crate::cpu_time;
+use crate::cpu_time::Activity;
 use crate::error::Failure;
 use crate::sync::lock;
 use crate::target::Class;
@@ -19,8 +21,6 @@
 use crate::waiting::SchedulingParams;
 use crate::waiting::SlotError;
 use crate::waiting::SlotRequest;
-use crate::work;
-use crate::work::Part;
 
 impl Dispatch {
     /// Reserves a slot for the request: through the wait queue if requests wait at hosts and
@@ -78,7 +78,7 @@
             objective: self.objective(),
             ahead: Ahead::default(),
         };
-        let chosen = work::timed(&self.ctx.metrics, Part::Placing, || {
+        let chosen = cpu_time::measure(&self.ctx.metrics, Activity::SelectTarget, || {
             lock(&self.ctx.balancer).choose_online(&criteria, now)
         });
         match chosen {
@@ -93,7 +93,7 @@
         self.trace.record_choice(choice);
         match &choice.slot_source {
             SlotSource::PreemptOwn => {
-                self.ctx.items.cut_one(&choice.target);
+                self.ctx.items.preempt_one(&choice.target);
             }
             SlotSource::PreemptPeer(host) => self
                 .ctx
--- a/crates/gateway/src/peers/cell.rs
+++ b/crates/gateway/src/peers/cell.rs
@@ -164,7 +164,7 @@
     }
     for host in other_cells {
         lock(&ctx.balancer).remove_peer(&host);
-        ctx.items.peer_down(&host);
+        ctx.items.remove_peer(&host);
     }
 }
 
@@ -224,7 +224,7 @@
         lock(&ctx.balancer).set_cell_loads(&cell, loads, now);
         lock(&ctx.peers.cell_state.last_received).insert(cell, now);
     }
-    ctx.journal.told(status.jobs);
+    ctx.journal.record_peer_end(status.jobs);
     let versions = Versions {
         config: status.config,
         targets: status.targets,
--- a/crates/gateway/src/peers/rpc.rs
+++ b/crates/gateway/src/peers/rpc.rs
@@ -179,7 +179,7 @@
         (RECORDS, _) if ctx.journal.is_loaded() => begin_transfer(ctx, in_progress, records),
         (CONTACTS, Some(body)) => contact::respond(ctx, &body),
         (SUSPECTS, _) => suspects::snapshot(ctx),
-        (JOBS, Some(body)) => jobs::answer(ctx, &body).await,
+        (JOBS, Some(body)) => jobs::handle_forwarded(ctx, &body).await,
         _ => None,
     };
     let Some(bytes) = response_body else {
--- a/crates/gateway/src/peers/status.rs
+++ b/crates/gateway/src/peers/status.rs
@@ -27,12 +27,12 @@
 use super::suspects;
 use crate::catalog::Versions;
 use crate::context::Context;
+use crate::cpu_time;
+use crate::cpu_time::Activity;
 use crate::limits;
 use crate::metrics::Counted;
 use crate::sync::lock;
 use crate::time::ms;
-use crate::work;
-use crate::work::Part;
 
 /// Time for which a peer may have newer routes or targets before they are requested from it.
 /// Exceeds the interval between two reads, 300 ms, so that hosts whose next read is due do not send
@@ -55,7 +55,7 @@
     };
     let waiting = ctx
         .items
-        .waiting()
+        .queue_summary()
         .into_iter()
         .map(|w| messages::WaitingItems {
             due_unix_ms: w.due_unix_ms,
@@ -65,7 +65,7 @@
         host: ctx.host().to_owned(),
         incarnation: ctx.incarnation,
         number,
-        leaving: ctx.items.is_handed_over(),
+        leaving: ctx.items.has_released_jobs(),
         store_up: ctx.store.is_up() && ctx.journal.is_loaded(),
         config: versions.config,
         targets: versions.targets,
@@ -96,7 +96,7 @@
         let Some(socket) = ctx.peers.socket.get() else {
             return;
         };
-        let pace = work::timed(&ctx.metrics, Part::NewsTold, || {
+        let pace = cpu_time::measure(&ctx.metrics, Activity::SendUpdates, || {
             send_status(&ctx, number, due, socket)
         });
         if let Some(pace) = pace {
@@ -156,7 +156,7 @@
             continue;
         };
         ctx.metrics.count(Counted::Datagrams, "received");
-        work::timed(&ctx.metrics, Part::NewsTakenIn, || {
+        cpu_time::measure(&ctx.metrics, Activity::ReceiveUpdates, || {
             handle_datagram(&ctx, addr, &buf[..len]);
         });
     }
@@ -186,7 +186,7 @@
 fn preempt_item(ctx: &Arc<Context>, preemption: Preemption) {
     let target = lock(&ctx.balancer).id_of(preemption.target).cloned();
     if let Some(target) = target {
-        ctx.items.cut_one(&target);
+        ctx.items.preempt_one(&target);
     }
 }
 
@@ -219,10 +219,10 @@
     }
     // A target may fail for the callers of one data centre only.
     let failing = if update.is_local { failing } else { vec![] };
-    let has_queue_changed = ctx.items.peer_waits(&host, waiting);
+    let has_queue_changed = ctx.items.update_peer_queue(&host, waiting);
     let has_load_changed =
         lock(&ctx.balancer).set_peer_loads(&host, loads, failing, Instant::now());
-    ctx.journal.told(jobs);
+    ctx.journal.record_peer_end(jobs);
     if has_queue_changed || has_load_changed {
         ctx.items.wake();
     }
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -97,7 +97,9 @@
     let before = harness.store.records_listed(Topic::Payloads);
     for job in 0..JOBS {
         let item = format!("{}-2", name(job));
-        let body = jobs::body(second.ctx(), &name(job), &item).await.unwrap();
+        let body = jobs::read_item_body(second.ctx(), &name(job), &item)
+            .await
+            .unwrap();
         assert_eq!(body, "body of 2");
     }
     let listed = harness.store.records_listed(Topic::Payloads) - before;
--- a/crates/standins/examples/overhead.rs
+++ b/crates/standins/examples/overhead.rs
@@ -18,10 +18,10 @@
 use hdrhistogram::Histogram;
 use hyper::Method;
 use notchwharf_clients::hosts::Kind;
-use notchwharf_clients::hosts::Listed;
+use notchwharf_clients::hosts::ListEntry;
 use notchwharf_clients::http;
 use notchwharf_clients::http::Client;
-use notchwharf_clients::target::Held;
+use notchwharf_clients::target::ModelVersion;
 use notchwharf_config::settings;
 use notchwharf_server::Server;
 use notchwharf_standins::engine;
@@ -135,7 +135,7 @@
     let targets = runtime(2, "target");
     let host = runtime(1, "host");
     let callers = runtime(3, "caller");
-    let variant = Held {
+    let model_version = ModelVersion {
         model: "tutor".into(),
         adapter: None,
         version: "1".into(),
@@ -150,7 +150,7 @@
                 memory_tokens: 10_000_000,
                 ..model::Config::default()
             },
-            loaded: vec![variant.clone()],
+            loaded: vec![model_version.clone()],
             ..engine::Config::default()
         });
         (
@@ -158,7 +158,7 @@
             engine.await.expect("The engine starts."),
         )
     });
-    platform.list(Listed {
+    platform.list(ListEntry {
         name: "t1".into(),
         data_centre: "dc1".into(),
         incarnation: 1,
@@ -188,7 +188,7 @@
     callers.block_on(async {
         publish(&admin).await;
         let hosted_body = body("hints", TOKENS);
-        let direct_body = body(&variant.fingerprint(), TOKENS);
+        let direct_body = body(&model_version.fingerprint(), TOKENS);
         while call(&Client::new(Duration::from_secs(1)), &url, &hosted_body).await.is_none() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -14,11 +14,11 @@
 use hyper::Request;
 use hyper::StatusCode;
 use hyper::body::Incoming;
-use notchwharf_clients::hosts::Listed;
+use notchwharf_clients::hosts::ListEntry;
 use notchwharf_clients::log::Appended;
 use notchwharf_clients::log::Bounds;
 use notchwharf_clients::log::Page;
-use notchwharf_clients::log::Stored;
+use notchwharf_clients::log::StoredRecord;
 use serde::Deserialize;
 use serde::Serialize;
 use tokio::sync::Notify;
@@ -91,9 +91,9 @@
     /// Start of the current append window, and the appends admitted in it.
     append_window: (Instant, u32),
     appends: u64,
-    listed: HashMap<String, Listed>,
+    listed: HashMap<String, ListEntry>,
     /// Changes of the host list that are not yet visible; `None` is a removal.
-    changes: VecDeque<(Instant, String, Option<Listed>)>,
+    changes: VecDeque<(Instant, String, Option<ListEntry>)>,
     weights_available_at: Instant,
 }
 
@@ -157,7 +157,7 @@
 
     /// Adds or updates a host or target in the host list, visible after
     /// [`Config::list_lag`].
-    pub fn list(&self, listed: Listed) {
+    pub fn list(&self, listed: ListEntry) {
         self.shared
             .lock()
             .queue_change(listed.name.clone(), Some(listed));
@@ -205,7 +205,7 @@
             }
             (&Method::PUT, ["v1", "hosts"]) => {
                 let body = http::read_body(req).await?;
-                let Ok(listed) = serde_json::from_slice::<Listed>(&body) else {
+                let Ok(listed) = serde_json::from_slice::<ListEntry>(&body) else {
                     return http::empty(StatusCode::BAD_REQUEST);
                 };
                 self.lock().queue_change(listed.name.clone(), Some(listed));
@@ -344,7 +344,7 @@
                 len += data.len();
                 fits
             })
-            .map(|(i, (_, data))| Stored::new(first + i as u64, data))
+            .map(|(i, (_, data))| StoredRecord::new(first + i as u64, data))
             .collect();
         Page {
             first,
@@ -353,11 +353,11 @@
         }
     }
 
-    fn queue_change(&mut self, name: String, listed: Option<Listed>) {
+    fn queue_change(&mut self, name: String, listed: Option<ListEntry>) {
         self.changes.push_back((Instant::now(), name, listed));
     }
 
-    fn current_list(&mut self) -> Vec<Listed> {
+    fn current_list(&mut self) -> Vec<ListEntry> {
         let lag = self.cfg.list_lag;
         while self
             .changes
