--- a/crates/loadplay/src/host.rs
+++ b/crates/loadplay/src/host.rs
@@ -18,7 +18,7 @@
 use crate::policy::Policy;
 use crate::target::RunId;
 
-/// The name of the only service in a run.
+/// The name of the only service in a simulation.
 pub(crate) const SERVICE: &str = "s";
 
 /// A queued item.
--- a/crates/loadplay/src/lib.rs
+++ b/crates/loadplay/src/lib.rs
@@ -4,7 +4,7 @@
 //! balancer, the order of batch items, the queue summaries that hosts exchange,
 //! and preemption. Everything around it is modelled: targets that slow down while
 //! they process prompts, status updates with a delay, arrival rates that change
-//! in steps, and hosts that freeze. A run reports what callers experience.
+//! in steps, and hosts that freeze. A simulation reports what callers experience.
 //!
 //! It does not replace a benchmark: it has no connections, no store and no
 //! crashes, so its results are valid only where a benchmark of the real system
--- a/crates/loadplay/src/load.rs
+++ b/crates/loadplay/src/load.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Time in which requests and jobs arrive, in seconds. The run continues until
+    /// Time in which requests and jobs arrive, in seconds. The simulation continues until
     /// the last job is due.
     pub seconds: f64,
     /// Number of hosts, distributed evenly over the data centres.
--- a/crates/loadplay/src/outcome.rs
+++ b/crates/loadplay/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The results of a run, as its callers observe them.
+//! The results of a simulation, as its callers observe them.
 
 /// The outcome of a batch item.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -56,7 +56,7 @@
     }
 }
 
-/// The outcome of a run.
+/// The outcome of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// All items.
--- a/crates/loadplay/src/policy.rs
+++ b/crates/loadplay/src/policy.rs
@@ -1,6 +1,6 @@
 //! Policies to compare: that of production, and variants with one mechanism off.
 
-/// The mechanisms in use in a run. Comparing policies shows what each contributes.
+/// The mechanisms in use in a simulation. Comparing policies shows what each contributes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// The name on the command line and in reports.
--- a/crates/loadplay/src/report.rs
+++ b/crates/loadplay/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of runs: a table, JSON and a plot.
+//! Reports of simulations: a table, JSON and a plot.
 
 use std::path::Path;
 
@@ -13,14 +13,16 @@
 /// Interval between two samples of slot usage.
 const SAMPLE_S: f64 = 0.5;
 
-/// The results of all runs under one policy.
+/// The results of all simulations under one policy.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     /// The policy.
     pub policy: &'static str,
-    /// Number of runs.
-    pub plays: usize,
-    /// Share of items completed in time: mean, minimum and maximum over the runs.
+    /// Number of simulations.
+    #[serde(rename = "plays")]
+    pub simulations: usize,
+    /// Share of items completed in time: mean, minimum and maximum over the
+    /// simulations.
     pub items_in_time: [f64; 3],
     /// Mean share of items that a clairvoyant scheduler completes in time.
     pub bound: f64,
@@ -28,15 +30,16 @@
     pub largest_in_time: f64,
     /// Mean share of online requests whose first event met the objective.
     pub online_in_time: f64,
-    /// Mean number of item runs preempted per run.
+    /// Mean number of item runs preempted per simulation.
     #[serde(rename = "cuts")]
     pub preemptions: f64,
-    /// Mean number of requests and items per run sent to a target without a free slot.
+    /// Mean number of requests and items per simulation sent to a target without a free
+    /// slot.
     pub queued: f64,
 }
 
 impl Row {
-    /// Aggregates the outcomes of runs.
+    /// Aggregates the outcomes of simulations.
     pub fn new(policy: &'static str, outcomes: &[Outcome], objective_ms: u64) -> Self {
         let mean = |of: &dyn Fn(&Outcome) -> f64| {
             outcomes.iter().map(of).sum::<f64>() / outcomes.len().max(1) as f64
@@ -44,7 +47,7 @@
         let in_time = outcomes.iter().map(Outcome::items_in_time);
         Self {
             policy,
-            plays: outcomes.len(),
+            simulations: outcomes.len(),
             items_in_time: [
                 mean(&Outcome::items_in_time),
                 in_time.clone().fold(1.0, f64::min),
@@ -69,7 +72,7 @@
         text += &format!(
             "{:<13} {:>5}  {mean:.3} ({min:.3}, {max:.3})         {:.3}  {:.3}    {:.3}   {:>9.0}  {:>6.0}\n",
             row.policy,
-            row.plays,
+            row.simulations,
             row.bound,
             row.largest_in_time,
             row.online_in_time,
@@ -96,7 +99,7 @@
     let max = outcome
         .slot_usage
         .iter()
-        .map(|p| p.total)
+        .map(|usage| usage.total)
         .fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .margin(10)
@@ -109,9 +112,9 @@
         .y_desc("slots")
         .draw()?;
     let series: [Series; 3] = [
-        ("items", BLUE, |p| p.items),
-        ("online", RED, |p| p.online),
-        ("all slots", BLACK, |p| p.total),
+        ("items", BLUE, |usage| usage.items),
+        ("online", RED, |usage| usage.online),
+        ("all slots", BLACK, |usage| usage.total),
     ];
     for (name, colour, value) in series {
         let points = outcome.slot_usage.iter().zip(0..);
--- a/crates/loadplay/src/simulation.rs
+++ b/crates/loadplay/src/simulation.rs
@@ -1,4 +1,4 @@
-//! One run of a load: a loop over virtual milliseconds.
+//! The simulation of a load: a loop over virtual milliseconds.
 
 mod arrivals;
 
@@ -71,7 +71,7 @@
     slot_usage: Vec<SlotUsage>,
 }
 
-/// Runs a load under a policy. The outcome depends only on the arguments.
+/// Simulates a load under a policy. The outcome depends only on the arguments.
 pub fn run(load: &Load, policy: Policy, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(load, policy, seed);
     let arrivals_ms = (load.seconds * 1e3) as u64;
--- a/crates/server/src/api/admin.rs
+++ b/crates/server/src/api/admin.rs
@@ -88,7 +88,7 @@
 fn history(ctx: &Context) -> Response {
     let events = ctx
         .bundle_follower()
-        .map(|feed| feed.events())
+        .map(|follower| follower.events())
         .unwrap_or_default();
     body::json(StatusCode::OK, &json!({"events": events}))
 }
@@ -119,8 +119,10 @@
 
 /// Appends a record to the bundle stream and waits for its outcome.
 async fn append_and_confirm(ctx: &Arc<Context>, record: &Record) -> Result<u64, ApiError> {
-    let feed = ctx.bundle_follower().ok_or(ApiError::Starting)?;
-    feed.check(record).map_err(|why| bundle_error(&why))?;
+    let follower = ctx.bundle_follower().ok_or(ApiError::Starting)?;
+    follower
+        .check(record)
+        .map_err(|refusal| bundle_error(&refusal))?;
     let bytes = serde_json::to_vec(record).map_err(|_| ApiError::LogUnavailable)?;
     let offset = match ctx.log.append(STREAM, bytes).await {
         Ok(offset) => offset,
@@ -131,18 +133,18 @@
             });
         }
     };
-    let outcome = tokio::time::timeout(READ_BACK_TIMEOUT, feed.outcome(offset)).await;
+    let outcome = tokio::time::timeout(READ_BACK_TIMEOUT, follower.outcome(offset)).await;
     let event = outcome.ok().flatten().ok_or(ApiError::OutcomeUnknown)?;
     match event.outcome {
         Outcome::Proposed | Outcome::InForce => Ok(offset),
-        Outcome::Refused(why) => Err(ApiError::BundleRejected(why)),
+        Outcome::Refused(refusal) => Err(ApiError::BundleRejected(refusal)),
     }
 }
 
-fn bundle_error(why: &Refusal) -> ApiError {
-    match why {
+fn bundle_error(refusal: &Refusal) -> ApiError {
+    match refusal {
         Refusal::Invalid(err) => ApiError::MalformedJson(err.to_string()),
-        why => ApiError::BundleRejected(why.clone()),
+        refusal => ApiError::BundleRejected(refusal.clone()),
     }
 }
 
--- a/crates/server/src/api/chat.rs
+++ b/crates/server/src/api/chat.rs
@@ -305,7 +305,7 @@
         stream: Option<bool>,
     }
     let parsed = serde_json::from_slice::<StreamField>(text);
-    parsed.is_ok_and(|w| w.stream == Some(true))
+    parsed.is_ok_and(|field| field.stream == Some(true))
 }
 
 /// Returns a hash of the beginning of the prompt.
--- a/crates/server/src/api/files.rs
+++ b/crates/server/src/api/files.rs
@@ -20,7 +20,7 @@
 use notchwharf_ledger::job::Failure;
 use notchwharf_ledger::job::File;
 use notchwharf_ledger::job::Manifest;
-use notchwharf_ledger::owner::Answer as ItemAnswer;
+use notchwharf_ledger::owner::Answer as ItemResult;
 use notchwharf_ledger::owner::Command;
 use notchwharf_ledger::owner::Reply;
 use notchwharf_ledger::record::ItemIndex;
@@ -287,33 +287,33 @@
         };
         let shard = ledger::shard_of(&self.ctx, &self.job);
         let reply = ledger::execute(&self.ctx, shard, command).await;
-        let (answers, next) = match reply {
+        let (results, next) = match reply {
             Ok(Reply::Answers { answers, next }) => (answers, next),
             Ok(_) => return Err(ApiError::NotFound("job")),
             Err(err) => return Err(ledger_error(err, "file")),
         };
         let mut parts = Vec::new();
-        for answer in answers {
-            if answer.outcome.is_ok() == self.is_output {
-                parts.push(self.line(answer).await?);
+        for result in results {
+            if result.outcome.is_ok() == self.is_output {
+                parts.push(self.line(result).await?);
             }
         }
         Ok((lines(parts.iter()), next))
     }
 
-    async fn line(&self, answer: ItemAnswer) -> Result<Vec<u8>, ApiError> {
-        let read = |place| async move {
-            let part = self.ctx.blobs.read_part(place).await;
+    async fn line(&self, result: ItemResult) -> Result<Vec<u8>, ApiError> {
+        let read = |location| async move {
+            let part = self.ctx.blobs.read_part(location).await;
             part.map_err(|_| ApiError::LogUnavailable)
         };
-        let failure = match answer.outcome {
-            Ok(place) => return read(place).await,
+        let failure = match result.outcome {
+            Ok(location) => return read(location).await,
             Err(failure) => failure,
         };
-        let payload = read(answer.payload).await?;
+        let payload = read(result.payload).await?;
         let payload: Value = serde_json::from_slice(&payload).unwrap_or_default();
         let line = json!({
-            "id": format!("{}-{}", self.job, answer.item),
+            "id": format!("{}-{}", self.job, result.item),
             "custom_id": payload.get("custom_id"),
             "response": null,
             "error": failure_json(&failure),
--- a/crates/server/src/api/input_file.rs
+++ b/crates/server/src/api/input_file.rs
@@ -156,7 +156,7 @@
         }
         let body = item.get("body").and_then(Value::as_object);
         let body = body.ok_or(LineError::MissingBody)?;
-        let model = chat::check(body).map_err(|(_, why)| LineError::InvalidBody(why))?;
+        let model = chat::check(body).map_err(|(_, reason)| LineError::InvalidBody(reason))?;
         self.check_model(model)?;
         if !self.custom_id_hashes.insert(xxh3_128(id.as_bytes())) {
             return Err(LineError::DuplicateCustomId(id.to_owned()));
--- a/crates/server/src/bundle.rs
+++ b/crates/server/src/bundle.rs
@@ -238,8 +238,8 @@
 /// Appends the current bundle again before its record expires from the log.
 ///
 /// The holder of [`RENEWAL_SHARD`] does this, so usually a single host does. A host that has
-/// not seen the bundle appended does not know the age of its record and appends the bundle
-/// immediately, which costs one redundant record per change of holder.
+/// neither read nor appended a record with the current bundle does not know its age and
+/// appends one immediately, which costs one redundant record per change of holder.
 async fn renew_bundle(ctx: Arc<Context>, follower: Arc<BundleFollower>) {
     let ledger = &ctx.settings.ledger;
     let after = ms(ledger.retention_ms - ledger.carry_margin_ms);
--- a/crates/server/src/dispatch.rs
+++ b/crates/server/src/dispatch.rs
@@ -261,8 +261,8 @@
     }
 
     fn loaded_fingerprint(&self, route: &crate::bundle::Route) -> Option<String> {
-        let holds = &self.last_report.as_ref()?.holds;
-        holds
+        let loaded = &self.last_report.as_ref()?.holds;
+        loaded
             .contains(&route.fingerprint)
             .then(|| route.fingerprint.clone())
     }
@@ -312,10 +312,10 @@
     /// target has loaded.
     fn next_source(&mut self) -> Option<(String, String)> {
         let active = self.shared.active()?;
-        let holds = &self.last_report.as_ref()?.holds;
+        let loaded = &self.last_report.as_ref()?.holds;
         let is_loaded = |serving: &str| {
             let route = active.route(serving);
-            route.is_some_and(|r| holds.contains(&r.fingerprint))
+            route.is_some_and(|r| loaded.contains(&r.fingerprint))
         };
         let view = self.shared.view();
         let mut sources = Vec::new();
@@ -341,11 +341,11 @@
         let Some(status) = &self.status else {
             return;
         };
-        let mut holds: Vec<String> = status.holds.iter().map(ModelVersion::fingerprint).collect();
-        holds.sort();
+        let mut loaded: Vec<String> = status.holds.iter().map(ModelVersion::fingerprint).collect();
+        loaded.sort();
         let is_responsive = self.failed_reads < FAILED_READS_MAX;
         if !is_responsive {
-            holds.clear();
+            loaded.clear();
         }
         let mut target = fact::Target {
             incarnation: status.incarnation,
@@ -358,7 +358,7 @@
                 Role::Online => members::ROLE_ONLINE,
                 Role::Batch => members::ROLE_BATCH,
             },
-            holds,
+            holds: loaded,
         };
         if self.last_report.as_ref() == Some(&target) {
             return;
@@ -390,12 +390,12 @@
 impl Handler<ConfirmItems> for Dispatcher {
     type Return = ();
 
-    async fn handle(&mut self, to: ConfirmItems, _: &mut Context<Self>) {
+    async fn handle(&mut self, confirm: ConfirmItems, _: &mut Context<Self>) {
         let running = self.running.values().map(|r| &r.assigned);
         let ready = self.ready.iter().map(|i| &i.assigned);
         let assigned: Vec<AssignedItem> = running
             .chain(ready)
-            .filter(|a| a.shard == to.0)
+            .filter(|a| a.shard == confirm.0)
             .cloned()
             .collect();
         let shared = Arc::clone(&self.shared);
--- a/crates/server/src/dispatch/orders.rs
+++ b/crates/server/src/dispatch/orders.rs
@@ -57,11 +57,11 @@
         let action = match step {
             None => return,
             Some(Step::Load(f)) => {
-                let found = wanted.into_iter().find(|h| h.fingerprint() == f);
+                let found = wanted.into_iter().find(|v| v.fingerprint() == f);
                 found.map(Action::Load)
             }
             Some(Step::Unload(f)) => {
-                let found = status.holds.iter().find(|h| h.fingerprint() == f);
+                let found = status.holds.iter().find(|v| v.fingerprint() == f);
                 found.cloned().map(Action::Unload)
             }
         };
@@ -72,13 +72,13 @@
 
     fn count_others_holding(&self, fingerprint: &str) -> usize {
         let view = self.shared.view();
-        let holds = |(id, t): &(&String, &fact::Target)| {
+        let has_loaded = |(id, t): &(&String, &fact::Target)| {
             **id != self.target
                 && !t.leaving
                 && t.answers
-                && t.holds.iter().any(|h| h == fingerprint)
+                && t.holds.iter().any(|f| f == fingerprint)
         };
-        view.targets.iter().filter(holds).count()
+        view.targets.iter().filter(has_loaded).count()
     }
 
     fn order(&self, action: Action) {
--- a/crates/server/src/item.rs
+++ b/crates/server/src/item.rs
@@ -113,7 +113,7 @@
     item.progress = progress;
     let Some(res) = res else {
         ctx.metrics.count(Counted::Items, "preempted");
-        // Closing the connection also cancels the run; the explicit call makes certain.
+        // Closing the connection also cancels the run; the explicit call ensures it.
         let _ = ctx.targets.cancel(&url, &target_request.request_id).await;
         return RunOutcome::Interrupted(Box::new(item));
     };
@@ -124,7 +124,7 @@
     let tenant = item.assigned.work.tenant.clone();
     let elapsed = started_at.elapsed();
     ctx.metrics
-        .time(Timed::Whole, Class::Batch, &tenant, elapsed);
+        .time(Timed::Total, Class::Batch, &tenant, elapsed);
     let line = result_line(&target_request, &payload, &item);
     tokio::spawn(report_result(ctx, item.assigned, line));
     RunOutcome::Finished
--- a/crates/server/src/keyed.rs
+++ b/crates/server/src/keyed.rs
@@ -109,7 +109,7 @@
         digest: digest(&call),
     };
     match ledger::execute_locally(ctx, shard, start).await {
-        Ok(Reply::Ended(place)) => return replay(ctx, place).await,
+        Ok(Reply::Ended(location)) => return replay(ctx, location).await,
         Ok(_) => {}
         Err(CommandError::Invalid(Ignored::OtherBody)) => return Err(KeyedError::OtherBody),
         Err(CommandError::Invalid(_)) => return Err(KeyedError::Unknown),
@@ -259,8 +259,12 @@
         return;
     };
     let bytes = serde_json::to_vec(&response).unwrap_or_default();
-    if let Some(place) = results.write(bytes).await {
-        retry_command(Arc::clone(&ctx), shard, Command::KeyEnd { key, place }).await;
+    if let Some(location) = results.write(bytes).await {
+        let end = Command::KeyEnd {
+            key,
+            place: location,
+        };
+        retry_command(Arc::clone(&ctx), shard, end).await;
     }
 }
 
@@ -274,8 +278,8 @@
     }
 }
 
-async fn replay(ctx: &Context, place: Place) -> Result<KeyedResponse, KeyedError> {
-    let bytes = ctx.blobs.read_part(place).await;
+async fn replay(ctx: &Context, location: Place) -> Result<KeyedResponse, KeyedError> {
+    let bytes = ctx.blobs.read_part(location).await;
     let bytes = bytes.map_err(|_| KeyedError::NotRun(CommandError::LogDown))?;
     let response: KeyedResponse =
         serde_json::from_slice(&bytes).map_err(|_| KeyedError::Unknown)?;
--- a/crates/server/src/leases.rs
+++ b/crates/server/src/leases.rs
@@ -213,9 +213,12 @@
             let lease = self.held.get(target);
             match (is_preferred, lease) {
                 (true, None) if self.can_claim(target, now) => {
-                    let seen = self.fleet.observed_lease(target).0;
+                    let observed = self.fleet.observed_lease(target).0;
                     let target = target.clone();
-                    entries.push(Entry::Claim { target, seen });
+                    entries.push(Entry::Claim {
+                        target,
+                        seen: observed,
+                    });
                 }
                 (false, Some(lease)) if now.duration_since(lease.since) >= HOLD_TIME_MIN => {
                     let target = target.clone();
@@ -228,11 +231,11 @@
     }
 
     fn can_claim(&self, target: &str, now: Instant) -> bool {
-        let (seen, is_over) = self.fleet.observed_lease(target);
+        let (observed, is_over) = self.fleet.observed_lease(target);
         let Some(lease) = self
             .fleet
             .lease(target)
-            .filter(|_| seen.is_some() && !is_over)
+            .filter(|_| observed.is_some() && !is_over)
         else {
             return true;
         };
@@ -361,9 +364,9 @@
     }
 }
 
-type FleetPage = (Vec<(Offset, Record)>, Offset, bool);
+type RecordPage = (Vec<(Offset, Record)>, Offset, bool);
 
-async fn read_page(shared: &Shared, next: Option<Offset>) -> Result<FleetPage, ReadError> {
+async fn read_page(shared: &Shared, next: Option<Offset>) -> Result<RecordPage, ReadError> {
     let from = match next {
         Some(next) => next,
         None => {
--- a/crates/server/src/lifecycle.rs
+++ b/crates/server/src/lifecycle.rs
@@ -92,7 +92,7 @@
         let ctx = Arc::new(Context::new(settings, logger));
         let update_socket = UdpSocket::bind((addrs.gossip.ip(), 0));
         let update_socket = update_socket.await.change_context(StartError::Listen)?;
-        // The cells of a new context are empty, so setting them cannot fail.
+        // Each `OnceLock` of a new context is empty, so setting it cannot fail.
         let _ = ctx.update_socket.set(update_socket);
         let _ = ctx.results.set(ResultWriter::start(&ctx));
         let follower = BundleFollower::start(&ctx);
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -18,7 +18,7 @@
     /// Time between tokens.
     InterToken,
     /// Time to the complete response.
-    Whole,
+    Total,
 }
 
 /// A counter with one label.
@@ -95,8 +95,8 @@
         self.0.set_gauge(name, value);
     }
 
-    pub(crate) fn time(&self, what: Timed, class: Class, tenant: &str, took: Duration) {
-        self.timing(what, class, tenant).record(took);
+    pub(crate) fn time(&self, what: Timed, class: Class, tenant: &str, duration: Duration) {
+        self.timing(what, class, tenant).record(duration);
     }
 
     /// Returns a histogram, for recording repeatedly without a lookup.
--- a/crates/server/src/online.rs
+++ b/crates/server/src/online.rs
@@ -111,7 +111,7 @@
                 quarantine::record_success(ctx, &req);
                 let elapsed = started_at.elapsed();
                 ctx.metrics
-                    .time(Timed::Whole, Class::Online, &req.tenant, elapsed);
+                    .time(Timed::Total, Class::Online, &req.tenant, elapsed);
                 return Ok(progress);
             }
             Err(err) => err,
@@ -229,7 +229,7 @@
     ctx.metrics
         .add(Counted::GossipBytes, "notices sent", bytes.len() as u64);
     if let Some(socket) = ctx.update_socket.get() {
-        // A lost datagram is made up for by the next report.
+        // The next report replaces a lost datagram.
         let _ = socket.try_send_to(&bytes, addr);
     }
 }
--- a/crates/server/src/quarantine.rs
+++ b/crates/server/src/quarantine.rs
@@ -172,7 +172,7 @@
         for addr in &addrs {
             ctx.metrics
                 .add(Counted::GossipBytes, "suspects sent", bytes.len() as u64);
-            // Lost reports are made up for by the periodic ones.
+            // The periodic reports replace lost ones.
             let _ = socket.try_send_to(&bytes, *addr);
         }
     }
--- a/crates/server/src/results.rs
+++ b/crates/server/src/results.rs
@@ -36,9 +36,9 @@
     /// Writes a result, retrying for as long as the log is unavailable, and returns its
     /// location.
     pub(crate) async fn write(&self, bytes: Vec<u8>) -> Option<Place> {
-        let (location_tx, rx) = oneshot::channel();
+        let (location_tx, location_rx) = oneshot::channel();
         self.parts.send(Part { bytes, location_tx }).ok()?;
-        rx.await.ok()
+        location_rx.await.ok()
     }
 }
 
@@ -60,7 +60,7 @@
 }
 
 async fn write_batch(ctx: &Context, batch: Vec<Part>) {
-    let (parts, location_tx): (Vec<_>, Vec<_>) =
+    let (parts, location_txs): (Vec<_>, Vec<_>) =
         batch.into_iter().map(|p| (p.bytes, p.location_tx)).unzip();
     let blob = Blob { parts };
     let mut backoff = ms(ctx.settings.ledger.commit_ms);
@@ -73,7 +73,7 @@
         backoff = (backoff * 2).min(BACKOFF_MAX);
     };
     ctx.metrics.count(Counted::Log, "append taken");
-    for (index, location_tx) in location_tx.into_iter().enumerate() {
+    for (index, location_tx) in location_txs.into_iter().enumerate() {
         let location = Place {
             offset: id.offset,
             stream: id.stream,
--- a/crates/server/tests/online.rs
+++ b/crates/server/tests/online.rs
@@ -333,8 +333,9 @@
 #[tokio::test]
 async fn only_signed_off_versions_run() {
     let fleet = Fleet::ready(one_engine()).await;
-    fleet.activate_bundle(&school_bundle("2")).await; // The previous version serves until the new one is loaded; after that, only the new
+    // The previous version serves until the new one is loaded; after that, only the new
     // one does.
+    fleet.activate_bundle(&school_bundle("2")).await;
     let response = fleet
         .chat("a1", SCHOOL_KEY, &chat_request(false))
         .await
--- a/crates/server/tests/processes/mod.rs
+++ b/crates/server/tests/processes/mod.rs
@@ -77,7 +77,7 @@
         for i in 1..=hosts {
             fleet.start_host(&format!("a{i}")).await;
         }
-        fleet.put_in_force(&school_bundle("1")).await;
+        fleet.activate_bundle(&school_bundle("1")).await;
         for host in 0..hosts {
             let url = format!("{}/admin/v1/targets", fleet.hosts[host].admin);
             let is_loaded =
@@ -129,7 +129,7 @@
             .ok()
     }
 
-    pub async fn put_in_force(&self, bundle: &Bundle) -> u64 {
+    pub async fn activate_bundle(&self, bundle: &Bundle) -> u64 {
         let admin = &self.hosts[0].admin;
         let base = self.get(&format!("{admin}/admin/v1/bundle")).await.unwrap();
         let proposal = json!({"base": base["version"], "author": "ana", "bundle": bundle});
@@ -182,8 +182,8 @@
         let url = format!("{}/v1/batches/{job}", self.hosts[host].url);
         let response = self.send(Method::GET, &url, String::new()).await;
         response
-            .filter(|s| s.status == 200)
-            .map(|s| s.json())
+            .filter(|r| r.status == 200)
+            .map(|r| r.json())
             .unwrap_or_default()
     }
 
--- a/crates/server/tests/services.rs
+++ b/crates/server/tests/services.rs
@@ -105,8 +105,9 @@
 async fn idempotent_call_is_retried() {
     let fleet = ready_fleet().await;
     fleet.services.iter().for_each(|s| s.lose_responses(1));
-    let response = call(&fleet, "a1", Method::PUT, None, "permit").await; // Both targets lose a response and are skipped for a while, so that the outcome
+    // Both targets lose a response and are skipped for a while, so that the outcome
     // remains unknown.
+    let response = call(&fleet, "a1", Method::PUT, None, "permit").await;
     assert_eq!(response.json()["error"]["outcome"], "unknown");
     assert_eq!(filing_count(&fleet), 2);
     fleet
--- a/crates/server/tests/session.rs
+++ b/crates/server/tests/session.rs
@@ -107,7 +107,7 @@
     fleet.wait_busy().await;
 
     transcript.heading("a new bundle while the job is running");
-    let version = fleet.put_in_force(&school_bundle("2")).await;
+    let version = fleet.activate_bundle(&school_bundle("2")).await;
     for host in 0..3 {
         let at = format!("{}/admin/v1/bundle", fleet.hosts[host].admin);
         wait_until(|| async {
--- a/crates/standins/examples/overhead.rs
+++ b/crates/standins/examples/overhead.rs
@@ -135,7 +135,7 @@
     let targets = runtime(2, "target");
     let host = runtime(1, "host");
     let callers = runtime(3, "caller");
-    let variant = ModelVersion {
+    let model_version = ModelVersion {
         model: "tutor".into(),
         adapter: None,
         version: "1".into(),
@@ -150,7 +150,7 @@
                 memory_tokens: 10_000_000,
                 ..model::Config::default()
             },
-            loaded: vec![variant.clone()],
+            loaded: vec![model_version.clone()],
             ..engine::Config::default()
         });
         (
@@ -188,7 +188,7 @@
     callers.block_on(async {
         publish(&admin).await;
         let hosted_body = body("hints", TOKENS);
-        let direct_body = body(&variant.fingerprint(), TOKENS);
+        let direct_body = body(&model_version.fingerprint(), TOKENS);
         while call(&Client::new(Duration::from_secs(1)), &url, &hosted_body).await.is_none() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -66,7 +66,7 @@
     pub model: model::Config,
     /// The models that are loaded at start.
     pub loaded: Vec<ModelVersion>,
-    /// Whether it rejects orders with an outdated fencing number.
+    /// Whether it rejects orders with an stale fencing token.
     pub checks_fencing: bool,
     /// The URL of the weight store. Without one, loading a model takes no time.
     pub weights_url: Option<String>,
@@ -126,8 +126,8 @@
     request_id: String,
     prompt: String,
     prompt_tokens: u32,
-    /// The model variant that generates it.
-    variant: ModelVersion,
+    /// The model version that generates it.
+    model_version: ModelVersion,
     fault: Option<StreamFault>,
     sender: mpsc::UnboundedSender<io::Result<Frame<Bytes>>>,
 }
@@ -246,9 +246,9 @@
 }
 
 /// Returns the text that an engine generates for a prompt.
-pub fn expected_text(prompt: &str, variant: &ModelVersion, tokens: u32) -> String {
+pub fn expected_text(prompt: &str, model_version: &ModelVersion, tokens: u32) -> String {
     (0..tokens)
-        .map(|i| token_text(prompt, variant, i))
+        .map(|i| token_text(prompt, model_version, i))
         .collect()
 }
 
@@ -258,8 +258,8 @@
     contents.collect::<Vec<_>>().join("\n")
 }
 
-fn token_text(prompt: &str, variant: &ModelVersion, offset: u32) -> String {
-    let seed = format!("{prompt}\u{0}{}\u{0}{offset}", variant.fingerprint());
+fn token_text(prompt: &str, model_version: &ModelVersion, offset: u32) -> String {
+    let seed = format!("{prompt}\u{0}{}\u{0}{offset}", model_version.fingerprint());
     format!(" w{}", xxh3_64(seed.as_bytes()) % 1_000)
 }
 
@@ -356,15 +356,15 @@
             state.faults.busy -= 1;
             return http::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let variant = state
+        let model_version = state
             .loaded
             .iter()
-            .find(|h| h.fingerprint() == request.model);
-        let Some(variant) = variant.cloned() else {
+            .find(|v| v.fingerprint() == request.model);
+        let Some(model_version) = model_version.cloned() else {
             return http::empty(StatusCode::NOT_FOUND);
         };
         let (sender, receiver) = mpsc::unbounded_channel();
-        state.start(&request, request_id, prompt, variant, sender);
+        state.start(&request, request_id, prompt, model_version, sender);
         let (running, waiting) = state.reported_load;
         drop(state);
         self.work_available.notify_one();
@@ -388,12 +388,13 @@
         state.fence = state.fence.max(order.fence);
         state.orders.push(order.clone());
         match order.action {
-            Action::Unload(variant) => state.loaded.retain(|h| *h != variant),
+            Action::Unload(model_version) => state.loaded.retain(|v| *v != model_version),
             Action::SetRole(role) => state.role = role,
-            Action::Load(variant) => {
-                if !state.loaded.contains(&variant) && !state.loading.contains(&variant) {
-                    state.loading.push(variant.clone());
-                    tokio::spawn(load_model(Arc::clone(self), variant));
+            Action::Load(model_version) => {
+                if !state.loaded.contains(&model_version) && !state.loading.contains(&model_version)
+                {
+                    state.loading.push(model_version.clone());
+                    tokio::spawn(load_model(Arc::clone(self), model_version));
                 }
             }
         }
@@ -402,17 +403,17 @@
     }
 }
 
-async fn load_model(shared: Arc<Shared>, variant: ModelVersion) {
+async fn load_model(shared: Arc<Shared>, model_version: ModelVersion) {
     if let Some(url) = &shared.cfg.weights_url {
         let client = Client::new(Duration::from_secs(600));
-        let url = format!("{url}/v1/weights/{}", variant.model);
+        let url = format!("{url}/v1/weights/{}", model_version.model);
         if let Ok(req) = notchwharf_clients::http::request(Method::GET, &url, Bytes::new()) {
             let _ = client.fetch(req).await;
         }
     }
     let mut state = shared.lock();
-    state.loading.retain(|h| *h != variant);
-    state.loaded.push(variant);
+    state.loading.retain(|v| *v != model_version);
+    state.loaded.push(model_version);
 }
 
 impl State {
@@ -421,7 +422,7 @@
         request: &ChatRequest,
         request_id: String,
         prompt: String,
-        variant: ModelVersion,
+        model_version: ModelVersion,
         sender: mpsc::UnboundedSender<io::Result<Frame<Bytes>>>,
     ) {
         let id = self.next_id;
@@ -444,7 +445,7 @@
             request_id,
             prompt,
             prompt_tokens,
-            variant,
+            model_version,
             fault,
             sender,
         };
@@ -553,11 +554,11 @@
             id,
             offset_tokens: token.offset,
             tokens: 1,
-            system_fingerprint: self.variant.fingerprint(),
+            system_fingerprint: self.model_version.fingerprint(),
             choices: vec![Choice {
                 index: 0,
                 delta: Delta {
-                    content: token_text(prompt, &self.variant, token.offset),
+                    content: token_text(prompt, &self.model_version, token.offset),
                 },
                 finish_reason: token.is_last.then(|| "stop".to_owned()),
             }],
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -399,8 +399,8 @@
         let url = format!("{}/v1/batches/{job}", self.url(self.any_host()));
         let response = self.get(key, &url).await;
         response
-            .filter(|s| s.status == 200)
-            .map(|s| s.json())
+            .filter(|r| r.status == 200)
+            .map(|r| r.json())
             .unwrap_or_default()
     }
 
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/model.rs
@@ -17,7 +17,7 @@
     pub step_base: Duration,
     /// Time that each running stream adds to a step.
     pub step_per_stream: Duration,
-    /// Time that each cache_prompt prompt token adds to the step that admits its request.
+    /// Time that each uncached prompt token adds to the step that admits its request.
     pub prefill_per_token: Duration,
     /// Tokens of running streams and cached prompts that fit in memory.
     pub memory_tokens: u32,
