--- a/crates/clients/src/blob.rs
+++ b/crates/clients/src/blob.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Writes a blob and returns its location.
+    /// Writes a blob and returns its ID.
     ///
     /// A write may be repeated after any error without looking for the blob in the stream: a
     /// duplicate to which no record refers has no effect.
@@ -88,17 +88,17 @@
     /// # Errors
     ///
     /// Returns an error if the blob cannot be read or has no such part.
-    pub async fn read_part(&self, place: Place) -> Result<Vec<u8>, ReadError> {
+    pub async fn read_part(&self, location: Place) -> Result<Vec<u8>, ReadError> {
         let id = BlobId {
-            stream: place.stream,
-            offset: place.offset,
+            stream: location.stream,
+            offset: location.offset,
         };
         let blob = self.read(id).await?;
-        let part = blob.parts.get(usize::from(place.index));
+        let part = blob.parts.get(usize::from(location.index));
         part.cloned().ok_or(ReadError::Undecodable)
     }
 
-    /// Writes copies of blobs and returns the old and the new location of each.
+    /// Writes copies of blobs and returns the old and the new ID of each.
     ///
     /// # Errors
     ///
--- a/crates/server/src/api/services.rs
+++ b/crates/server/src/api/services.rs
@@ -140,16 +140,16 @@
         ctx.table().begin(&target);
         let res = send_to(ctx, client, request, &target).await;
         ctx.table().end(&target);
-        let call = match res {
+        let err = match res {
             Ok(resp) => {
                 lock(&ctx.budget).deposit();
                 return Ok(resp);
             }
-            Err(call) => call,
+            Err(err) => err,
         };
         ctx.table().record_failure(&target, Instant::now());
         tried.push(target);
-        if call != CallError::NotSent {
+        if err != CallError::NotSent {
             was_sent = true;
             if !is_repeatable {
                 return Err(ApiError::OutcomeUnknown);
@@ -157,8 +157,8 @@
         }
         ctx.metrics.count(Counted::Retries, "service");
         let delay = backoff.next().unwrap_or_default();
-        let is_late = Instant::now() + delay >= request.deadline;
-        if is_late || !lock(&ctx.budget).withdraw() {
+        let is_past_deadline = Instant::now() + delay >= request.deadline;
+        if is_past_deadline || !lock(&ctx.budget).withdraw() {
             let retry_after = Duration::from_secs(1);
             return Err(if was_sent {
                 ApiError::OutcomeUnknown
--- a/crates/server/tests/process.rs
+++ b/crates/server/tests/process.rs
@@ -253,7 +253,7 @@
     fleet.wait_busy().await;
     signal(&fleet.hosts[0], "TERM");
     let ready = format!("{}/readyz", fleet.hosts[0].url);
-    let is_not_ready = |response: Option<Response>| response.is_none_or(|s| s.status == 503);
+    let is_not_ready = |response: Option<Response>| response.is_none_or(|r| r.status == 503);
     wait_until(|| async { is_not_ready(fleet.send(Method::GET, &ready, String::new()).await) })
         .await;
     signal(&fleet.hosts[0], "TERM");
@@ -326,7 +326,7 @@
     });
     fleet.start_host("a3").await;
     let ready = format!("{}/readyz", fleet.hosts[2].url);
-    let is_ready = |response: Option<Response>| response.is_some_and(|s| s.status == 200);
+    let is_ready = |response: Option<Response>| response.is_some_and(|r| r.status == 200);
     wait_until(|| async { is_ready(fleet.send(Method::GET, &ready, String::new()).await) }).await;
 }
 
--- a/crates/server/tests/services.rs
+++ b/crates/server/tests/services.rs
@@ -57,8 +57,8 @@
 }
 
 fn filing_count(fleet: &Fleet) -> usize {
-    let requests = fleet.executed_calls();
-    requests.iter().filter(|t| t.path == "/permits").count()
+    let calls = fleet.executed_calls();
+    calls.iter().filter(|call| call.path == "/permits").count()
 }
 
 #[tokio::test]
--- a/crates/standins/src/lab.rs
+++ b/crates/standins/src/lab.rs
@@ -526,24 +526,24 @@
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        let took = self.now_us - stream.last_token_us;
+        let elapsed = self.now_us - stream.last_token_us;
         stream.last_token_us = self.now_us;
         let stream = *stream;
         let target = target_name(stream.target);
         if stream.is_online {
             let table = &mut self.tables[stream.host];
-            let took = Duration::from_micros(took);
+            let elapsed = Duration::from_micros(elapsed);
             if offset == 0 {
                 let first_us = self.now_us - stream.arrived_us;
                 record(&mut self.outcome.first_us, first_us);
-                table.record_first_token(&target, took, now);
+                table.record_first_token(&target, elapsed, now);
                 let model = &self.targets[stream.target].model;
                 let streams = model.running() + model.waiting();
                 let streams = u32::try_from(streams).unwrap_or(u32::MAX);
                 table.set_reported_streams(&target, streams, now);
             } else {
-                record(&mut self.outcome.inter_us, micros(took));
-                table.record_inter_token(&target, took, now);
+                record(&mut self.outcome.inter_us, micros(elapsed));
+                table.record_inter_token(&target, elapsed, now);
             }
         }
         if !is_last {
