--- a/crates/server/src/online.rs
+++ b/crates/server/src/online.rs
@@ -229,7 +229,7 @@
     ctx.metrics
         .add(Counted::GossipBytes, "notices sent", bytes.len() as u64);
     if let Some(socket) = ctx.update_socket.get() {
-        // The next report replaces a lost datagram.
+        // A lost count is sent again with the next report or expires at the holder.
         let _ = socket.try_send_to(&bytes, addr);
     }
 }
