--- a/crates/loadplay/src/outcome.rs
+++ b/crates/loadplay/src/outcome.rs
@@ -49,9 +49,9 @@
             samples.iter().map(of).sum::<f64>() / samples.len().max(1) as f64
         };
         Self {
-            items: mean(|m| m.items),
-            online: mean(|m| m.online),
-            total: mean(|m| m.total),
+            items: mean(|usage| usage.items),
+            online: mean(|usage| usage.online),
+            total: mean(|usage| usage.total),
         }
     }
 }
--- a/crates/loadplay/src/simulation.rs
+++ b/crates/loadplay/src/simulation.rs
@@ -339,7 +339,7 @@
         let free = self
             .slot_usage
             .iter()
-            .map(|p| (p.total - p.online).max(0.0));
+            .map(|usage| (usage.total - usage.online).max(0.0));
         self.outcome.bound = bound::max_in_time(&self.outcome.items, &free.collect::<Vec<_>>());
         let samples = self.slot_usage.chunks(SAMPLE_MS).map(SlotUsage::mean);
         self.outcome.slot_usage = samples.collect();
--- a/crates/loadplay/tests/simulation.rs
+++ b/crates/loadplay/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Outcomes of runs under loads that saturate the targets.
+//! Outcomes of simulations under loads that saturate the targets.
 #![allow(clippy::unwrap_used, reason = "Tests fail by panicking.")]
 
 use notchwharf_loadplay::load;
@@ -44,7 +44,7 @@
 
 /// Guards against starvation between hosts: without peer queues, items that had
 /// just arrived started before those that had waited longest at other hosts. In
-/// one run, some completed after 8 s and others after 47 s.
+/// one simulation, some completed after 8 s and others after 47 s.
 #[test]
 fn peer_queues_let_more_items_complete_in_time() {
     let load = uneven_load();
