--- a/crates/loadplay/src/outcome.rs
+++ b/crates/loadplay/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The results of a run, as its callers observe them.
+//! The results of a simulation, as its callers observe them.
 
 /// The outcome of a batch item.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -49,14 +49,14 @@
             samples.iter().map(of).sum::<f64>() / samples.len().max(1) as f64
         };
         Self {
-            items: mean(|m| m.items),
-            online: mean(|m| m.online),
-            total: mean(|m| m.total),
+            items: mean(|usage| usage.items),
+            online: mean(|usage| usage.online),
+            total: mean(|usage| usage.total),
         }
     }
 }
 
-/// The outcome of a run.
+/// The outcome of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// All items.
--- a/crates/loadplay/src/simulation.rs
+++ b/crates/loadplay/src/simulation.rs
@@ -1,4 +1,4 @@
-//! One run of a load: a loop over virtual milliseconds.
+//! The simulation of a load: a loop over virtual milliseconds.
 
 mod arrivals;
 
@@ -71,7 +71,7 @@
     slot_usage: Vec<SlotUsage>,
 }
 
-/// Runs a load under a policy. The outcome depends only on the arguments.
+/// Simulates a load under a policy. The outcome depends only on the arguments.
 pub fn run(load: &Load, policy: Policy, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(load, policy, seed);
     let arrivals_ms = (load.seconds * 1e3) as u64;
@@ -339,7 +339,7 @@
         let free = self
             .slot_usage
             .iter()
-            .map(|p| (p.total - p.online).max(0.0));
+            .map(|usage| (usage.total - usage.online).max(0.0));
         self.outcome.bound = bound::max_in_time(&self.outcome.items, &free.collect::<Vec<_>>());
         let samples = self.slot_usage.chunks(SAMPLE_MS).map(SlotUsage::mean);
         self.outcome.slot_usage = samples.collect();
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -66,7 +66,7 @@
     pub model: model::Config,
     /// The models that are loaded at start.
     pub loaded: Vec<ModelVersion>,
-    /// Whether it rejects orders with an outdated fencing number.
+    /// Whether it rejects orders with a stale fencing token.
     pub checks_fencing: bool,
     /// The URL of the weight store. Without one, loading a model takes no time.
     pub weights_url: Option<String>,
@@ -359,7 +359,7 @@
         let model_version = state
             .loaded
             .iter()
-            .find(|h| h.fingerprint() == request.model);
+            .find(|v| v.fingerprint() == request.model);
         let Some(model_version) = model_version.cloned() else {
             return http::empty(StatusCode::NOT_FOUND);
         };
@@ -388,7 +388,7 @@
         state.fence = state.fence.max(order.fence);
         state.orders.push(order.clone());
         match order.action {
-            Action::Unload(model_version) => state.loaded.retain(|h| *h != model_version),
+            Action::Unload(model_version) => state.loaded.retain(|v| *v != model_version),
             Action::SetRole(role) => state.role = role,
             Action::Load(model_version) => {
                 if !state.loaded.contains(&model_version) && !state.loading.contains(&model_version)
@@ -412,7 +412,7 @@
         }
     }
     let mut state = shared.lock();
-    state.loading.retain(|h| *h != model_version);
+    state.loading.retain(|v| *v != model_version);
     state.loaded.push(model_version);
 }
 
